--- a/src/calls/caller.rs
+++ b/src/calls/caller.rs
@@ -197,7 +197,7 @@
     /// whether it still holds. Looked at before each attempt: the call may have
     /// waited, or this process have been frozen, since it came.
     pub(super) fn is_stale(&self, call: &Call) -> bool {
-        call.workspace.is_some() && !self.site.is_fresh()
+        call.workspace.is_some() && !self.site.is_config_fresh()
     }
 
     /// The clock that calls are measured by.
@@ -308,7 +308,7 @@
     /// Counts an attempt that a server has begun, or may have.
     pub(super) fn count(&self, call: &Call, sent: Millis) {
         if let (Some(usage), Some(workspace)) = (&self.usage, &call.workspace) {
-            usage.note(&workspace.name, sent);
+            usage.count_request(&workspace.name, sent);
         }
     }
 
--- a/src/calls/look.rs
+++ b/src/calls/look.rs
@@ -38,7 +38,7 @@
     pub(super) async fn take_trial(&self, call: &Call) -> Option<Attempt> {
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
-        match self.crashes.judge(request) {
+        match self.crashes.quarantine_state(request) {
             Verdict::Trial => self.crashes.claim_trial(request).await,
             _ => None,
         }
@@ -47,7 +47,7 @@
     /// Whether `call` may not be sent: it is in quarantine, and this is not the one
     /// attempt of its `trial`.
     pub(super) fn is_barred(&self, call: &Call, trial: bool) -> bool {
-        match self.crashes.judge(call.fingerprint) {
+        match self.crashes.quarantine_state(call.fingerprint) {
             Verdict::Clear | Verdict::Watched | Verdict::Suspect => false,
             Verdict::Trial => !trial,
             Verdict::Barred => true,
@@ -105,7 +105,7 @@
         let now = self.site.now();
         let requests = self.state().book.end_life(&server.life, now);
         if announced {
-            self.crashes.note(&server.life, &requests);
+            self.crashes.record_crash(&server.life, &requests);
         }
     }
 
--- a/src/calls/run.rs
+++ b/src/calls/run.rs
@@ -83,12 +83,12 @@
             caller.learn(call, &sent, &attempt);
             match attempt {
                 Attempt::Answered(answer) if self.is_final(&answer) => {
-                    caller.crashes.survived(call.fingerprint);
+                    caller.crashes.record_answer(call.fingerprint);
                     let failures = self.failures + u32::from(is_failure(&answer));
                     return CallEnd::Answered { answer, failures };
                 }
                 Attempt::Answered(answer) => {
-                    caller.crashes.survived(call.fingerprint);
+                    caller.crashes.record_answer(call.fingerprint);
                     self.failures += u32::from(is_failure(&answer));
                     self.ran += 1;
                     kept = Some(answer);
@@ -153,7 +153,7 @@
     /// asked beside it; `None` for good.
     fn hedge_wait(&self, under_way: usize) -> Option<Millis> {
         // A request that may end its servers isn't sent to two at once.
-        let harmless = self.caller.crashes.ended(self.call.fingerprint) == 0;
+        let harmless = self.caller.crashes.crash_count(self.call.fingerprint) == 0;
         let wanted = under_way == 1 && self.is_idempotent() && !self.hedged && harmless;
         if !wanted || self.pending() + self.ran >= self.call.route.attempts {
             return None;
--- a/src/calls/watched.rs
+++ b/src/calls/watched.rs
@@ -40,7 +40,7 @@
     /// The whole answer came.
     pub fn whole(&self) {
         self.replied();
-        self.caller.crashes.survived(self.request);
+        self.caller.crashes.record_answer(self.request);
     }
 
     /// The request failed with `error`: finds out whether its server has ended.
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -325,7 +325,7 @@
     /// while says so soon, as another gateway may reach it.
     fn patience(&self) -> Millis {
         let now = self.clock.now();
-        let away = self.site.store_away_since();
+        let away = self.site.store_unreachable_since();
         match away.is_some_and(|since| now.since(since) >= AWAY_KNOWN) {
             true => READ_AWAY,
             false => READ_MOST,
--- a/src/gateway/door.rs
+++ b/src/gateway/door.rs
@@ -113,11 +113,11 @@
         judge: impl Fn(&Arc<Config>) -> Result<T, Refusal>,
         keyed: impl Fn(&T) -> bool,
     ) -> Result<T, Refusal> {
-        let mut confirmed = !self.site.is_bounded();
+        let mut confirmed = !self.site.is_config_age_limited();
         loop {
             // Looked at first: a configuration that is taken later is no older. A caller
             // that was judged before a confirmation came in with a key that was gone.
-            let fresh = self.site.is_fresh();
+            let fresh = self.site.is_config_fresh();
             let judged = judge(&self.config()?);
             let holds = match &judged {
                 Ok(admitted) => fresh || !keyed(admitted),
@@ -142,8 +142,8 @@
     /// Has the store confirm the configuration; a caller isn't kept waiting for a
     /// store that is known to be away.
     async fn confirm(&self) -> Result<(), Refusal> {
-        let away = self.site.store_away_since();
-        if away.is_none() && self.site.confirm_anew(CONFIRMED_WITHIN).await {
+        let away = self.site.store_unreachable_since();
+        if away.is_none() && self.site.reconfirm_config(CONFIRMED_WITHIN).await {
             return Ok(());
         }
         let away = away.map(|since| self.site.now().since(since).0);
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -11,10 +11,10 @@
     calls::Caller,
     duty::{self, DutyError, Handle, HttpServer, Limits, Route, admin},
     platform::Store,
-    relay::{Relay, Seat},
+    relay::{Identity, Relay},
     settings::GatewaySettings,
-    usage::{Counter, report},
-    view::{Crashes, Site, confirm, keep, keep_crashes, watch_reach}, //
+    usage::{Counter, run_reporter},
+    view::{Crashes, Site, confirm_config, sync_crashes, sync_site, watch_store}, //
 };
 use std::{
     collections::HashMap,
@@ -68,12 +68,12 @@
         let clock = Clock::open();
         let site = Arc::new(Site::new(clock, settings.revocation));
         let store = Store::open(common.store, clock);
-        let seat = Seat {
+        let identity = Identity {
             address: peers.address,
             group: format!("gateways-{}", common.data_centre),
             instance: common.instance.clone(),
         };
-        let relay = Relay::open(seat, store.clone(), clock);
+        let relay = Relay::open(identity, store.clone(), clock);
         let (crashes, writes) = Crashes::open(store.clone());
         let usage = settings.usage.map(|usage| {
             let windows = usage.windows();
@@ -103,19 +103,19 @@
         let seen = site.clone();
         let shared = crashes.clone();
         let serve = move |context: duty::Context| async move {
-            if seen.is_bounded() {
-                tokio::spawn(confirm(seen.clone(), store.clone()));
+            if seen.is_config_age_limited() {
+                tokio::spawn(confirm_config(seen.clone(), store.clone()));
             }
             if let Some((counter, usage)) = reporting {
-                tokio::spawn(counter.clone().keep());
+                tokio::spawn(counter.clone().run());
                 let reporting = usage.reporting();
-                tokio::spawn(report(counter, reporting, store, clock));
+                tokio::spawn(run_reporter(counter, reporting, store, clock));
             }
-            tokio::spawn(keep(seen.clone(), relay.clone()));
-            tokio::spawn(keep_crashes(shared, writes, relay.clone()));
-            tokio::spawn(watch_reach(seen, relay.clone()));
+            tokio::spawn(sync_site(seen.clone(), relay.clone()));
+            tokio::spawn(sync_crashes(shared, writes, relay.clone()));
+            tokio::spawn(watch_store(seen, relay.clone()));
             tokio::spawn(relay.clone().serve(context.clone(), peers));
-            tokio::spawn(relay.keep(context.clone()));
+            tokio::spawn(relay.maintain_role(context.clone()));
             let answering = context.clone();
             let handler = move |request| {
                 let front = front.clone();
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -97,7 +97,7 @@
             remove: transaction.remove.iter().map(wire_key).collect(),
             set_keys: set.collect(),
         };
-        let body = serde_json::to_vec(&wire).map_err(|error| StoreError::Answer {
+        let body = serde_json::to_vec(&wire).map_err(|error| StoreError::InvalidMessage {
             message: error.to_string(),
         })?;
         let path = "/redwingpond/rows-tx";
@@ -264,7 +264,7 @@
             .header("host", self.peer.address().to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)))
-            .map_err(|error| StoreError::Answer {
+            .map_err(|error| StoreError::InvalidMessage {
                 message: error.to_string(),
             })?;
         let returns = self.reach.returns();
@@ -300,7 +300,7 @@
 
     fn read(&self, answer: &Answer) -> Result<WireListing, StoreError> {
         let value: WireListing =
-            serde_json::from_slice(&answer.body).map_err(|error| StoreError::Answer {
+            serde_json::from_slice(&answer.body).map_err(|error| StoreError::InvalidMessage {
                 message: error.to_string(),
             })?;
         let local = self.clock.now();
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -90,7 +90,7 @@
     /// Waits at most `within` for a store that is away.
     pub(super) async fn wait_back(&self, within: Millis) -> Result<(), StoreError> {
         let back = tokio::time::timeout(within.as_duration(), self.reach.back());
-        back.await.map_err(|_| StoreError::Away)
+        back.await.map_err(|_| StoreError::Unreachable)
     }
 
     /// Asks the store over new connections, one soon after the other, until it answers.
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -1,7 +1,7 @@
 //! Where this process stands among those that feed each other.
 
 use super::{
-    message::{Question, Reply, Want},
+    message::{RelayRequest, Reply, Want},
     table::Table, //
 };
 use crate::{
@@ -31,7 +31,7 @@
 
 /// What a process has to say of itself to be fed, and to feed.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct Identity {
     /// Where others of its group ask it.
     pub address: SocketAddr,
     /// The instances that follow the same tables in its data centre.
@@ -45,11 +45,11 @@
     pub(super) clock: Clock,
     feeders: Mutex<Feeders>,
     role: watch::Sender<Role>,
-    pub(super) seat: Seat,
+    pub(super) identity: Identity,
     /// Whether it keeps what it learns for others.
-    serving: AtomicBool,
+    retaining_rows: AtomicBool,
     /// Whether it has tried to be fed since its start.
-    pub(super) settled: watch::Sender<bool>,
+    pub(super) role_decided: watch::Sender<bool>,
     pub(super) store: Store,
     tables: Mutex<BTreeMap<&'static str, Arc<Table>>>,
 }
@@ -58,7 +58,7 @@
 #[derive(Clone)]
 pub(super) enum Role {
     /// The store, as nobody feeds it.
-    Alone,
+    Standalone,
     /// Another instance.
     Child(Parent),
     /// The store, for others.
@@ -67,7 +67,7 @@
 
 /// Why a feeder was left.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Left {
+pub(super) enum LeaveReason {
     /// It feeds as many others as it can.
     Full,
     /// It learns nothing itself.
@@ -78,8 +78,8 @@
     Stale,
 }
 
-impl Left {
-    fn word(self) -> &'static str {
+impl LeaveReason {
+    fn label(self) -> &'static str {
         match self {
             Self::Full => "full",
             Self::Lost => "lost",
@@ -99,29 +99,29 @@
 /// How long after its start a process waits to be fed before it asks the store. When a
 /// whole fleet starts at once and each lists everything, the store turns most calls away,
 /// those of the roots among them, for some seconds; a root needs some tenths of one.
-const START_WAIT: Millis = Millis(2_500);
+const ROLE_DECISION_TIMEOUT: Millis = Millis(2_500);
 
 /// The path of all questions.
 pub(super) const PATH: &str = "/relay";
 
 impl Relay {
     /// Nobody feeds this process yet; see [`Relay::keep`].
-    pub fn open(seat: Seat, store: Store, clock: Clock) -> Arc<Self> {
+    pub fn open(identity: Identity, store: Store, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             children: Mutex::default(),
             clock,
             feeders: Mutex::default(),
-            role: watch::Sender::new(Role::Alone),
-            seat,
-            serving: AtomicBool::new(false),
-            settled: watch::Sender::new(false),
+            role: watch::Sender::new(Role::Standalone),
+            identity,
+            retaining_rows: AtomicBool::new(false),
+            role_decided: watch::Sender::new(false),
             store,
             tables: Mutex::default(),
         })
     }
 
     /// Whether another instance tells this one what changes.
-    pub fn is_fed(&self) -> bool {
+    pub fn has_parent(&self) -> bool {
         matches!(*self.role.borrow(), Role::Child(_))
     }
 
@@ -131,10 +131,10 @@
     }
 
     /// Waits until the process knows whom it asks, for a while after its start.
-    pub(super) async fn wait_settled(&self) {
-        let mut settled = self.settled.subscribe();
-        let told = settled.wait_for(|settled| *settled);
-        let _ = tokio::time::timeout(START_WAIT.as_duration(), told).await;
+    pub(super) async fn wait_role_decided(&self) {
+        let mut role_decided = self.role_decided.subscribe();
+        let decided = role_decided.wait_for(|role_decided| *role_decided);
+        let _ = tokio::time::timeout(ROLE_DECISION_TIMEOUT.as_duration(), decided).await;
     }
 
     pub(super) fn role(&self) -> Role {
@@ -145,7 +145,7 @@
     pub(super) fn parent(&self) -> Option<Parent> {
         match self.role() {
             Role::Child(parent) => Some(parent),
-            Role::Alone | Role::Root => None,
+            Role::Standalone | Role::Root => None,
         }
     }
 
@@ -154,18 +154,19 @@
     }
 
     /// Stops asking `parent`; false when it had been left before.
-    pub(super) fn leave(&self, parent: &Parent, reason: Left) -> bool {
+    pub(super) fn leave_parent(&self, parent: &Parent, reason: LeaveReason) -> bool {
         let left = self.role.send_if_modified(|role| {
             let meant = matches!(role, Role::Child(now) if now.address == parent.address);
             if meant {
-                *role = Role::Alone;
+                *role = Role::Standalone;
             }
             meant
         });
         if left {
-            metrics::counter!("redwing_feeders_left_total", "reason" => reason.word()).increment(1);
+            metrics::counter!("redwing_feeders_left_total", "reason" => reason.label())
+                .increment(1);
             // One that says that it learns nothing says as well when it does again.
-            if reason != Left::Lost {
+            if reason != LeaveReason::Lost {
                 self.feeders().leave(parent.address, self.clock.now());
             }
         }
@@ -173,45 +174,45 @@
     }
 
     /// The store does not answer this process: another may tell it what changes.
-    pub(super) fn lose_store(&self) {
+    pub(super) fn step_down(&self) {
         self.role.send_if_modified(|role| {
             let root = matches!(role, Role::Root);
             if root {
-                *role = Role::Alone;
+                *role = Role::Standalone;
             }
             root
         });
     }
 
     /// Waits until `parent` feeds this process no more.
-    pub(super) async fn left(&self, parent: &Parent) {
-        self.role_is(|role| !matches!(role, Role::Child(now) if now.address == parent.address))
+    pub(super) async fn parent_left(&self, parent: &Parent) {
+        self.wait_role(|role| !matches!(role, Role::Child(now) if now.address == parent.address))
             .await;
     }
 
     /// Waits until another instance feeds this one.
-    pub(super) async fn fed(&self) {
-        self.role_is(|role| matches!(role, Role::Child(_))).await;
+    pub(super) async fn parent_found(&self) {
+        self.wait_role(|role| matches!(role, Role::Child(_))).await;
     }
 
     /// Waits until this process is no root.
-    pub(super) async fn deposed(&self) {
-        self.role_is(|role| !matches!(role, Role::Root)).await;
+    pub(super) async fn demoted(&self) {
+        self.wait_role(|role| !matches!(role, Role::Root)).await;
     }
 
-    async fn role_is(&self, holds: impl Fn(&Role) -> bool) {
+    async fn wait_role(&self, holds: impl Fn(&Role) -> bool) {
         let mut role = self.role.subscribe();
         // Its sender lives as long as this.
         let _ = role.wait_for(|role| holds(role)).await;
     }
 
     /// Whether this process keeps what it learns for others.
-    pub(super) fn is_serving(&self) -> bool {
-        self.serving.load(Ordering::Relaxed)
+    pub(super) fn retains_rows(&self) -> bool {
+        self.retaining_rows.load(Ordering::Relaxed)
     }
 
-    pub(super) fn serve_others(&self) {
-        if !self.serving.swap(true, Ordering::Relaxed) {
+    pub(super) fn start_retaining_rows(&self) {
+        if !self.retaining_rows.swap(true, Ordering::Relaxed) {
             tracing::info!("keeps what it learns for other instances");
         }
     }
@@ -239,13 +240,13 @@
         hold: Millis,
         within: Millis,
     ) -> Option<Reply> {
-        let question = Question {
-            at: self.seat.address,
-            from: self.seat.instance.clone(),
+        let message = RelayRequest {
+            at: self.identity.address,
+            from: self.identity.instance.clone(),
             hold,
             want,
         };
-        let body = postcard::to_stdvec(&question).ok()?;
+        let body = postcard::to_stdvec(&message).ok()?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(PATH)
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -12,7 +12,7 @@
 
 /// What an instance asks another one.
 #[derive(Debug, Deserialize, Serialize)]
-pub(super) struct Question {
+pub(super) struct RelayRequest {
     /// Where the one that asks can be asked itself.
     pub(super) at: SocketAddr,
     /// The instance that asks.
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -5,11 +5,11 @@
 mod handle;
 mod membership;
 mod message;
-mod places;
+mod root_slots;
 mod serve;
 mod table;
 
 pub use self::{
-    follower::{BACKOFF_MOST, Followed, Following, HOLD, follow},
-    handle::{Relay, Seat}, //
+    follower::{DEFAULT_HOLD, FollowEvent, FollowOptions, MAX_BACKOFF, follow},
+    handle::{Identity, Relay}, //
 };
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -2,7 +2,7 @@
 
 use super::{
     handle::{PATH, Relay},
-    message::{Question, Reply, Want}, //
+    message::{RelayRequest, Reply, Want}, //
 };
 use crate::{
     base::Millis,
@@ -20,12 +20,12 @@
 use std::sync::Arc;
 
 /// The bytes of a question.
-const QUESTION_MOST: usize = 4 * 1024;
+const MAX_REQUEST_BYTES: usize = 4 * 1024;
 
 /// The longest time that a question is held.
-const HOLD_MOST: Millis = Millis(2_000);
+const MAX_HOLD: Millis = Millis(2_000);
 
-const BYTES: &str = "application/octet-stream";
+const OCTET_STREAM: &str = "application/octet-stream";
 
 impl Relay {
     /// Answers other instances until the program drains.
@@ -41,18 +41,18 @@
         if request.uri().path() != PATH {
             return text(StatusCode::NOT_FOUND, "text/plain", "no such page\n");
         }
-        let body = Limited::new(request.into_body(), QUESTION_MOST);
-        let question = match body.collect().await {
-            Ok(body) => postcard::from_bytes::<Question>(&body.to_bytes()).ok(),
+        let body = Limited::new(request.into_body(), MAX_REQUEST_BYTES);
+        let relay_request = match body.collect().await {
+            Ok(body) => postcard::from_bytes::<RelayRequest>(&body.to_bytes()).ok(),
             Err(_) => None,
         };
-        let Some(question) = question else {
+        let Some(relay_request) = relay_request else {
             tracing::warn!("a question of another instance is not understood");
             return text(StatusCode::BAD_REQUEST, "text/plain", "no question\n");
         };
-        let reply = self.reply(question).await;
+        let reply = self.reply(relay_request).await;
         match postcard::to_stdvec(&reply) {
-            Ok(body) => text(StatusCode::OK, BYTES, body),
+            Ok(body) => text(StatusCode::OK, OCTET_STREAM, body),
             Err(error) => {
                 tracing::error!(%error, "a reply can't be encoded");
                 text(
@@ -64,22 +64,22 @@
         }
     }
 
-    async fn reply(&self, question: Question) -> Reply {
-        let Question {
+    async fn reply(&self, request: RelayRequest) -> Reply {
+        let RelayRequest {
             at,
             from,
             hold,
             want,
-        } = question;
+        } = request;
         let now = self.clock.now();
         let admitted = self.children().admit(&from, at, now);
         if !admitted {
             return Reply::Full(self.children().addresses());
         }
-        let hold = hold.min(HOLD_MOST);
+        let hold = hold.min(MAX_HOLD);
         match want {
             Want::Changes { after, table } => self.changes(&table, after, hold).await,
-            Want::Join => self.take_in(&from, hold).await,
+            Want::Join => self.admit_child(&from, hold).await,
         }
     }
 
@@ -87,8 +87,8 @@
         let Some(table) = self.known_table(table) else {
             return Reply::Forgotten;
         };
-        table.wait_told(after, hold).await;
-        if !table.feeds() {
+        table.wait_update(after, hold).await;
+        if !table.can_serve() {
             return Reply::Lost;
         }
         metrics::counter!("redwing_relay_pages_total").increment(1);
@@ -96,14 +96,14 @@
         page.map_or(Reply::Forgotten, Reply::Page)
     }
 
-    async fn take_in(&self, from: &str, hold: Millis) -> Reply {
-        self.serve_others();
+    async fn admit_child(&self, from: &str, hold: Millis) -> Reply {
+        self.start_retaining_rows();
         let tables = self.all_tables();
         let until = self.clock.now() + hold;
         for table in &tables {
-            table.wait_feeds(until.since(self.clock.now())).await;
+            table.wait_servable(until.since(self.clock.now())).await;
         }
-        if tables.is_empty() || !tables.iter().all(|table| table.feeds()) {
+        if tables.is_empty() || !tables.iter().all(|table| table.can_serve()) {
             return Reply::Lost;
         }
         let children = self.children().count();
--- a/src/relay/table.rs
+++ b/src/relay/table.rs
@@ -25,17 +25,17 @@
     /// When the store told what is known.
     confirmed: Millis,
     /// Whether changes are learnt at present.
-    linked: bool,
+    connected: bool,
     /// The revision up to which all changes are known.
     revision: u64,
     /// Whether all rows are kept, for others.
-    whole: bool,
+    complete: bool,
 }
 
 impl State {
     /// Whether the rows are kept for others, and learnt at present.
-    fn feeds(&self) -> bool {
-        self.whole && self.linked
+    fn can_serve(&self) -> bool {
+        self.complete && self.connected
     }
 }
 
@@ -60,47 +60,47 @@
         let (changes, newest) = {
             let mut view = self.view();
             let changes = take(&mut view);
-            (changes, view.newest_kept())
+            (changes, view.newest_retained())
         };
         self.state.send_modify(|state| {
             state.changed = newest;
             state.confirmed = confirmed;
-            state.linked = true;
+            state.connected = true;
             state.revision = state.revision.max(revision);
         });
         changes
     }
 
     /// All rows were told, up to `revision`.
-    pub(super) fn set_whole(&self, revision: u64) {
-        let was_whole = self.state.borrow().whole;
+    pub(super) fn set_complete(&self, revision: u64) {
+        let was_complete = self.state.borrow().complete;
         let mut view = self.view();
-        if was_whole || !view.keeps() {
+        if was_complete || !view.retains_rows() {
             return;
         }
-        view.set_whole(revision);
+        view.set_complete(revision);
         drop(view);
-        self.state.send_modify(|state| state.whole = true);
+        self.state.send_modify(|state| state.complete = true);
     }
 
     /// Keeps the rows from now on, for others; true when they have to be listed for it.
-    pub(super) fn keep(&self) -> bool {
+    pub(super) fn start_retaining(&self) -> bool {
         let mut view = self.view();
-        let begins = !view.keeps();
-        if begins {
-            view.keep();
+        let starts = !view.retains_rows();
+        if starts {
+            view.retain_rows();
         }
-        begins
+        starts
     }
 
     /// Whether the rows are kept for others, and learnt at present.
-    pub(super) fn feeds(&self) -> bool {
-        self.state.borrow().feeds()
+    pub(super) fn can_serve(&self) -> bool {
+        self.state.borrow().can_serve()
     }
 
     /// Nothing is learnt at present.
-    pub(super) fn lose(&self) {
-        self.state.send_modify(|state| state.linked = false);
+    pub(super) fn set_disconnected(&self) {
+        self.state.send_modify(|state| state.connected = false);
     }
 
     /// Forgets removed rows that nobody can miss any more.
@@ -109,10 +109,10 @@
     }
 
     /// Waits at most `hold` until others can be fed.
-    pub(super) async fn wait_feeds(&self, hold: Millis) {
+    pub(super) async fn wait_servable(&self, hold: Millis) {
         let mut state = self.state.subscribe();
-        let feeds = state.wait_for(State::feeds);
-        let _ = tokio::time::timeout(hold.as_duration(), feeds).await;
+        let can_serve = state.wait_for(State::can_serve);
+        let _ = tokio::time::timeout(hold.as_duration(), can_serve).await;
     }
 
     /// Waits at most `hold` for a change after `after`, for the store's word that there
@@ -120,22 +120,22 @@
     ///
     /// With changes alone each instance between the store and another would add the time
     /// that it waits to the age of what is told, until it is too old to go by.
-    pub(super) async fn wait_told(&self, after: u64, hold: Millis) {
+    pub(super) async fn wait_update(&self, after: u64, hold: Millis) {
         let mut state = self.state.subscribe();
         let confirmed = state.borrow().confirmed;
-        let told = state.wait_for(|state| {
-            state.changed > after || state.confirmed > confirmed || !state.linked
+        let updated = state.wait_for(|state| {
+            state.changed > after || state.confirmed > confirmed || !state.connected
         });
-        let _ = tokio::time::timeout(hold.as_duration(), told).await;
+        let _ = tokio::time::timeout(hold.as_duration(), updated).await;
     }
 
     /// What changed after `after`; `None` when that is not kept.
     pub(super) fn page(&self, after: u64, now: Millis) -> Option<Page> {
         let state = *self.state.borrow();
-        if !state.whole {
+        if !state.complete {
             return None;
         }
-        let rows = self.view().since(after)?;
+        let rows = self.view().rows_since(after)?;
         Some(Page {
             age: now.since(state.confirmed),
             // What changed since may be among the rows, but not all of it.
--- a/src/runner/event.rs
+++ b/src/runner/event.rs
@@ -4,7 +4,7 @@
 use crate::{
     batch::{Claim, Item, Log, Partial},
     platform::{EngineReport, OrderAnswer},
-    relay::Followed,
+    relay::FollowEvent,
     store::{Outcome, StoreError}, //
 };
 use std::collections::HashMap;
@@ -55,7 +55,7 @@
     },
     /// The engine's report; `None` when it did not answer.
     Report(Option<EngineReport>),
-    Store(Followed),
+    Store(FollowEvent),
 }
 
 /// The events that may wait; who reports more of them waits.
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -51,7 +51,7 @@
         let mut due = None;
         for weights in &report.weights {
             let is_home = standing.home.as_ref() == Some(&weights.model);
-            let (named, seen) = self.site.named(&weights.model);
+            let (named, seen) = self.site.named_version(&weights.model);
             let needs = self.needs(&weights.model, standing, now);
             let situation = Situation {
                 away_for: self.away_since.map(|since| now.since(since)),
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -11,9 +11,9 @@
     duty::{self, DutyError, Handle, HttpServer, Limits, Route, admin},
     net::Peer,
     platform::Store,
-    relay::{Relay, Seat},
+    relay::{Identity, Relay},
     settings::RunnerSettings,
-    view::{Crashes, Site, keep, keep_crashes}, //
+    view::{Crashes, Site, sync_crashes, sync_site}, //
 };
 use std::{
     net::SocketAddr,
@@ -49,12 +49,12 @@
         let clock = Clock::open();
         let site = Arc::new(Site::new(clock, None));
         let store = Store::open(common.store, clock);
-        let seat = Seat {
+        let identity = Identity {
             address: peers.address,
             group: format!("runners-{}", common.data_centre),
             instance: common.instance.clone(),
         };
-        let relay = Relay::open(seat, store.clone(), clock);
+        let relay = Relay::open(identity, store.clone(), clock);
         let (server, life) = watch::channel(None);
         let (crashes, writes) = Crashes::open(store.clone());
         let scorers = Scorers {
@@ -92,10 +92,10 @@
         let supervisor = handle.supervisor().clone();
         let health = handle.health();
         let work = move |context: duty::Context| async move {
-            tokio::spawn(keep(site, relay.clone()));
-            tokio::spawn(keep_crashes(crashes, writes, relay.clone()));
+            tokio::spawn(sync_site(site, relay.clone()));
+            tokio::spawn(sync_crashes(crashes, writes, relay.clone()));
             tokio::spawn(relay.clone().serve(context.clone(), peers));
-            tokio::spawn(relay.keep(context.clone()));
+            tokio::spawn(relay.maintain_role(context.clone()));
             Work::run(seed, context).await;
         };
         handle.add(duty::spawn("work", &supervisor, work)?);
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -97,7 +97,7 @@
             if failures >= most_failures {
                 return Score::GivenUp;
             }
-            let wait = match self.caller.crashes.judge(fingerprint) {
+            let wait = match self.caller.crashes.quarantine_state(fingerprint) {
                 Verdict::Clear | Verdict::Watched => AGAIN,
                 Verdict::Suspect | Verdict::Trial | Verdict::Barred => AGAIN_SUSPECT,
             };
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -10,7 +10,7 @@
     net::CallError,
     policy::quarantine::Verdict,
     routing::Life,
-    view::{Attempt, Claimed}, //
+    view::{Attempt, ClaimResult}, //
 };
 use std::sync::{
     MutexGuard,
@@ -163,7 +163,7 @@
             self.crashes.refresh(request).await;
         }
         loop {
-            let place = match self.crashes.judge(request) {
+            let place = match self.crashes.quarantine_state(request) {
                 Verdict::Clear | Verdict::Watched => {
                     let shared = tokio::time::timeout_at(end, self.places.read()).await;
                     Some(Place::Shared {
@@ -174,7 +174,7 @@
                 Verdict::Barred => None,
             };
             // Whoever ran before may have shown what this one is.
-            let verdict = self.crashes.judge(request);
+            let verdict = self.crashes.quarantine_state(request);
             match place {
                 Some(place) if place.suits(verdict) => match self.claim(request, verdict).await {
                     Turn::Mine(attempt) => return Some(Admitted { attempt, place }),
@@ -203,23 +203,23 @@
                 self.crashes.claim_attempt(request, ATTEMPT_KEPT).await
             }
             Verdict::Trial => match self.crashes.claim_trial(request).await {
-                Some(attempt) => Claimed::Here(attempt),
-                None => Claimed::Elsewhere,
+                Some(attempt) => ClaimResult::Here(attempt),
+                None => ClaimResult::Elsewhere,
             },
             Verdict::Barred => return Turn::Others,
         };
         match claimed {
             // The claim has read what others saw meanwhile.
-            Claimed::Here(attempt) if self.crashes.judge(request) == verdict => {
+            ClaimResult::Here(attempt) if self.crashes.quarantine_state(request) == verdict => {
                 Turn::Mine(Some(attempt))
             }
-            Claimed::Here(attempt) => {
+            ClaimResult::Here(attempt) => {
                 self.crashes.release_attempt(attempt);
                 Turn::Again
             }
             // Without the store each runner goes by what it knows.
-            Claimed::Unknown => Turn::Mine(None),
-            Claimed::Elsewhere => Turn::Others,
+            ClaimResult::Unknown => Turn::Mine(None),
+            ClaimResult::Elsewhere => Turn::Others,
         }
     }
 
@@ -255,7 +255,7 @@
         };
         if has_ended {
             self.lost.send_replace(Some(server.clone()));
-            self.crashes.note(server, &[task.fingerprint]);
+            self.crashes.record_crash(server, &[task.fingerprint]);
         }
         has_ended
     }
@@ -284,7 +284,7 @@
             let lives = run.life == *present && seen > run.at + REPORT_LATE;
             let ended = is_later(present, &run.life);
             if ended && self.is_leaving(&run.life) != Some(true) {
-                self.crashes.note(&run.life, &[run.request]);
+                self.crashes.record_crash(&run.life, &[run.request]);
             }
             if lives || ended {
                 self.let_go(run.attempt);
@@ -356,9 +356,9 @@
             _ => self.let_go(attempt),
         }
         if matches!(run, Run::Whole | Run::Failed | Run::Impossible) {
-            self.crashes.survived(request);
+            self.crashes.record_answer(request);
         }
-        let verdict = self.crashes.judge(request);
+        let verdict = self.crashes.quarantine_state(request);
         if !ended || matches!(verdict, Verdict::Clear | Verdict::Watched) {
             return Settled::Kept;
         }
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -13,7 +13,7 @@
     duty::{Context, Phase},
     platform::{EngineReport, Store},
     policy::pace::Kind,
-    relay::{BACKOFF_MOST, Followed, Following, HOLD, Relay, follow},
+    relay::{DEFAULT_HOLD, FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     routing::Life,
     store::Row,
     view::Site, //
@@ -205,7 +205,7 @@
                     self.report = Some((report, now));
                 }
             }
-            Event::Store(Followed::Changes { changes, .. }) => {
+            Event::Store(FollowEvent::Changes { changes, .. }) => {
                 // Who hears of changes reaches the store, though its follower
                 // tells so only after them: batches that came with the store's
                 // return were run unclaimed, and half of their items twice.
@@ -214,8 +214,8 @@
                     self.change(change, now);
                 }
             }
-            Event::Store(Followed::Lost) => self.away_since = Some(now),
-            Event::Store(Followed::Regained) => self.away_since = None,
+            Event::Store(FollowEvent::Disconnected) => self.away_since = Some(now),
+            Event::Store(FollowEvent::Reconnected) => self.away_since = None,
         }
     }
 
@@ -245,11 +245,11 @@
 
 async fn follow_work(relay: Arc<Relay>, events: mpsc::Sender<Event>) {
     let (sender, mut feed) = mpsc::channel(RING);
-    let following = Following {
-        backoff: BACKOFF_MOST,
-        hold: HOLD,
-        pace: PACE,
-        parts: true,
+    let following = FollowOptions {
+        backoff: MAX_BACKOFF,
+        hold: DEFAULT_HOLD,
+        batch_delay: PACE,
+        has_parts: true,
         table: WORK,
     };
     let following = follow(relay, following, sender);
--- a/src/store/store_error.rs
+++ b/src/store/store_error.rs
@@ -9,7 +9,7 @@
 pub enum StoreError {
     /// The store is away: nothing was sent.
     #[snafu(display("the store is away"))]
-    Away,
+    Unreachable,
     /// The changes asked for are no longer kept: list the table afresh.
     #[snafu(display("the store no longer keeps the changes that were asked for"))]
     HistoryLost,
@@ -18,7 +18,7 @@
     NotDone { status: u16 },
     /// The store's answer is not understood.
     #[snafu(display("the store's answer is not understood: {message}"))]
-    Answer { message: String },
+    InvalidMessage { message: String },
     /// The store refused the call for good.
     #[snafu(display("the store refused the call: status {status}"))]
     Refused { status: u16 },
@@ -31,9 +31,11 @@
     /// Whether a write that failed so has certainly not been done and never will be.
     pub fn is_not_done(&self) -> bool {
         match self {
-            Self::Away | Self::HistoryLost | Self::NotDone { .. } | Self::Refused { .. } => true,
+            Self::Unreachable | Self::HistoryLost | Self::NotDone { .. } | Self::Refused { .. } => {
+                true
+            }
             Self::Unknown { source } => !source.verdict().may_have_run(),
-            Self::Answer { .. } => false,
+            Self::InvalidMessage { .. } => false,
         }
     }
 }
--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -1,9 +1,9 @@
 //! True time, as the gateways agree on it.
 
 use super::rows::{
-    Author,
     CLOCKS,
     ClockRow,
+    GatewayRun,
     USAGE, //
 };
 use crate::{
@@ -21,16 +21,16 @@
 /// Tells true time: the store's steady clock, and the offset from it that the middle
 /// one of all gateways' clocks has. One whose clock was set wrong, or that was
 /// suspended, would count requests in other windows than they belong to.
-pub(super) struct Clocks {
+pub(super) struct SyncedClock {
     clock: Clock,
     offset: AtomicI64,
     store: Store,
 }
 
 /// How long a gateway's row counts: three times the time between two of them.
-const HEARD_WITHIN: Millis = Millis(15_000);
+const CLOCK_ROW_LIFETIME: Millis = Millis(15_000);
 
-impl Clocks {
+impl SyncedClock {
     pub(super) fn new(clock: Clock, store: Store) -> Self {
         Self {
             clock,
@@ -47,19 +47,22 @@
         }
     }
 
-    /// The gateways that were heard of lately, beside that of `author`.
-    pub(super) async fn heard(&self, author: &Author) -> Result<Vec<String>, StoreError> {
-        let others = self.others(author).await?;
-        Ok(others.into_iter().map(|(instance, _)| instance).collect())
+    /// The gateways that were heard of lately, beside that of `run`.
+    pub(super) async fn live_gateways(&self, run: &GatewayRun) -> Result<Vec<String>, StoreError> {
+        let other_offsets = self.other_offsets(run).await?;
+        Ok(other_offsets
+            .into_iter()
+            .map(|(instance, _)| instance)
+            .collect())
     }
 
     /// What the clocks of the others say that were heard of lately.
-    async fn others(&self, author: &Author) -> Result<Vec<(String, i64)>, StoreError> {
+    async fn other_offsets(&self, run: &GatewayRun) -> Result<Vec<(String, i64)>, StoreError> {
         let listing = self.store.whole_part(USAGE, CLOCKS).await?;
         let now = self.store.now();
         let rows = listing.rows.into_iter().filter_map(|row| {
             let clock = decode::<ClockRow>("clock", &row.value?)?;
-            let counts = now.since(clock.at) < HEARD_WITHIN && row.key != author.instance;
+            let counts = now.since(clock.at) < CLOCK_ROW_LIFETIME && row.key != run.instance;
             counts.then_some((row.key, clock.offset))
         });
         Ok(rows.collect())
@@ -67,15 +70,18 @@
 
     /// Tells the others what this gateway's clock says, and takes the middle of what
     /// all say.
-    pub(super) async fn settle(&self, author: &Author) -> Result<(), StoreError> {
-        let others = self.others(author).await?;
+    pub(super) async fn synchronise(&self, run: &GatewayRun) -> Result<(), StoreError> {
+        let other_offsets = self.other_offsets(run).await?;
         let now = self.store.now();
         let own = self.clock.wall().0.cast_signed() - now.0.cast_signed();
-        let mut offsets: Vec<i64> = others.into_iter().map(|(_, offset)| offset).collect();
+        let mut offsets: Vec<i64> = other_offsets
+            .into_iter()
+            .map(|(_, offset)| offset)
+            .collect();
         offsets.push(own);
         if let Some(offset) = middle(&mut offsets) {
             let before = self.offset.swap(offset, Ordering::Relaxed);
-            if before.abs_diff(offset) > TOLD_FROM {
+            if before.abs_diff(offset) > LOGGED_SHIFT_MS {
                 let gateways = offsets.len();
                 tracing::info!(
                     own,
@@ -90,14 +96,14 @@
             at: now,
             offset: own,
         };
-        let write = Transaction {
-            set: vec![(author.clock_key(), encode(&row))],
+        let transaction = Transaction {
+            set: vec![(run.clock_key(), encode(&row))],
             ..Transaction::default()
         };
-        self.store.transact(&write).await?;
+        self.store.transact(&transaction).await?;
         Ok(())
     }
 }
 
 /// Changes of the offset from which on they are told, in ms.
-const TOLD_FROM: u64 = 20;
+const LOGGED_SHIFT_MS: u64 = 20;
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -1,8 +1,8 @@
 //! Counts what this gateway's requests begin, and keeps it in the store.
 
 use super::{
-    clocks::Clocks,
-    rows::Author, //
+    clocks::SyncedClock,
+    rows::GatewayRun, //
 };
 use crate::{
     base::{Clock, Millis},
@@ -21,10 +21,10 @@
 
 /// This gateway's count of requests, by workspace and window.
 pub struct Counter {
-    pub(super) author: Author,
+    pub(super) gateway_run: GatewayRun,
     clock: Clock,
-    pub(super) clocks: Clocks,
-    counted: Notify,
+    pub(super) synced_clock: SyncedClock,
+    request_counted: Notify,
     store: Store,
     tally: Mutex<Tally>,
     pub(super) windows: Windows,
@@ -32,34 +32,34 @@
 
 /// The wait after a first request, in which more gather. A gateway that is killed
 /// takes what it has not written with it.
-const GATHER: Millis = Millis(50);
+const BATCH_DELAY: Millis = Millis(50);
 
 /// The least time between two writes of a busy gateway.
-const PACE: Millis = Millis(1_000);
+const MIN_WRITE_INTERVAL: Millis = Millis(1_000);
 
 /// How often windows are closed.
-const TICK: Millis = Millis(250);
+const CLOSE_INTERVAL: Millis = Millis(250);
 
 /// How often the clocks are compared.
-const CLOCKS_EVERY: Millis = Millis(5_000);
+const CLOCK_SYNC_INTERVAL: Millis = Millis(5_000);
 
 /// The wait after a write that the store did not take.
-const AGAIN: Millis = Millis(200);
+const RETRY_DELAY: Millis = Millis(200);
 
 impl Counter {
     /// Nothing is counted yet; `instance` names the gateway.
     pub fn open(instance: &str, clock: Clock, store: Store, windows: Windows) -> Arc<Self> {
-        let author = Author {
+        let gateway_run = GatewayRun {
             instance: instance.to_owned(),
             started: clock.now(),
         };
-        let clocks = Clocks::new(clock, store.clone());
+        let synced_clock = SyncedClock::new(clock, store.clone());
         let tally = Tally::new(windows, clock.wall());
         Arc::new(Self {
-            author,
+            gateway_run,
             clock,
-            clocks,
-            counted: Notify::new(),
+            synced_clock,
+            request_counted: Notify::new(),
             store,
             tally: Mutex::new(tally),
             windows,
@@ -67,35 +67,39 @@
     }
 
     /// A request of `workspace` was sent at `sent` to a server that began to run it.
-    pub fn note(&self, workspace: &str, sent: Millis) {
+    pub fn count_request(&self, workspace: &str, sent: Millis) {
         let ago = self.clock.now().since(sent);
-        let began = self.clocks.now() - ago;
+        let began = self.synced_clock.now() - ago;
         self.tally().note(workspace, began);
-        self.counted.notify_one();
+        self.request_counted.notify_one();
     }
 
     /// Keeps the count in the store for good.
-    pub async fn keep(self: Arc<Self>) {
-        tokio::spawn(self.clone().keep_clocks());
+    pub async fn run(self: Arc<Self>) {
+        tokio::spawn(self.clone().sync_clock());
         loop {
-            let next = tokio::time::timeout(TICK.as_duration(), self.counted.notified()).await;
+            let next = tokio::time::timeout(
+                CLOSE_INTERVAL.as_duration(),
+                self.request_counted.notified(),
+            )
+            .await;
             if next.is_ok() {
-                tokio::time::sleep(GATHER.as_duration()).await;
+                tokio::time::sleep(BATCH_DELAY.as_duration()).await;
             }
-            self.tally().close(self.clocks.now());
-            if self.write().await {
-                tokio::time::sleep((PACE - GATHER).as_duration()).await;
+            self.tally().close(self.synced_clock.now());
+            if self.store_counts().await {
+                tokio::time::sleep((MIN_WRITE_INTERVAL - BATCH_DELAY).as_duration()).await;
             }
         }
     }
 
-    async fn keep_clocks(self: Arc<Self>) {
+    async fn sync_clock(self: Arc<Self>) {
         loop {
-            let wait = match self.clocks.settle(&self.author).await {
-                Ok(()) => CLOCKS_EVERY,
+            let wait = match self.synced_clock.synchronise(&self.gateway_run).await {
+                Ok(()) => CLOCK_SYNC_INTERVAL,
                 Err(error) => {
                     tracing::debug!(%error, "clocks are not compared");
-                    AGAIN
+                    RETRY_DELAY
                 }
             };
             tokio::time::sleep(wait.as_duration()).await;
@@ -103,7 +107,7 @@
     }
 
     /// Writes what the store does not have yet; whether there was anything.
-    async fn write(&self) -> bool {
+    async fn store_counts(&self) -> bool {
         let mut any = false;
         loop {
             let next = self
@@ -113,16 +117,16 @@
             let Some((window, part)) = next else {
                 return any;
             };
-            let row = (self.author.count_key(window), encode(&part));
-            let write = Transaction {
+            let row = (self.gateway_run.count_key(window), encode(&part));
+            let transaction = Transaction {
                 set: vec![row],
                 ..Transaction::default()
             };
-            match self.store.transact(&write).await {
+            match self.store.transact(&transaction).await {
                 Ok(_) => self.tally().set_written(window, &part),
                 Err(error) => {
                     tracing::debug!(window, %error, "use is not written yet");
-                    tokio::time::sleep(AGAIN.as_duration()).await;
+                    tokio::time::sleep(RETRY_DELAY.as_duration()).await;
                 }
             }
             any = true;
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -11,5 +11,5 @@
 
 pub use self::{
     counter::Counter,
-    reporter::{Reporting, report}, //
+    reporter::{Reporting, run_reporter}, //
 };
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -3,12 +3,12 @@
 use super::{
     counter::Counter,
     rows::{
-        Author,
+        GatewayRun,
         REPORTS,
         Report,
         USAGE,
-        author_of,
         count_parts,
+        instance_of,
         lease_key,
         report_key,
         window_prefix, //
@@ -41,54 +41,54 @@
 
 /// How often the lease is looked at by who does not hold it, and reports are planned
 /// by who does.
-const LOOK: Millis = Millis(1_000);
-const PLAN: Millis = Millis(250);
+const LEASE_CHECK_INTERVAL: Millis = Millis(1_000);
+const REPORT_INTERVAL: Millis = Millis(250);
 
 /// How long the platform has to take a report. The send ends before the lease does.
-const SEND_WITHIN: Millis = Millis(800);
+const SEND_TIMEOUT: Millis = Millis(800);
 
 /// How much of the lease is left unused: the time to notice that it is over.
-const LEASE_SLACK: Millis = Millis(400);
+const LEASE_MARGIN: Millis = Millis(400);
 
 /// Windows that are kept after they were reported, and removed then.
-const KEPT: u64 = 24;
+const MAX_KEPT_WINDOWS: u64 = 24;
 
 /// The most rows of one removal; the store takes 100.
-const REMOVED_MOST: usize = 90;
+const MAX_REMOVED_ROWS: usize = 90;
 
 /// Reports the use that all gateways count, for good, while this one holds the lease.
-pub async fn report(counter: Arc<Counter>, reporting: Reporting, store: Store, clock: Clock) {
-    let author = counter.author.clone();
-    let me = Claimant {
+pub async fn run_reporter(counter: Arc<Counter>, reporting: Reporting, store: Store, clock: Clock) {
+    let gateway_run = counter.gateway_run.clone();
+    let claimant = Claimant {
         address: String::new(),
-        holder: author.instance.clone(),
-        incarnation: Incarnation(author.started.0),
+        holder: gateway_run.instance.clone(),
+        incarnation: Incarnation(gateway_run.started.0),
     };
     // Gateways that start together don't ask together.
-    let spread = stable_hash(&[author.instance.as_bytes()]) % LOOK.0;
+    let spread = stable_hash(&[gateway_run.instance.as_bytes()]) % LEASE_CHECK_INTERVAL.0;
     tokio::time::sleep(Millis(spread).as_duration()).await;
     let mut reporter = Reporter {
-        author,
+        gateway_run,
         clock,
         counter,
         held: None,
-        me,
+        claimant,
         peer: Peer::open(reporting.address, clock),
         reporting,
         store,
         watch: Watch::default(),
     };
-    let mut windows: Option<Reports> = None;
+    let mut windows: Option<WindowReports> = None;
     loop {
-        reporter.look().await;
+        reporter.check_lease().await;
         let wait = match reporter.fence() {
             Some(fence) => {
-                reporter.plan(fence, &mut windows).await;
-                PLAN
+                reporter.report_due(fence, &mut windows).await;
+                REPORT_INTERVAL
             }
             None => {
                 windows = None;
-                LOOK
+                LEASE_CHECK_INTERVAL
             }
         };
         tokio::time::sleep(wait.as_duration()).await;
@@ -96,14 +96,14 @@
 }
 
 /// Windows that were summed up, by whoever held the lease.
-struct Reports(BTreeMap<u64, (u64, Report)>);
+struct WindowReports(BTreeMap<u64, (u64, Report)>);
 
 struct Reporter {
-    author: Author,
+    gateway_run: GatewayRun,
     clock: Clock,
     counter: Arc<Counter>,
     held: Option<Held>,
-    me: Claimant,
+    claimant: Claimant,
     peer: Peer,
     reporting: Reporting,
     store: Store,
@@ -112,9 +112,12 @@
 
 impl Reporter {
     /// Looks at the lease; takes it when it is free, renews it when that is due.
-    async fn look(&mut self) {
+    async fn check_lease(&mut self) {
         let asked = self.clock.boottime();
-        if self.held.is_some_and(|held| asked.since(held.since) < LOOK) {
+        if self
+            .held
+            .is_some_and(|held| asked.since(held.since) < LEASE_CHECK_INTERVAL)
+        {
             return;
         }
         let row = match self.store.row(&lease_key()).await {
@@ -128,22 +131,25 @@
         let value = row.and_then(|row| row.value);
         let lease = value.and_then(|value| decode::<Lease>("lease", &value));
         self.watch.see(self.clock.boottime(), lease.clone());
-        if !lease.is_some_and(|lease| self.me.holds(&lease)) {
-            self.lose();
+        if !lease.is_some_and(|lease| self.claimant.holds(&lease)) {
+            self.drop_lease();
         }
         let asked = self.clock.boottime();
-        let Step::Write(next) = self.watch.decide(asked, &self.me, self.reporting.lease) else {
+        let Step::Write(next) = self
+            .watch
+            .decide(asked, &self.claimant, self.reporting.lease)
+        else {
             return;
         };
-        let write = Transaction {
+        let transaction = Transaction {
             expect: vec![(lease_key(), revision)],
             remove: Vec::new(),
             set: vec![(lease_key(), encode(&next))],
         };
-        match self.store.transact(&write).await {
+        match self.store.transact(&transaction).await {
             Ok(Outcome::Done { .. }) => {
                 if self.held.is_none() {
-                    let (fence, instance) = (next.epoch, &self.author.instance);
+                    let (fence, instance) = (next.epoch, &self.gateway_run.instance);
                     tracing::info!(fence, instance, "holds the lease of reporting");
                 }
                 self.held = Some(Held {
@@ -152,13 +158,13 @@
                 });
                 self.watch.see(self.clock.boottime(), Some(next));
             }
-            Ok(Outcome::Conflict { .. }) => self.lose(),
+            Ok(Outcome::Conflict { .. }) => self.drop_lease(),
             // It may be renewed or not; what was held before lasts as it did.
             Err(error) => tracing::info!(%error, "the lease of reporting is not renewed"),
         }
     }
 
-    fn lose(&mut self) {
+    fn drop_lease(&mut self) {
         if let Some(held) = self.held.take() {
             let fence = held.epoch;
             tracing::info!(fence, "no longer holds the lease of reporting");
@@ -172,61 +178,69 @@
     fn fence(&self) -> Option<Fence> {
         let held = self.held?;
         let now = self.clock.boottime();
-        let allowed = held.allows(now, SEND_WITHIN + LEASE_SLACK, self.reporting.lease);
+        let allowed = held.allows(now, SEND_TIMEOUT + LEASE_MARGIN, self.reporting.lease);
         allowed.then_some(held.epoch)
     }
 
     /// Sums up the windows that are over, and sends what was not taken yet.
-    async fn plan(&mut self, fence: Fence, known: &mut Option<Reports>) {
-        if let Err(error) = self.plan_once(fence, known).await {
+    async fn report_due(&mut self, fence: Fence, known: &mut Option<WindowReports>) {
+        if let Err(error) = self.try_report_due(fence, known).await {
             tracing::info!(%error, "use is not reported yet");
         }
     }
 
-    async fn plan_once(
+    async fn try_report_due(
         &mut self,
         fence: Fence,
-        known: &mut Option<Reports>,
+        known: &mut Option<WindowReports>,
     ) -> Result<(), StoreError> {
         let reports = match known {
             Some(reports) => reports,
-            None => known.insert(self.list().await?),
+            None => known.insert(self.load_reports().await?),
         };
         let windows = self.counter.windows;
-        let now = self.counter.clocks.now();
-        let first = windows.at(self.author.started);
+        let now = self.counter.synced_clock.now();
+        let first = windows.at(self.gateway_run.started);
         let next = reports.0.last_key_value();
         let next = next.map_or(first, |(window, _)| window + 1);
         if windows.end(next) <= now
-            && let Some(report) = self.sum_up(next, now).await?
+            && let Some(report) = self.finalise(next, now).await?
         {
             reports.0.insert(next, report);
         }
         self.send_all(fence, reports).await?;
-        self.forget(reports).await
+        self.prune(reports).await
     }
 
-    async fn list(&self) -> Result<Reports, StoreError> {
+    async fn load_reports(&self) -> Result<WindowReports, StoreError> {
         let listing = self.store.whole_part(USAGE, REPORTS).await?;
         let rows = listing.rows.into_iter().filter_map(|row| {
             let window = row.key.parse().ok()?;
             let report = decode::<Report>("report", &row.value?)?;
             Some((window, (row.revision, report)))
         });
-        Ok(Reports(rows.collect()))
+        Ok(WindowReports(rows.collect()))
     }
 
     /// Fixes what is reported of `window`, if all that counts is in.
-    async fn sum_up(&self, window: u64, now: Millis) -> Result<Option<(u64, Report)>, StoreError> {
+    async fn finalise(
+        &self,
+        window: u64,
+        now: Millis,
+    ) -> Result<Option<(u64, Report)>, StoreError> {
         let end = self.counter.windows.end(window);
         if !may_sum(end, 0, now) {
             return Ok(None);
         }
-        let mut gateways = self.counter.clocks.heard(&self.author).await?;
-        gateways.push(self.author.instance.clone());
-        let counted = self.counted(window).await?;
-        let closed = |(author, part): &(String, Part)| part.closed.then(|| author.clone());
-        let closed: HashSet<String> = counted.iter().filter_map(closed).collect();
+        let mut gateways = self
+            .counter
+            .synced_clock
+            .live_gateways(&self.gateway_run)
+            .await?;
+        gateways.push(self.gateway_run.instance.clone());
+        let counts = self.read_counts(window).await?;
+        let closed = |(instance, part): &(String, Part)| part.closed.then(|| instance.clone());
+        let closed: HashSet<String> = counts.iter().filter_map(closed).collect();
         let missing = gateways
             .iter()
             .filter(|name| !closed.contains(*name))
@@ -235,20 +249,20 @@
             return Ok(None);
         }
         let report = Report {
-            counts: sum(counted.iter().map(|(_, part)| part)),
+            counts: sum(counts.iter().map(|(_, part)| part)),
             sent: false,
         };
         let requests: u64 = report.counts.values().sum();
         let key = report_key(window);
-        let write = Transaction {
+        let transaction = Transaction {
             expect: vec![(key.clone(), 0)],
             remove: Vec::new(),
             set: vec![(key, encode(&report))],
         };
-        let fixed = match self.store.transact(&write).await? {
+        let fixed = match self.store.transact(&transaction).await? {
             Outcome::Done { revision } => (revision, report),
             // The holder before has fixed it, or the answer to its write was lost.
-            Outcome::Conflict { rows } => match first_report(rows) {
+            Outcome::Conflict { rows } => match decode_first(rows) {
                 Some(fixed) => fixed,
                 None => return Ok(None),
             },
@@ -259,27 +273,27 @@
     }
 
     /// What the gateways counted in `window`, by their names.
-    async fn counted(&self, window: u64) -> Result<Vec<(String, Part)>, StoreError> {
+    async fn read_counts(&self, window: u64) -> Result<Vec<(String, Part)>, StoreError> {
         let prefix = window_prefix(window);
         let reading = count_parts().map(|part| {
             let (store, prefix) = (&self.store, &prefix);
             async move { store.rows(USAGE, &part, prefix, ROWS_MOST).await }
         });
-        let mut counted = Vec::new();
+        let mut counts = Vec::new();
         for listing in futures_util::future::join_all(reading).await {
             for row in listing?.rows {
                 let part = row.value.filter(|_| row.key.starts_with(&prefix));
                 let part = part.and_then(|value| decode::<Part>("counts", &value));
-                if let (Some(part), Some(author)) = (part, author_of(&row.key)) {
-                    counted.push((author.to_owned(), part));
+                if let (Some(part), Some(instance)) = (part, instance_of(&row.key)) {
+                    counts.push((instance.to_owned(), part));
                 }
             }
         }
-        Ok(counted)
+        Ok(counts)
     }
 
     /// Sends the windows that the platform has not taken yet, in their order.
-    async fn send_all(&self, fence: Fence, reports: &mut Reports) -> Result<(), StoreError> {
+    async fn send_all(&self, fence: Fence, reports: &mut WindowReports) -> Result<(), StoreError> {
         let unsent = reports.0.iter_mut().filter(|(_, (_, report))| !report.sent);
         for (window, (revision, report)) in unsent {
             if self.fence() != Some(fence) {
@@ -288,10 +302,10 @@
             let request = UsageReport {
                 counts: &report.counts,
                 fence,
-                holder: &self.author.instance,
+                holder: &self.gateway_run.instance,
                 window: *window,
             };
-            let answer = self.peer.call(request.build(), SEND_WITHIN).await;
+            let answer = self.peer.call(request.build(), SEND_TIMEOUT).await;
             let status = match answer {
                 Ok(answer) => answer.status.as_u16(),
                 Err(error) => {
@@ -307,12 +321,12 @@
             }
             report.sent = true;
             let key = report_key(*window);
-            let write = Transaction {
+            let transaction = Transaction {
                 expect: vec![(key.clone(), *revision)],
                 remove: Vec::new(),
                 set: vec![(key, encode(report))],
             };
-            if let Outcome::Done { revision: now } = self.store.transact(&write).await? {
+            if let Outcome::Done { revision: now } = self.store.transact(&transaction).await? {
                 *revision = now;
             }
         }
@@ -320,11 +334,11 @@
     }
 
     /// Removes what was reported long ago.
-    async fn forget(&self, reports: &mut Reports) -> Result<(), StoreError> {
+    async fn prune(&self, reports: &mut WindowReports) -> Result<(), StoreError> {
         let Some((last, _)) = reports.0.last_key_value() else {
             return Ok(());
         };
-        let kept = last.saturating_sub(KEPT);
+        let kept = last.saturating_sub(MAX_KEPT_WINDOWS);
         let old = reports.0.first_key_value();
         let Some((oldest, _)) = old.filter(|(window, (_, report))| **window < kept && report.sent)
         else {
@@ -332,7 +346,7 @@
         };
         let oldest = *oldest;
         for part in count_parts() {
-            let listing = self.store.rows(USAGE, &part, "", REMOVED_MOST).await?;
+            let listing = self.store.rows(USAGE, &part, "", MAX_REMOVED_ROWS).await?;
             let before = window_prefix(oldest + 1);
             let rows = listing.rows.into_iter().filter(|row| row.key < before);
             let remove: Vec<Key> = rows.map(|row| Key::new(USAGE, &part, row.key)).collect();
@@ -354,7 +368,7 @@
     }
 }
 
-fn first_report(rows: Vec<crate::store::Row>) -> Option<(u64, Report)> {
+fn decode_first(rows: Vec<crate::store::Row>) -> Option<(u64, Report)> {
     let row = rows.into_iter().next()?;
     let report = decode::<Report>("report", &row.value?)?;
     Some((row.revision, report))
--- a/src/usage/rows.rs
+++ b/src/usage/rows.rs
@@ -45,13 +45,13 @@
 
 /// One life of a gateway.
 #[derive(Clone, Debug)]
-pub(super) struct Author {
+pub(super) struct GatewayRun {
     pub(super) instance: String,
     /// When it started, in Unix ms.
     pub(super) started: Millis,
 }
 
-impl Author {
+impl GatewayRun {
     /// Its row of counts for `window`.
     pub(super) fn count_key(&self, window: u64) -> Key {
         let number = stable_hash(&[self.instance.as_bytes()]) % COUNT_PARTS;
@@ -67,7 +67,7 @@
 }
 
 /// The gateway that wrote the row of counts called `key`.
-pub(super) fn author_of(key: &str) -> Option<&str> {
+pub(super) fn instance_of(key: &str) -> Option<&str> {
     key.split('/').nth(1)
 }
 
--- a/src/view/crash_row.rs
+++ b/src/view/crash_row.rs
@@ -34,7 +34,7 @@
 
 /// What a row holds beside its key.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-struct Value {
+struct RowValue {
     /// By the store's clock.
     at: Millis,
 }
@@ -59,10 +59,10 @@
 
 /// The value of a row that was written at `at`.
 pub(super) fn value_at(at: Millis) -> Bytes {
-    encode(&Value { at })
+    encode(&RowValue { at })
 }
 
 /// When a row was written, by its value.
-pub(super) fn read_at(value: &[u8]) -> Option<Millis> {
-    decode::<Value>("crash or attempt", value).map(|value| value.at)
+pub(super) fn written_at(value: &[u8]) -> Option<Millis> {
+    decode::<RowValue>("crash or attempt", value).map(|value| value.at)
 }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -4,14 +4,14 @@
     CRASHES,
     Crash,
     attempt_key,
-    read_at,
     value_at, //
+    written_at,
 };
 use crate::{
     base::{Fingerprint, Millis},
     platform::Store,
     policy::quarantine::{ENDED_MOST, Quarantine, Verdict},
-    relay::{BACKOFF_MOST, Followed, Following, Relay, follow},
+    relay::{FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     routing::Life,
     store::{Change, Key, Outcome, Transaction}, //
 };
@@ -29,7 +29,7 @@
     time::Instant, //
 };
 
-/// The crashes that this program saw or heard of; [`keep_crashes`] shares them.
+/// The crashes that this program saw or heard of; [`sync_crashes`] shares them.
 ///
 /// A request that ends each server that runs it comes again at other instances,
 /// under other ids. What each of them saw goes through the store to all, so that
@@ -37,17 +37,17 @@
 pub struct Crashes {
     listed: watch::Sender<bool>,
     /// Until when calls wait for the list.
-    listed_until: Instant,
+    listing_deadline: Instant,
     quarantine: Mutex<Quarantine>,
     store: Store,
     /// Changes that are not in the store yet.
-    unshared: watch::Sender<usize>,
+    pending_writes: watch::Sender<usize>,
     writes: mpsc::Sender<Write>,
 }
 
 /// Who may run a request that may end its server.
 #[derive(Clone, Copy, Debug)]
-pub enum Claimed {
+pub enum ClaimResult {
     Elsewhere,
     Here(Attempt),
     /// The store can't tell.
@@ -62,7 +62,7 @@
     revision: u64,
 }
 
-/// Takes what is to be written; for [`keep_crashes`].
+/// Takes what is to be written; for [`sync_crashes`].
 pub struct CrashWrites(mpsc::Receiver<Write>);
 
 /// A change that all instances should learn.
@@ -76,51 +76,51 @@
 
 /// Changes that may wait for the store. A server's end concerns some ten requests;
 /// more than this many wait only when dozens end in an outage.
-const WRITES_MOST: usize = 1_024;
+const MAX_PENDING_WRITES: usize = 1_024;
 
 /// The most rows of one transaction; the store takes 100.
-const ROWS_MOST: usize = 90;
+const MAX_TRANSACTION_ROWS: usize = 90;
 
 /// The wait after a write that the store did not take.
-const WRITE_AGAIN: Millis = Millis(200);
+const WRITE_RETRY_DELAY: Millis = Millis(200);
 
 /// How long the store holds a call for changes. A silent feed is noticed after
 /// this and half a second: within the 3 s that the users allow for all to know.
-const HOLD: Millis = Millis(1_500);
+const CHANGES_HOLD: Millis = Millis(1_500);
 
 /// The wait after changes, in which those of one crash gather.
-const PACE: Millis = Millis(10);
+const BATCH_DELAY: Millis = Millis(10);
 
 /// How long an instance has for a trial that it has taken: a long item's run. One
 /// that was broken off by something else is free then.
-const TRIAL_KEPT: Millis = Millis(10_000);
+const TRIAL_TIMEOUT: Millis = Millis(10_000);
 
 /// How long after the start calls wait for the list of crashes: it takes some ms.
-const LISTED_WITHIN: Millis = Millis(1_000);
+const LISTING_TIMEOUT: Millis = Millis(1_000);
 
 /// How often crashes that count no more are looked for.
-const SWEEP: Millis = Millis(60_000);
+const SWEEP_INTERVAL: Millis = Millis(60_000);
 
 /// Batches of changes that may wait here; the follower waits then.
-const RING: usize = 16;
+const FEED_CAPACITY: usize = 16;
 
 impl Crashes {
     /// No crash is known yet; `store` is where they are shared.
     pub fn open(store: Store) -> (Arc<Self>, CrashWrites) {
-        let (writes, pending) = mpsc::channel(WRITES_MOST);
+        let (writes, pending) = mpsc::channel(MAX_PENDING_WRITES);
         let crashes = Self {
             listed: watch::Sender::new(false),
-            listed_until: Instant::now() + LISTED_WITHIN.as_duration(),
+            listing_deadline: Instant::now() + LISTING_TIMEOUT.as_duration(),
             quarantine: Mutex::default(),
             store,
-            unshared: watch::Sender::new(0),
+            pending_writes: watch::Sender::new(0),
             writes,
         };
         (Arc::new(crashes), CrashWrites(pending))
     }
 
     /// The server `life` has ended, and `requests` were under way there.
-    pub fn note(&self, life: &Life, requests: &[Fingerprint]) {
+    pub fn record_crash(&self, life: &Life, requests: &[Fingerprint]) {
         let now = self.store.now();
         for request in requests {
             let (request, life) = (*request, life.clone());
@@ -140,35 +140,35 @@
                 tracing::warn!(%request, ended, "request in quarantine");
                 metrics::counter!("redwing_requests_quarantined_total").increment(1);
             }
-            self.write_crash(Crash { life, request }.key(), true);
+            self.queue_crash(Crash { life, request }.key(), true);
         }
     }
 
     /// A server answered `request`.
-    pub fn survived(&self, request: Fingerprint) {
-        let acquitted = self.quarantine().acquit(request, self.store.now());
-        if acquitted.is_empty() {
+    pub fn record_answer(&self, request: Fingerprint) {
+        let cleared = self.quarantine().acquit(request, self.store.now());
+        if cleared.is_empty() {
             return;
         }
-        let ended = acquitted.len();
+        let ended = cleared.len();
         tracing::info!(%request, ended, "request acquitted: a server answered it");
-        for life in acquitted {
-            self.write_crash(Crash { life, request }.key(), false);
+        for life in cleared {
+            self.queue_crash(Crash { life, request }.key(), false);
         }
     }
 
     /// What may be done with `request`.
-    pub fn judge(&self, request: Fingerprint) -> Verdict {
+    pub fn quarantine_state(&self, request: Fingerprint) -> Verdict {
         let now = self.store.now();
         self.quarantine().judge(request, now)
     }
 
     /// Takes the one attempt of `request` that all instances may make at a time, and
     /// reads what the attempts before it have shown. One that its holder never ended
-    /// is free after `kept`.
-    pub async fn claim_attempt(&self, request: Fingerprint, kept: Millis) -> Claimed {
+    /// is free after `timeout`.
+    pub async fn claim_attempt(&self, request: Fingerprint, timeout: Millis) -> ClaimResult {
         if self.store.is_away() {
-            return Claimed::Unknown;
+            return ClaimResult::Unknown;
         }
         let key = attempt_key(request);
         let mut expected = 0;
@@ -183,37 +183,37 @@
                 Ok(Outcome::Done { revision }) => {
                     // Its holder before has written what it saw before it ended it.
                     self.refresh(request).await;
-                    let ended = self.ended(request);
+                    let ended = self.crash_count(request);
                     tracing::info!(%request, ended, "a request that may end its server is tried");
-                    return Claimed::Here(Attempt { request, revision });
+                    return ClaimResult::Here(Attempt { request, revision });
                 }
                 Ok(Outcome::Conflict { rows }) => rows,
                 Err(error) => {
                     tracing::info!(%request, %error, "whether another tries it is unknown");
-                    return Claimed::Unknown;
+                    return ClaimResult::Unknown;
                 }
             };
             let free = rows.iter().find_map(|row| {
-                let at = read_at(row.value.as_ref()?)?;
-                (now.since(at) >= kept).then_some(row.revision)
+                let at = written_at(row.value.as_ref()?)?;
+                (now.since(at) >= timeout).then_some(row.revision)
             });
             match free {
                 Some(free) => expected = free,
                 None if rows.is_empty() => expected = 0,
-                None => return Claimed::Elsewhere,
+                None => return ClaimResult::Elsewhere,
             }
         }
-        Claimed::Elsewhere
+        ClaimResult::Elsewhere
     }
 
     /// Takes the trial of `request`, which is in quarantine; `None` when another has
     /// it, or the store can't tell.
     pub async fn claim_trial(&self, request: Fingerprint) -> Option<Attempt> {
-        let Claimed::Here(attempt) = self.claim_attempt(request, TRIAL_KEPT).await else {
+        let ClaimResult::Here(attempt) = self.claim_attempt(request, TRIAL_TIMEOUT).await else {
             return None;
         };
         // Others may have tried it meanwhile.
-        if self.judge(request) == Verdict::Barred {
+        if self.quarantine_state(request) == Verdict::Barred {
             self.release_attempt(attempt);
             return None;
         }
@@ -221,7 +221,7 @@
     }
 
     /// How many servers ended under `request`.
-    pub fn ended(&self, request: Fingerprint) -> usize {
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.quarantine().ended(request)
     }
 
@@ -232,27 +232,31 @@
 
     /// Whether all that this program saw is in the store.
     pub fn are_shared(&self) -> bool {
-        *self.unshared.borrow() == 0
+        *self.pending_writes.borrow() == 0
     }
 
-    /// Waits at most `within` until all that this program saw is in the store.
-    pub async fn wait_shared(&self, within: Millis) {
-        let mut unshared = self.unshared.subscribe();
-        let none = unshared.wait_for(|unshared| *unshared == 0);
-        let _ = tokio::time::timeout(within.as_duration(), none).await;
+    /// Waits at most `timeout` until all that this program saw is in the store.
+    pub async fn wait_shared(&self, timeout: Millis) {
+        let mut pending_writes = self.pending_writes.subscribe();
+        let none = pending_writes.wait_for(|count| *count == 0);
+        let _ = tokio::time::timeout(timeout.as_duration(), none).await;
     }
 
     /// Reads what others saw under `request`, for a program that can't wait for the
     /// feed: the request comes from the one that has just lost its server.
     pub async fn refresh(&self, request: Fingerprint) {
         let prefix = format!("{request}/");
-        match self.store.rows(CRASHES, "", &prefix, ROWS_MOST).await {
+        match self
+            .store
+            .rows(CRASHES, "", &prefix, MAX_TRANSACTION_ROWS)
+            .await
+        {
             Ok(listing) => {
                 let rows = listing.rows.into_iter();
                 for row in rows.take_while(|row| row.key.starts_with(&prefix)) {
                     if let Some(value) = row.value {
                         let (key, revision) = (row.key, row.revision);
-                        self.take(Change::Put {
+                        self.apply_change(Change::Put {
                             key,
                             part: row.part,
                             revision,
@@ -273,12 +277,12 @@
         let mut listed = self.listed.subscribe();
         let read = listed.wait_for(|listed| *listed);
         // Without the store a program knows no configuration and calls nobody.
-        let _ = tokio::time::timeout_at(self.listed_until, read).await;
+        let _ = tokio::time::timeout_at(self.listing_deadline, read).await;
     }
 
     /// The attempt is over: another may be made once all know what it showed.
     pub fn release_attempt(&self, attempt: Attempt) {
-        self.write(Write::Release(attempt));
+        self.queue(Write::Release(attempt));
     }
 
     fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
@@ -287,20 +291,20 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write_crash(&self, key: Key, counts: bool) {
-        self.write(Write::Crash { counts, key });
+    fn queue_crash(&self, key: Key, counts: bool) {
+        self.queue(Write::Crash { counts, key });
     }
 
-    fn write(&self, write: Write) {
-        self.unshared.send_modify(|unshared| *unshared += 1);
+    fn queue(&self, write: Write) {
+        self.pending_writes.send_modify(|count| *count += 1);
         if let Err(error) = self.writes.try_send(write) {
-            self.unshared.send_modify(|unshared| *unshared -= 1);
+            self.pending_writes.send_modify(|count| *count -= 1);
             metrics::counter!("redwing_crashes_unshared_total").increment(1);
             tracing::warn!(%error, "a crash is known here only");
         }
     }
 
-    fn take(&self, change: Change) {
+    fn apply_change(&self, change: Change) {
         let (key, value) = match change {
             Change::Put { key, value, .. } => (key, Some(value)),
             Change::Removed { key, .. } => (key, None),
@@ -309,7 +313,7 @@
             tracing::warn!(key, "an entry names no crash");
             return;
         };
-        let at = value.map(|value| read_at(&value));
+        let at = value.map(|value| written_at(&value));
         match at {
             None => self.quarantine().forget(request, &life),
             Some(None) => {}
@@ -326,25 +330,25 @@
 }
 
 /// Shares crashes with all instances through the store, for good.
-pub async fn keep_crashes(crashes: Arc<Crashes>, writes: CrashWrites, relay: Arc<Relay>) {
+pub async fn sync_crashes(crashes: Arc<Crashes>, writes: CrashWrites, relay: Arc<Relay>) {
     let store = &crashes.store;
-    let (sender, mut feed) = mpsc::channel(RING);
-    let following = Following {
-        backoff: BACKOFF_MOST,
-        hold: HOLD,
-        pace: PACE,
-        parts: false,
+    let (sender, mut feed) = mpsc::channel(FEED_CAPACITY);
+    let options = FollowOptions {
+        backoff: MAX_BACKOFF,
+        hold: CHANGES_HOLD,
+        batch_delay: BATCH_DELAY,
+        has_parts: false,
         table: CRASHES,
     };
-    tokio::spawn(follow(relay, following, sender));
-    tokio::spawn(write_all(writes, crashes.clone()));
-    let mut sweep = tokio::time::interval(SWEEP.as_duration());
+    tokio::spawn(follow(relay, options, sender));
+    tokio::spawn(run_writer(writes, crashes.clone()));
+    let mut sweep = tokio::time::interval(SWEEP_INTERVAL.as_duration());
     loop {
         tokio::select! {
-            Some(followed) = feed.recv() => {
-                if let Followed::Changes { changes, listed } = followed {
+            Some(event) = feed.recv() => {
+                if let FollowEvent::Changes { changes, listed } = event {
                     for change in changes {
-                        crashes.take(change);
+                        crashes.apply_change(change);
                     }
                     if listed {
                         crashes.listed.send_replace(true);
@@ -352,10 +356,10 @@
                 }
             }
             _ = sweep.tick() => {
-                let expired = crashes.quarantine().expired(store.now(), ROWS_MOST);
+                let expired = crashes.quarantine().expired(store.now(), MAX_TRANSACTION_ROWS);
                 for (request, life) in expired {
                     crashes.quarantine().forget(request, &life);
-                    crashes.write_crash(Crash { life, request }.key(), false);
+                    crashes.queue_crash(Crash { life, request }.key(), false);
                 }
             }
             else => return,
@@ -365,34 +369,34 @@
 
 /// Writes changes, and ends attempts once what they showed is written. A write whose
 /// outcome is unknown is written again: it says the same.
-async fn write_all(writes: CrashWrites, crashes: Arc<Crashes>) {
+async fn run_writer(writes: CrashWrites, crashes: Arc<Crashes>) {
     let CrashWrites(mut writes) = writes;
     let store = &crashes.store;
-    let mut some = Vec::new();
-    while writes.recv_many(&mut some, ROWS_MOST).await > 0 {
-        let taken = some.len();
-        let mut last = BTreeMap::new();
-        let mut over = Vec::new();
-        for write in some.drain(..) {
+    let mut batch = Vec::new();
+    while writes.recv_many(&mut batch, MAX_TRANSACTION_ROWS).await > 0 {
+        let taken = batch.len();
+        let mut crash_rows = BTreeMap::new();
+        let mut released = Vec::new();
+        for write in batch.drain(..) {
             match write {
                 Write::Crash { counts, key } => {
-                    last.insert(key, counts);
+                    crash_rows.insert(key, counts);
                 }
-                Write::Release(attempt) => over.push(attempt),
+                Write::Release(attempt) => released.push(attempt),
             }
         }
-        if !last.is_empty() {
-            write_crashes(store, last).await;
+        if !crash_rows.is_empty() {
+            store_crashes(store, crash_rows).await;
         }
-        for attempt in over {
+        for attempt in released {
             remove_attempt(store, attempt).await;
         }
-        crashes.unshared.send_modify(|unshared| *unshared -= taken);
+        crashes.pending_writes.send_modify(|count| *count -= taken);
     }
 }
 
 /// Writes the crashes that count and removes the others, until the store has done so.
-async fn write_crashes(store: &Store, crashes: BTreeMap<Key, bool>) {
+async fn store_crashes(store: &Store, crashes: BTreeMap<Key, bool>) {
     let at = value_at(store.now());
     let (set, remove): (Vec<_>, Vec<_>) = crashes.into_iter().partition(|(_, counts)| *counts);
     let transaction = Transaction {
@@ -402,7 +406,7 @@
     };
     while let Err(error) = store.transact(&transaction).await {
         tracing::debug!(%error, "crashes wait for the store");
-        tokio::time::sleep(WRITE_AGAIN.as_duration()).await;
+        tokio::time::sleep(WRITE_RETRY_DELAY.as_duration()).await;
     }
 }
 
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -4,14 +4,14 @@
 mod confirm;
 mod crash_row;
 mod crashes;
-mod keeper;
 mod reach;
 mod site;
+mod sync;
 
 pub use self::{
-    confirm::confirm,
-    crashes::{Attempt, Claimed, CrashWrites, Crashes, keep_crashes},
-    keeper::keep,
-    reach::watch_reach,
+    confirm::confirm_config,
+    crashes::{Attempt, ClaimResult, CrashWrites, Crashes, sync_crashes},
+    reach::watch_store,
     site::Site, //
+    sync::sync_site,
 };
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -21,7 +21,7 @@
     watch, //
 };
 
-/// Shared by all tasks of a program; [`super::keep`] writes it.
+/// Shared by all tasks of a program; [`super::sync_site`] writes it.
 ///
 /// # Invariants
 ///
@@ -30,16 +30,16 @@
     pub clock: Clock,
     config: watch::Sender<Option<Arc<Config>>>,
     /// Since when the store does not answer this process itself.
-    cut: Mutex<Option<Millis>>,
+    unreachable_since: Mutex<Option<Millis>>,
     /// Told when the store has confirmed the configuration.
     confirmed: Notify,
     directory: Mutex<Directory>,
     freshness: Mutex<Freshness>,
-    listed: AtomicBool,
+    servers_listed: AtomicBool,
     /// The version that a trainer named last, by model, and when it was seen.
     named: Mutex<HashMap<String, (u64, Millis)>>,
     /// Told when somebody wants the configuration confirmed.
-    wanted: Notify,
+    confirmation_requested: Notify,
 }
 
 impl Site {
@@ -49,12 +49,12 @@
         Self {
             clock,
             config: watch::Sender::new(None),
-            cut: Mutex::default(),
+            unreachable_since: Mutex::default(),
             confirmed: Notify::new(),
             freshness: Mutex::new(Freshness::new(revocation)),
-            wanted: Notify::new(),
+            confirmation_requested: Notify::new(),
             directory: Mutex::default(),
-            listed: AtomicBool::new(false),
+            servers_listed: AtomicBool::new(false),
             named: Mutex::default(),
         }
     }
@@ -65,7 +65,7 @@
     }
 
     /// Takes `config` unless it is older than the one in force.
-    pub(super) fn offer(&self, config: Config) {
+    pub(super) fn apply_config(&self, config: Config) {
         self.config.send_if_modified(|current| {
             let in_force = current.as_ref().map(|config| config.version);
             if in_force == Some(config.version) {
@@ -88,30 +88,30 @@
     }
 
     /// Whether the configuration is new enough to go by for requests with keys.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_config_fresh(&self) -> bool {
         self.freshness().is_fresh(self.clock.boottime())
     }
 
     /// Whether a key must stop working within a bounded time of its removal.
-    pub fn is_bounded(&self) -> bool {
+    pub fn is_config_age_limited(&self) -> bool {
         self.freshness().is_bounded()
     }
 
     /// The store named the configuration in force when it was asked at `asked`, by
     /// the clock that runs on while the process is suspended.
-    pub(super) fn confirm(&self, asked: Millis) {
+    pub(super) fn set_confirmed(&self, asked: Millis) {
         self.freshness().confirm(asked);
         self.confirmed.notify_waiters();
     }
 
     /// Waits until somebody wants the configuration confirmed.
-    pub(super) async fn confirmation_wanted(&self) {
-        self.wanted.notified().await;
+    pub(super) async fn confirmation_requested(&self) {
+        self.confirmation_requested.notified().await;
     }
 
     /// Has the store asked anew for the newest configuration, and waits for that;
-    /// false when it has not answered `within` that time.
-    pub async fn confirm_anew(&self, within: Millis) -> bool {
+    /// false when it has not answered `timeout` that time.
+    pub async fn reconfirm_config(&self, timeout: Millis) -> bool {
         let at = self.clock.boottime();
         let confirmed = async {
             loop {
@@ -119,11 +119,11 @@
                 if self.freshness().is_confirmed_since(at) {
                     return;
                 }
-                self.wanted.notify_one();
+                self.confirmation_requested.notify_one();
                 next.await;
             }
         };
-        let confirmed = tokio::time::timeout(within.as_duration(), confirmed);
+        let confirmed = tokio::time::timeout(timeout.as_duration(), confirmed);
         confirmed.await.is_ok()
     }
 
@@ -142,30 +142,36 @@
 
     /// Whether the servers' announcements were read since the start.
     pub fn servers_listed(&self) -> bool {
-        self.listed.load(Ordering::Relaxed)
+        self.servers_listed.load(Ordering::Relaxed)
     }
 
-    pub(super) fn set_listed(&self) {
-        self.listed.store(true, Ordering::Relaxed);
+    pub(super) fn set_servers_listed(&self) {
+        self.servers_listed.store(true, Ordering::Relaxed);
     }
 
     /// Since when the store does not answer, or not this process; `None` while it does.
-    pub fn store_away_since(&self) -> Option<Millis> {
+    pub fn store_unreachable_since(&self) -> Option<Millis> {
         let away = self.directory().away_since();
-        let cut = *self.cut.lock().unwrap_or_else(PoisonError::into_inner);
-        away.into_iter().chain(cut).min()
+        let unreachable_since = *self
+            .unreachable_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        away.into_iter().chain(unreachable_since).min()
     }
 
     /// Whether the store answers this process itself.
-    pub(super) fn set_reached(&self, reached: bool) {
+    pub(super) fn set_store_reachable(&self, reached: bool) {
         let now = self.now();
-        let mut cut = self.cut.lock().unwrap_or_else(PoisonError::into_inner);
-        if cut.is_some() == reached {
+        let mut unreachable_since = self
+            .unreachable_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if unreachable_since.is_some() == reached {
             tracing::info!(reached, "the store answers this process, or does not");
         }
-        *cut = match reached {
+        *unreachable_since = match reached {
             true => None,
-            false => cut.or(Some(now)),
+            false => unreachable_since.or(Some(now)),
         };
     }
 
@@ -176,12 +182,12 @@
 
     /// The version that was named last for `model`, and when that was seen;
     /// version 1 before any.
-    pub fn named(&self, model: &str) -> (u64, Millis) {
+    pub fn named_version(&self, model: &str) -> (u64, Millis) {
         let named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         named.get(model).copied().unwrap_or((1, Millis(0)))
     }
 
-    pub(super) fn name(&self, model: String, version: u64) {
+    pub(super) fn set_named_version(&self, model: String, version: u64) {
         let now = self.now();
         let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         let known = named.entry(model.clone()).or_insert((1, Millis(0)));
--- a/src/view/keeper.rs
+++ b/src/view/sync.rs
@@ -13,7 +13,7 @@
         read_named,
         read_server, //
     },
-    relay::{BACKOFF_MOST, Followed, Following, HOLD, Relay, follow},
+    relay::{DEFAULT_HOLD, FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     store::Change, //
 };
 use std::{
@@ -23,18 +23,18 @@
 use tokio::sync::mpsc;
 
 /// Batches of changes that may wait for the keeper; the follower waits then.
-const RING: usize = 16;
+const FEED_CAPACITY: usize = 16;
 
 /// How often lapsed servers are looked at.
-const SETTLE: Millis = Millis(200);
+const LAPSE_CHECK_INTERVAL: Millis = Millis(200);
 
 /// The operators' table changes seldom and has to be in force within seconds.
-const OPERATOR_PACE: Millis = Millis(5);
+const OPERATOR_BATCH_DELAY: Millis = Millis(5);
 
 /// The longest wait after a call for the operators' table that failed. Hundreds of
 /// processes together can ask for more than the store takes; a configuration that is
 /// turned away some times in a row was in force two seconds late.
-const OPERATOR_BACKOFF: Millis = Millis(100);
+const OPERATOR_MAX_BACKOFF: Millis = Millis(100);
 
 /// How long the store holds a call for the servers' changes. A feed that fell silent is
 /// noticed after this and 0.6 s; a server that leaves takes requests for 2 s.
@@ -42,42 +42,42 @@
 
 /// Servers announce changes of state and weights; a moment's delay gathers
 /// those of a release or of a step's weights into one call.
-const SERVERS_PACE: Millis = Millis(100);
+const SERVERS_BATCH_DELAY: Millis = Millis(100);
 
 /// Follows the operators' and the servers' tables for good.
-pub async fn keep(site: Arc<Site>, relay: Arc<Relay>) {
-    let (operators, mut operator_feed) = mpsc::channel(RING);
-    let (servers, mut server_feed) = mpsc::channel(RING);
-    let operator_table = Following {
-        backoff: OPERATOR_BACKOFF,
-        hold: HOLD,
-        pace: OPERATOR_PACE,
-        parts: false,
+pub async fn sync_site(site: Arc<Site>, relay: Arc<Relay>) {
+    let (operators, mut operator_feed) = mpsc::channel(FEED_CAPACITY);
+    let (servers, mut server_feed) = mpsc::channel(FEED_CAPACITY);
+    let operator_table = FollowOptions {
+        backoff: OPERATOR_MAX_BACKOFF,
+        hold: DEFAULT_HOLD,
+        batch_delay: OPERATOR_BATCH_DELAY,
+        has_parts: false,
         table: OPERATOR_TABLE,
     };
-    let server_table = Following {
-        backoff: BACKOFF_MOST,
+    let server_table = FollowOptions {
+        backoff: MAX_BACKOFF,
         hold: SERVERS_HOLD,
-        pace: SERVERS_PACE,
-        parts: false,
+        batch_delay: SERVERS_BATCH_DELAY,
+        has_parts: false,
         table: SERVERS_TABLE,
     };
     tokio::spawn(follow(relay.clone(), operator_table, operators));
     tokio::spawn(follow(relay, server_table, servers));
 
-    let mut strangers = Strangers::default();
-    let mut settle = tokio::time::interval(SETTLE.as_duration());
+    let mut invalid = InvalidEntries::default();
+    let mut lapse_check = tokio::time::interval(LAPSE_CHECK_INTERVAL.as_duration());
     loop {
         tokio::select! {
-            Some(followed) = operator_feed.recv() => {
-                if let Followed::Changes { changes, .. } = followed {
+            Some(event) = operator_feed.recv() => {
+                if let FollowEvent::Changes { changes, .. } = event {
                     for change in changes {
-                        operator_change(&site, change);
+                        apply_operator_change(&site, change);
                     }
                 }
             }
-            Some(followed) = server_feed.recv() => server_news(&site, &mut strangers, followed),
-            _ = settle.tick() => {
+            Some(event) = server_feed.recv() => apply_server_event(&site, &mut invalid, event),
+            _ = lapse_check.tick() => {
                 let gone = site.directory().settle(site.now());
                 for server in gone {
                     tracing::info!(server, "server gone: still missing after the store's return");
@@ -88,19 +88,19 @@
     }
 }
 
-fn operator_change(site: &Site, change: Change) {
+fn apply_operator_change(site: &Site, change: Change) {
     let Change::Put { key, value, .. } = change else {
         return;
     };
     if key == CONFIG_KEY {
         match read_config(&value) {
-            Ok(config) => site.offer(config),
+            Ok(config) => site.apply_config(config),
             Err(error) => tracing::error!(%error, "a configuration is left out"),
         }
     } else if key.starts_with(NAMED_VERSION)
         && let Some(named) = read_named(&value)
     {
-        site.name(named.model, named.version);
+        site.set_named_version(named.model, named.version);
     }
 }
 
@@ -109,10 +109,10 @@
 /// Other writers may write there too. Each such row is told of once, however
 /// often it is written, until it names a server or is gone.
 #[derive(Default)]
-struct Strangers(HashSet<String>);
+struct InvalidEntries(HashSet<String>);
 
-impl Strangers {
-    fn note(&mut self, key: &str, error: &EntryError) {
+impl InvalidEntries {
+    fn record(&mut self, key: &str, error: &EntryError) {
         metrics::counter!("redwing_entries_left_out_total").increment(1);
         if self.0.insert(key.to_owned()) {
             tracing::warn!(server = key, %error, "an entry names no server");
@@ -120,34 +120,34 @@
     }
 }
 
-fn server_news(site: &Site, strangers: &mut Strangers, followed: Followed) {
+fn apply_server_event(site: &Site, invalid: &mut InvalidEntries, event: FollowEvent) {
     let now = site.now();
-    match followed {
-        Followed::Changes { changes, listed } => {
+    match event {
+        FollowEvent::Changes { changes, listed } => {
             if listed {
-                site.set_listed();
+                site.set_servers_listed();
             }
             for change in changes {
-                server_change(site, strangers, change, now);
+                apply_server_change(site, invalid, change, now);
             }
         }
-        Followed::Lost => site.directory().store_lost(now),
-        Followed::Regained => site.directory().store_regained(now),
+        FollowEvent::Disconnected => site.directory().store_lost(now),
+        FollowEvent::Reconnected => site.directory().store_regained(now),
     }
 }
 
-fn server_change(site: &Site, strangers: &mut Strangers, change: Change, now: Millis) {
+fn apply_server_change(site: &Site, invalid: &mut InvalidEntries, change: Change, now: Millis) {
     match change {
         Change::Put { key, value, .. } => {
             let server = match read_server(&key, &value) {
                 Ok(server) => server,
                 Err(error) => {
-                    strangers.note(&key, &error);
+                    invalid.record(&key, &error);
                     site.directory().remove(&key, now);
                     return;
                 }
             };
-            strangers.0.remove(&key);
+            invalid.0.remove(&key);
             let mut directory = site.directory();
             let (life, draining) = (&server.life, server.draining);
             let before = directory.get(&key);
@@ -159,7 +159,7 @@
         }
         Change::Removed { key, .. } => {
             tracing::info!(server = key, "server's announcement gone");
-            strangers.0.remove(&key);
+            invalid.0.remove(&key);
             site.directory().remove(&key, now);
         }
     }
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -205,14 +205,14 @@
     }
 
     let mut view = TableView::default();
-    view.feed(vec![
+    view.apply_changes(vec![
         row("a", 1, Some("1")),
         row("b", 2, Some("2")),
         row("gone", 3, None),
     ]);
-    view.keep();
+    view.retain_rows();
     let rows = vec![row("a", 1, Some("1")), row("b", 2, Some("2"))];
-    view.list(
+    view.apply_listing(
         None,
         Listing {
             rows,
@@ -220,8 +220,8 @@
             ..Listing::default()
         },
     );
-    view.set_whole(4);
-    view.feed(vec![
+    view.set_complete(4);
+    view.apply_changes(vec![
         row("b", 5, Some("5")),
         row("c", 6, Some("6")),
         row("a", 7, None),
@@ -248,7 +248,7 @@
             told: Some(&[]),
         },
     ] {
-        let rows = view.since(test.after);
+        let rows = view.rows_since(test.after);
         let told = rows.map(|rows| {
             let names = rows.into_iter().map(|row| (row.key, row.revision));
             names.collect::<Vec<(String, u64)>>()
@@ -267,23 +267,27 @@
 #[test]
 fn removed_rows_are_forgotten() {
     let mut view = TableView::default();
-    view.keep();
-    view.set_whole(0);
-    view.feed(vec![
+    view.retain_rows();
+    view.set_complete(0);
+    view.apply_changes(vec![
         row("a", 1, Some("1")),
         row("b", 2, Some("2")),
         row("a", 3, None),
     ]);
     view.prune();
     assert!(
-        view.feed(vec![row("a", 1, Some("1"))]).is_empty(),
+        view.apply_changes(vec![row("a", 1, Some("1"))]).is_empty(),
         "a late feed brings it back"
     );
-    assert_eq!(view.since(2).map(|rows| rows.len()), Some(1));
+    assert_eq!(view.rows_since(2).map(|rows| rows.len()), Some(1));
     view.prune();
-    assert_eq!(view.since(2), None, "told as if nothing had been removed");
-    assert_eq!(view.since(3).map(|rows| rows.len()), Some(0));
-    assert_eq!(view.feed(vec![row("a", 9, Some("9"))]).len(), 1);
+    assert_eq!(
+        view.rows_since(2),
+        None,
+        "told as if nothing had been removed"
+    );
+    assert_eq!(view.rows_since(3).map(|rows| rows.len()), Some(0));
+    assert_eq!(view.apply_changes(vec![row("a", 9, Some("9"))]).len(), 1);
 }
 
 /// A part takes 200 transactions a second. With the heartbeats of 347 runners in one, those
@@ -367,7 +371,7 @@
         for (number, (key, revision, exists)) in feeds.iter().enumerate() {
             if let Some((_, revision)) = listings.iter().find(|(at, _)| *at == number) {
                 let empty = Listing { revision: *revision, ..Listing::default() };
-                for change in view.list(None, empty) {
+                for change in view.apply_listing(None, empty) {
                     let Change::Removed { key, .. } = change else {
                         panic!("an empty listing put a row");
                     };
@@ -383,7 +387,7 @@
                 revision: *revision,
             };
             let before = newest.get(&key).copied();
-            let changes = view.feed(vec![row]);
+            let changes = view.apply_changes(vec![row]);
             if before.is_some_and(|before| before >= *revision) {
                 prop_assert!(changes.is_empty());
             } else {
