--- a/src/store/change.rs
+++ b/src/store/change.rs
@@ -1,8 +1,9 @@
-//! What a follower of a table learns.
+//! Changes of rows, as a follower of a table receives them.
 
 use bytes::Bytes;
 
-/// One row's change, each at most once and in the store's order.
+/// A change of one row. A follower receives the changes of a row in the order of their
+/// revisions, each at most once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
     Put {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The table that keeps what must last: rows in parts, changed by conditional
-//! transactions, and read as listings or as a feed of changes.
+//! Types of the persistent store: tables of rows that are grouped into parts, written
+//! by conditional transactions, and read as listings or as a feed of changes.
 
 mod change;
 mod row;
--- a/src/store/row.rs
+++ b/src/store/row.rs
@@ -1,4 +1,4 @@
-//! Rows as they are read.
+//! Keys of rows, and rows as the store returns them.
 
 use bytes::Bytes;
 use serde::{
@@ -6,7 +6,7 @@
     Serialize, //
 };
 
-/// Names a row within a part.
+/// Identifies a row: its table, its part of the table, and its key within the part.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Key {
     pub table: &'static str,
@@ -15,7 +15,7 @@
 }
 
 impl Key {
-    /// The row `key` of `part` in `table`.
+    /// Identifies the row `key` in `part` of `table`.
     pub fn new(table: &'static str, part: impl Into<String>, key: impl Into<String>) -> Self {
         Self {
             table,
@@ -25,22 +25,22 @@
     }
 }
 
-/// A row and the revision that wrote it.
+/// A row and the revision at which it was last written or removed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
     pub part: String,
     pub key: String,
-    /// `None` for a row that was removed at this revision.
+    /// `None` if the row was removed at this revision.
     pub value: Option<Bytes>,
-    /// The store's counter at the row's last change.
+    /// The store's global write counter at the row's last change.
     pub revision: u64,
 }
 
-/// Rows as of one revision of the store.
+/// Rows of a table as of one revision of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     pub rows: Vec<Row>,
-    /// Whether more rows follow these.
+    /// Whether more rows follow in the next page.
     pub more: bool,
     pub revision: u64,
 }
--- a/src/store/store_error.rs
+++ b/src/store/store_error.rs
@@ -1,34 +1,36 @@
-//! Why the store did not answer a call as asked.
+//! Errors of calls to the store.
 
 use crate::net::CallError;
 use snafu::Snafu;
 
-/// A call to the store failed.
+/// Why a call to the store failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
-    /// The store is away: nothing was sent.
-    #[snafu(display("the store is away"))]
+    /// The store is known to be unreachable, so nothing was sent.
+    #[snafu(display("the store is unreachable"))]
     Unreachable,
-    /// The changes asked for are no longer kept: list the table afresh.
-    #[snafu(display("the store no longer keeps the changes that were asked for"))]
+    /// The store no longer has the requested changes: the table must be listed again.
+    #[snafu(display("the store no longer has the requested changes"))]
     HistoryLost,
-    /// The store said that it did nothing.
-    #[snafu(display("the store did nothing: status {status}"))]
+    /// The store answered that it did not execute the call.
+    #[snafu(display("the store did not execute the call: status {status}"))]
     NotDone { status: u16 },
-    /// The store's answer is not understood.
-    #[snafu(display("the store's answer is not understood: {message}"))]
+    /// The store's answer, or the call to it, could not be decoded or encoded.
+    #[snafu(display("invalid message to or from the store: {message}"))]
     InvalidMessage { message: String },
-    /// The store refused the call for good.
-    #[snafu(display("the store refused the call: status {status}"))]
+    /// The store rejected the call; a retry would be rejected too.
+    #[snafu(display("the store rejected the call: status {status}"))]
     Refused { status: u16 },
-    /// No whole answer came: the call may have been done, or may be done later.
-    #[snafu(display("the store's answer is unknown: {source}"))]
+    /// No complete answer arrived: the store may have executed the call, or may still
+    /// execute it later.
+    #[snafu(display("no complete answer from the store: {source}"))]
     Unknown { source: CallError },
 }
 
 impl StoreError {
-    /// Whether a write that failed so has certainly not been done and never will be.
+    /// Whether a write that failed with this error has certainly not been executed and
+    /// never will be.
     pub fn is_not_done(&self) -> bool {
         match self {
             Self::Unreachable | Self::HistoryLost | Self::NotDone { .. } | Self::Refused { .. } => {
--- a/src/store/table_view.rs
+++ b/src/store/table_view.rs
@@ -1,4 +1,4 @@
-//! What a follower has seen of a table.
+//! A follower's view of one table, which turns listings and feeds into changes.
 
 use super::{
     Change,
@@ -12,32 +12,35 @@
     HashSet, //
 };
 
-/// The newest revision seen of each row of one table.
+/// The newest known revision of each row of one table.
 ///
 /// # Invariants
 ///
-/// A row's revision never falls: a listing or a feed that lags behind what was
-/// already seen changes nothing.
+/// A row's revision never decreases: a listing or a feed that is older than the known
+/// revision of a row doesn't change the row.
 #[derive(Debug, Default)]
 pub struct TableView {
-    /// The rows with their values, for others; `None` while nobody needs them.
+    /// The rows with their values, to be served to other instances; `None` until
+    /// [`TableView::retain_rows`] is called.
     retained: Option<Retained>,
-    /// Rows that had been removed when the view was last pruned.
+    /// Rows that were already removed at the last call of [`TableView::prune`]; the next
+    /// call drops them.
     prunable: Vec<Name>,
     rows: HashMap<Name, Seen>,
 }
 
-/// Each row's last change, in the order of revisions.
+/// The last change of each row, in the order of revisions.
 #[derive(Debug, Default)]
 struct Retained {
-    /// Removed rows up to this revision are forgotten.
+    /// Removals up to this revision may be missing from `rows`.
     forgotten: u64,
     rows: BTreeMap<(u64, Name), Option<Bytes>>,
 }
 
-/// Part and key.
+/// A row's part and key.
 type Name = (String, String);
 
+/// The last known state of a row.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     exists: bool,
@@ -45,25 +48,26 @@
 }
 
 impl TableView {
-    /// Keeps rows with their values from now on; the whole table has to be listed for it.
+    /// Retains rows with their values from now on. The caller must list the whole table
+    /// again, since values seen before were dropped.
     pub fn retain_rows(&mut self) {
         self.retained = Some(Retained::default());
     }
 
-    /// All rows up to `revision` were listed since rows are kept; what was removed
-    /// before is not known.
+    /// Records that all rows up to `revision` were listed since rows are retained.
+    /// Removals before that revision are unknown.
     pub fn set_complete(&mut self, revision: u64) {
         if let Some(retained) = &mut self.retained {
             retained.forgotten = retained.forgotten.max(revision);
         }
     }
 
-    /// Whether rows are kept with their values.
+    /// Whether rows are retained with their values.
     pub fn retains_rows(&self) -> bool {
         self.retained.is_some()
     }
 
-    /// The revision of the newest change among the kept rows.
+    /// The revision of the newest change among the retained rows; 0 if there is none.
     pub fn newest_retained(&self) -> u64 {
         let newest = self
             .retained
@@ -72,8 +76,8 @@
         newest.map_or(0, |((revision, _), _)| *revision)
     }
 
-    /// The kept rows that changed after the revision `after`, or all that exist for 0;
-    /// `None` when some of them may be forgotten.
+    /// The retained rows that changed after the revision `after`, removed ones included,
+    /// or all existing rows if `after` is 0. `None` if some of the changes may be missing.
     pub fn rows_since(&self, after: u64) -> Option<Vec<Row>> {
         let retained = self.retained.as_ref()?;
         if after != 0 && after < retained.forgotten {
@@ -91,8 +95,8 @@
         Some(changed.map(row).collect())
     }
 
-    /// Forgets the rows that had been removed when this was last called. Until then a
-    /// feed or a listing that lags behind can't bring them back.
+    /// Drops the rows that were already removed at the previous call. Keeping a removed row
+    /// until then prevents a late feed or listing from restoring it.
     pub fn prune(&mut self) {
         for name in std::mem::take(&mut self.prunable) {
             let Some(seen) = self.rows.get(&name).copied().filter(|seen| !seen.exists) else {
@@ -108,16 +112,16 @@
         self.prunable = removed.map(|(name, _)| name.clone()).collect();
     }
 
-    /// Takes rows of the feed; returns what they change.
+    /// Applies rows of the feed; returns the changes that were new.
     pub fn apply_changes(&mut self, rows: Vec<Row>) -> Vec<Change> {
         rows.into_iter()
             .filter_map(|row| self.apply_row(row))
             .collect()
     }
 
-    /// Takes a whole listing of `part`, or of the whole table when `None`;
-    /// returns what it changes. Known rows that it lacks are gone, unless they
-    /// are newer than the listing.
+    /// Applies a complete listing of `part`, or of the whole table if `part` is `None`;
+    /// returns the changes that were new. A known row that is missing from the listing is
+    /// removed, unless it is newer than the listing.
     pub fn apply_listing(&mut self, part: Option<&str>, listing: Listing) -> Vec<Change> {
         let listed: HashSet<Name> = listing
             .rows
@@ -141,7 +145,7 @@
         let name = (part, key);
         let known = self.rows.get(&name).copied();
         if let Some(seen) = known.filter(|seen| seen.revision >= revision) {
-            // It may have been seen before rows were kept.
+            // The row may have been seen before rows were retained.
             if let Some(retained) = self.retained.as_mut().filter(|_| seen.revision == revision) {
                 retained.put(&name, known, revision, value);
             }
@@ -166,15 +170,15 @@
         }
     }
 
-    /// Takes the list of all parts as of `revision`; returns the rows that are
-    /// gone because their part is.
+    /// Applies the list of all parts as of `revision`; returns the removals of rows whose
+    /// part no longer exists.
     pub fn apply_parts(&mut self, parts: &[&str], revision: u64) -> Vec<Change> {
         let parts: HashSet<&str> = parts.iter().copied().collect();
         self.remove_rows(revision, |name| !parts.contains(name.0.as_str()))
     }
 
-    /// Takes the existing rows that `gone` names for removed, unless they are
-    /// newer than `revision`.
+    /// Removes the existing rows that `gone` selects, unless they are newer than
+    /// `revision`.
     fn remove_rows(&mut self, revision: u64, gone: impl Fn(&Name) -> bool) -> Vec<Change> {
         let mut changes = Vec::new();
         for (name, seen) in &mut self.rows {
@@ -196,7 +200,7 @@
 }
 
 impl Retained {
-    /// Puts the change of a row in the place of the one before.
+    /// Replaces the last change of a row.
     fn put(&mut self, name: &Name, before: Option<Seen>, revision: u64, value: Option<Bytes>) {
         if let Some(before) = before {
             self.rows.remove(&(before.revision, name.clone()));
--- a/src/store/transaction.rs
+++ b/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! Conditional writes.
+//! Conditional transactions and their outcomes.
 
 use super::{
     Key,
@@ -6,20 +6,21 @@
 };
 use bytes::Bytes;
 
-/// Writes to one part, in any tables, that take effect together or not at all.
+/// Writes to one part, in any tables, that the store applies atomically.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
-    /// The revision each row must have; 0 for a row that must not exist.
+    /// The revision that each of these rows must have; 0 for a row that must not exist.
     pub expect: Vec<(Key, u64)>,
     pub remove: Vec<Key>,
     pub set: Vec<(Key, Bytes)>,
 }
 
-/// What became of a transaction that the store answered.
+/// The outcome of a transaction that the store answered.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// All of it was done, at this revision.
+    /// All writes were applied, at this revision.
     Done { revision: u64 },
-    /// None of it was done: these are the expected rows as they stand.
+    /// A row did not have its expected revision, so no write was applied. `rows` holds
+    /// the current state of the rows of [`Transaction::expect`].
     Conflict { rows: Vec<Row> },
 }
