--- a/src/relay/follower.rs
+++ b/src/relay/follower.rs
@@ -1,5 +1,4 @@
-//! Follows one table: a listing first, then its changes, of the store or of another
-//! instance that follows it.
+//! Follows one table: lists it, then polls for its changes, at the parent or the store.
 
 use super::{
     handle::{LeaveReason, Parent, Relay},
@@ -14,61 +13,60 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What a follower tells.
+/// An event of a followed table.
 #[derive(Debug)]
 pub enum FollowEvent {
-    /// Rows changed. `listed` is true for the first batch after a listing.
+    /// Rows changed. `listed` is true for the result of a listing, which may be empty.
     Changes { changes: Vec<Change>, listed: bool },
-    /// Nobody tells this process of changes any more.
+    /// Changes no longer arrive, from the store or a parent.
     Disconnected,
-    /// Changes are told again.
+    /// Changes arrive again.
     Reconnected,
 }
 
-/// How a table is read.
+/// Which table is followed, and how.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowOptions {
-    /// The longest wait after a call that failed.
+    /// The longest delay after a failed call.
     pub backoff: Millis,
-    /// How long a call for changes is held when there are none.
+    /// How long the store holds a call for changes while there are none (long polling).
     pub hold: Millis,
-    /// Whether its rows lie in several parts.
+    /// Whether the table's rows are in several parts.
     pub has_parts: bool,
-    /// The wait after a batch of changes from the store, in which more of them gather:
-    /// it bounds the calls a second that one busy table costs each that asks the store.
+    /// The delay after a batch of changes from the store, so that the next batch is
+    /// larger. It limits the calls per second for a table that changes often.
     pub batch_delay: Millis,
     pub table: &'static str,
 }
 
-/// How long a call is held for changes that must soon be seen. A feed may
-/// fall silent while the store goes on: it is asked anew twice a second, so
-/// that a configuration that was accepted meanwhile is seen in 1.1 s at most,
-/// of the 2 s that the users allow.
+/// The hold for tables whose changes are urgent. A feed may stop delivering while the
+/// store accepts changes. As it is polled again twice a second, a configuration that was
+/// accepted meanwhile arrives within 1.1 s, of the 2 s that the users allow.
 pub const DEFAULT_HOLD: Millis = Millis(500);
 
-/// The first wait after a failed call.
+/// The delay after the first failed call; it doubles with each further one.
 const INITIAL_BACKOFF: Millis = Millis(50);
 
-/// The longest for tables that bear it: a store that turns calls away is not asked for
-/// all of them at once.
+/// The longest delay for tables whose changes are less urgent, so that a store that
+/// rejects calls is not polled for all tables at once.
 pub const MAX_BACKOFF: Millis = Millis(400);
 
-/// The parts that are listed at once.
+/// How many parts are listed concurrently.
 const MAX_CONCURRENT_LISTINGS: usize = 8;
 
-/// How much longer another instance holds a question than the store does: it is told by
-/// then, and tells at once. Held for as long as the store's, a question could end each time
-/// just before that, and what is told would be older by that time at each level.
+/// How much longer a parent holds a request than the store does. The parent answers as
+/// soon as the store has answered it. With equal holds, a request could end each time just
+/// before that, and the data would be older by one hold at each level of the tree.
 const PARENT_EXTRA_HOLD: Millis = Millis(200);
 
-/// What another instance's answer may take beyond the time that it holds the question.
+/// How long a parent may take to answer, beyond the hold of the request.
 const PAGE_TIMEOUT_MARGIN: Millis = Millis(400);
 
-/// What its answer with a whole table may take.
+/// How long a parent may take to send the whole table.
 const FULL_TABLE_TIMEOUT: Millis = Millis(2_000);
 
-/// How often removed rows are forgotten. The store's history is shorter: who learns of
-/// a row for the first time after that learns that it is gone.
+/// How often removed rows are dropped from the view. The store's history is shorter, so a
+/// feed that shows a dropped row again also shows its removal.
 const PRUNE_INTERVAL: Millis = Millis(60_000);
 
 /// Follows a table until the receiver is dropped.
@@ -87,18 +85,18 @@
 
 struct Follower {
     options: FollowOptions,
-    /// Whether changes were told last time.
+    /// Whether changes arrive: false from a failed call until the next that succeeds.
     connected: bool,
     relay: Arc<Relay>,
     events: mpsc::Sender<FollowEvent>,
     table: Arc<Table>,
 }
 
-/// What came of a question to another instance.
+/// The outcome of a request to the parent.
 enum PollOutcome {
-    /// It no longer keeps what was asked for.
+    /// The parent doesn't have the requested changes.
     Forgotten,
-    /// It was left.
+    /// This process left the parent, or had left it.
     Left,
     Page(Page),
 }
@@ -128,10 +126,13 @@
                     self.note_success().await;
                 }
                 Err(StoreError::HistoryLost) => {
-                    tracing::info!(table = self.options.table, "history lost, listing afresh");
+                    tracing::info!(
+                        table = self.options.table,
+                        "history lost: listing the table again"
+                    );
                     after = None;
                 }
-                // The call has waited for the store's return, and is made again at once.
+                // The call already waited for the store to return, so there is no delay.
                 Err(error @ StoreError::Unreachable) => self.note_failure(&error).await,
                 Err(error) => {
                     self.note_failure(&error).await;
@@ -155,14 +156,14 @@
             {
                 PollOutcome::Page(page) => return Ok(self.take_page(page, after).await),
                 PollOutcome::Forgotten => return Err(StoreError::HistoryLost),
-                // What the store tells must not wait: it may be late already.
+                // Time was lost at the parent: the store answers at once.
                 PollOutcome::Left => hold = Millis(0),
             }
         }
         let table = self.options.table;
         let listing = tokio::select! {
             listing = self.relay.store.changes(table, after, hold) => listing?,
-            // Whoever feeds this process from now on tells it sooner.
+            // The new parent may have changes earlier.
             () = self.relay.parent_found() => return Ok(after),
         };
         let revision = listing.revision.max(after);
@@ -176,7 +177,7 @@
         Ok(revision)
     }
 
-    /// Takes what another instance tells; it has waited for changes to gather.
+    /// Applies a parent's page. No batch delay follows: the root has already waited.
     async fn take_page(&self, page: Page, after: u64) -> u64 {
         let confirmed = self.relay.clock.now() - page.age;
         let listing = page.into_listing();
@@ -220,12 +221,12 @@
         };
         if self.relay.leave_parent(parent, reason) {
             let (feeder, table) = (parent.address, self.options.table);
-            tracing::info!(%feeder, table, ?reason, ?age, "feeder left");
+            tracing::info!(%feeder, table, ?reason, ?age, "left the parent");
         }
         PollOutcome::Left
     }
 
-    /// Lists the table; returns the revision from which its changes go on.
+    /// Lists the table; returns the revision after which to poll for changes.
     async fn list(&mut self) -> Result<u64, StoreError> {
         if let Some(parent) = self.relay.parent()
             && let PollOutcome::Page(page) = self
@@ -247,8 +248,8 @@
         Ok(from)
     }
 
-    /// Lists the table in the store; returns what changed with the revision from which
-    /// its changes go on.
+    /// Lists the table from the store; returns what changed in the view, and the revision
+    /// after which to poll for changes.
     async fn list_store(&self) -> Result<(Vec<Change>, u64), StoreError> {
         let table = self.options.table;
         let store = &self.relay.store;
@@ -287,7 +288,7 @@
             return;
         }
         self.connected = true;
-        tracing::info!(table = self.options.table, "store regained");
+        tracing::info!(table = self.options.table, "receiving changes again");
         // The receiver is gone only when the program ends.
         let _ = self.events.send(FollowEvent::Reconnected).await;
     }
@@ -299,7 +300,7 @@
         }
         self.connected = false;
         self.relay.step_down();
-        tracing::warn!(table = self.options.table, %error, "store lost");
+        tracing::warn!(table = self.options.table, %error, "no longer receiving changes");
         let _ = self.events.send(FollowEvent::Disconnected).await;
     }
 
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -1,4 +1,4 @@
-//! Where this process stands among those that feed each other.
+//! The role of this process in the relay tree, and the state shared by its followers.
 
 use super::{
     message::{RelayRequest, Reply, Want},
@@ -29,56 +29,60 @@
 };
 use tokio::sync::watch;
 
-/// What a process has to say of itself to be fed, and to feed.
+/// How a process identifies itself to the other instances of its group.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Where others of its group ask it.
+    /// The address at which the process takes relay requests.
     pub address: SocketAddr,
-    /// The instances that follow the same tables in its data centre.
+    /// The name of the group: the instances of one program in one data centre, which
+    /// follow the same tables.
     pub group: String,
+    /// The instance's name.
     pub instance: String,
 }
 
-/// How this process learns of changes, shared by all its followers.
+/// This process's node in the relay tree, shared by all its followers.
 pub struct Relay {
     children: Mutex<Children>,
     pub(super) clock: Clock,
+    /// What this process found out about its possible parents.
     feeders: Mutex<Feeders>,
     role: watch::Sender<Role>,
     pub(super) identity: Identity,
-    /// Whether it keeps what it learns for others.
+    /// Whether the process retains rows for children.
     retaining_rows: AtomicBool,
-    /// Whether it has tried to be fed since its start.
+    /// Whether the process has become a child or a root since its start.
     pub(super) role_decided: watch::Sender<bool>,
     pub(super) store: Store,
     tables: Mutex<BTreeMap<&'static str, Arc<Table>>>,
 }
 
-/// Whom it asks.
+/// The role of a process, which determines where it gets changes from.
 #[derive(Clone)]
 pub(super) enum Role {
-    /// The store, as nobody feeds it.
+    /// Reads the store for itself, as it has no parent.
     Standalone,
-    /// Another instance.
+    /// Gets changes from its parent.
     Child(Parent),
-    /// The store, for others.
+    /// Reads the store and serves children.
     Root,
 }
 
-/// Why a feeder was left.
+/// Why a child left its parent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum LeaveReason {
-    /// It feeds as many others as it can.
+    /// The parent has as many other children as it may have.
     Full,
-    /// It learns nothing itself.
+    /// The parent doesn't get changes itself.
     Lost,
-    /// It did not answer.
+    /// The parent did not answer.
     Silent,
-    /// What it tells is too old.
+    /// The parent's data is too old.
     Stale,
 }
 
 impl LeaveReason {
+    /// The value of the metric's label.
     fn label(self) -> &'static str {
         match self {
             Self::Full => "full",
@@ -89,23 +93,24 @@
     }
 }
 
-/// The instance that feeds this one.
+/// The instance from which this one gets changes.
 #[derive(Clone)]
 pub(super) struct Parent {
     pub(super) address: SocketAddr,
     pub(super) peer: Peer,
 }
 
-/// How long after its start a process waits to be fed before it asks the store. When a
-/// whole fleet starts at once and each lists everything, the store turns most calls away,
-/// those of the roots among them, for some seconds; a root needs some tenths of one.
+/// How long a process waits after its start for its role before it reads the store
+/// itself. When a whole fleet starts at once and every instance lists all tables, the
+/// store rejects most calls for some seconds, including those of the roots. Without that
+/// load a root is ready within some tenths of a second.
 const ROLE_DECISION_TIMEOUT: Millis = Millis(2_500);
 
-/// The path of all questions.
+/// The HTTP path of all relay requests.
 pub(super) const PATH: &str = "/relay";
 
 impl Relay {
-    /// Nobody feeds this process yet; see [`Relay::keep`].
+    /// Creates the node as standalone; [`Relay::maintain_role`] finds it a role.
     pub fn open(identity: Identity, store: Store, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             children: Mutex::default(),
@@ -120,17 +125,18 @@
         })
     }
 
-    /// Whether another instance tells this one what changes.
+    /// Whether this process gets changes from a parent.
     pub fn has_parent(&self) -> bool {
         matches!(*self.role.borrow(), Role::Child(_))
     }
 
-    /// The client of the store that all of this process use.
+    /// The store client that this process shares.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Waits until the process knows whom it asks, for a while after its start.
+    /// Waits until this process has become a child or a root since its start, at most
+    /// [`ROLE_DECISION_TIMEOUT`].
     pub(super) async fn wait_role_decided(&self) {
         let mut role_decided = self.role_decided.subscribe();
         let decided = role_decided.wait_for(|role_decided| *role_decided);
@@ -141,7 +147,7 @@
         self.role.borrow().clone()
     }
 
-    /// The instance that feeds this one.
+    /// The parent of this process, if it is a child.
     pub(super) fn parent(&self) -> Option<Parent> {
         match self.role() {
             Role::Child(parent) => Some(parent),
@@ -153,7 +159,8 @@
         self.role.send_replace(role);
     }
 
-    /// Stops asking `parent`; false when it had been left before.
+    /// Leaves `parent` and becomes standalone. Returns false if `parent` was no longer the
+    /// parent.
     pub(super) fn leave_parent(&self, parent: &Parent, reason: LeaveReason) -> bool {
         let left = self.role.send_if_modified(|role| {
             let meant = matches!(role, Role::Child(now) if now.address == parent.address);
@@ -165,7 +172,8 @@
         if left {
             metrics::counter!("redwing_feeders_left_total", "reason" => reason.label())
                 .increment(1);
-            // One that says that it learns nothing says as well when it does again.
+            // A parent without changes answers, and also tells when it has them again, so it
+            // need not be avoided.
             if reason != LeaveReason::Lost {
                 self.feeders().leave(parent.address, self.clock.now());
             }
@@ -173,7 +181,7 @@
         left
     }
 
-    /// The store does not answer this process: another may tell it what changes.
+    /// Makes a root standalone, as the store doesn't answer it: it may find a parent.
     pub(super) fn step_down(&self) {
         self.role.send_if_modified(|role| {
             let root = matches!(role, Role::Root);
@@ -184,55 +192,56 @@
         });
     }
 
-    /// Waits until `parent` feeds this process no more.
+    /// Waits until `parent` is no longer the parent of this process.
     pub(super) async fn parent_left(&self, parent: &Parent) {
         self.wait_role(|role| !matches!(role, Role::Child(now) if now.address == parent.address))
             .await;
     }
 
-    /// Waits until another instance feeds this one.
+    /// Waits until this process has a parent.
     pub(super) async fn parent_found(&self) {
         self.wait_role(|role| matches!(role, Role::Child(_))).await;
     }
 
-    /// Waits until this process is no root.
+    /// Waits until this process is not a root.
     pub(super) async fn demoted(&self) {
         self.wait_role(|role| !matches!(role, Role::Root)).await;
     }
 
     async fn wait_role(&self, holds: impl Fn(&Role) -> bool) {
         let mut role = self.role.subscribe();
-        // Its sender lives as long as this.
+        // The sender is a field of `self`, so the channel can't close.
         let _ = role.wait_for(|role| holds(role)).await;
     }
 
-    /// Whether this process keeps what it learns for others.
+    /// Whether this process retains rows for children.
     pub(super) fn retains_rows(&self) -> bool {
         self.retaining_rows.load(Ordering::Relaxed)
     }
 
+    /// Makes the followers of this process retain rows for children.
     pub(super) fn start_retaining_rows(&self) {
         if !self.retaining_rows.swap(true, Ordering::Relaxed) {
-            tracing::info!("keeps what it learns for other instances");
+            tracing::info!("retaining rows for other instances");
         }
     }
 
-    /// The table called `name`.
+    /// The state of the table `name`, created on first use.
     pub(super) fn table(&self, name: &'static str) -> Arc<Table> {
         self.tables().entry(name).or_default().clone()
     }
 
-    /// The table called `name`, if this process follows it.
+    /// The state of the table `name`, if this process follows it.
     pub(super) fn known_table(&self, name: &str) -> Option<Arc<Table>> {
         self.tables().get(name).cloned()
     }
 
-    /// All tables that this process follows.
+    /// The states of all tables that this process follows.
     pub(super) fn all_tables(&self) -> Vec<Arc<Table>> {
         self.tables().values().cloned().collect()
     }
 
-    /// Asks `peer`; `None` when there is no answer within `within`.
+    /// Sends a relay request to `peer`; `None` if no valid reply arrives within `within`.
     pub(super) async fn ask(
         &self,
         peer: &Peer,
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -1,4 +1,4 @@
-//! Finds an instance that feeds this one, or takes the place of a root.
+//! Finds this process a role: child of another instance, or root.
 
 use super::{
     handle::{Parent, Relay, Role},
@@ -15,48 +15,49 @@
     sync::Arc, //
 };
 
-/// The time between two looks of a root whether it still is one.
+/// How often a root checks that it still holds its slot.
 const ROOT_CHECK_INTERVAL: Millis = Millis(5_000);
 
-/// The wait before one that learns nothing itself is waited for again.
+/// The delay after a join that waited in vain for a peer to get changes.
 const DISCONNECTED_RETRY_DELAY: Millis = Millis(20);
 
-/// The time between two looks of the holder of a place whether the store answers it.
+/// How often a child that holds a root slot checks whether the store answers it again.
 const SLOT_CHECK_INTERVAL: Millis = Millis(500);
 
-/// The wait before a feeder is looked for again, and what is added by chance.
+/// The delay before the next search for a parent, and its random addition.
 const JOIN_RETRY_DELAY: Millis = Millis(100);
 const JOIN_RETRY_JITTER: Millis = Millis(100);
 
-/// Instances that start together try to become roots over this time: most of them find
-/// the places taken then.
+/// Instances that start together spread their attempts to become roots over this time, so
+/// that most of them find the slots claimed.
 const ELECTION_JITTER: Millis = Millis(200);
 
-/// How long a possible feeder has to answer, beyond the time that it holds the question.
+/// How long a peer may take to answer a join, beyond the hold of the request.
 const JOIN_TIMEOUT_MARGIN: Millis = Millis(400);
 
-/// How long one that learns nothing itself is waited for.
+/// The hold of a join at a peer that doesn't get changes itself at present.
 const DISCONNECTED_JOIN_HOLD: Millis = Millis(500);
 
-/// The most instances that are asked one below the other.
+/// How many levels below a root a join descends.
 const MAX_JOIN_DEPTH: usize = 6;
 
-/// A process that is told of the store's return by others asks the store itself this
-/// interval, and a little later by chance.
+/// The interval at which a child probes an unreachable store, and its random addition.
+/// It is long, as the parent tells its children when the store is back.
 const CHILD_PROBE_INTERVAL: Millis = Millis(800);
 const CHILD_PROBE_JITTER: Millis = Millis(400);
 
-/// What came of a question whether one feeds this process.
+/// The outcome of a join.
 enum JoinOutcome {
     Joined(Parent),
-    /// It learns nothing itself at present.
+    /// The peer doesn't get changes itself at present.
     Disconnected,
+    /// The peer doesn't answer, or it is full and no instance below it has room.
     Declined,
 }
 
 impl Relay {
-    /// Has this process fed, or makes it a root, until the program drains: one that leaves
-    /// must not take the place of a root.
+    /// Keeps this process a child or a root, until the program drains: an instance that
+    /// stops must not claim a root slot.
     pub async fn maintain_role(self: Arc<Self>, context: Context) {
         tokio::select! {
             () = self.run_role() => {}
@@ -72,7 +73,7 @@
                     let wait = self.find_parent(&mut slots).await;
                     tokio::time::sleep(wait.as_duration()).await;
                 }
-                // Its place is its own again once the store answers it.
+                // A child that holds a root slot becomes root again once the store answers it.
                 Role::Child(parent) if slots.is_held_by(self.identity.address) => tokio::select! {
                     () = self.parent_left(&parent) => {}
                     () = tokio::time::sleep(SLOT_CHECK_INTERVAL.as_duration()) => {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Looks once for a feeder; returns the wait before the next look.
+    /// Tries once to become a child or a root; returns the delay before the next try.
     async fn find_parent(&self, slots: &mut RootSlots) -> Millis {
         let mut reached = slots.read(self).await.is_ok();
         if reached && slots.has_free() && !slots.is_held_by(self.identity.address) {
@@ -106,8 +107,9 @@
             return Millis(0);
         }
         match self.join_any_parent(slots).await {
-            // Roots that wait for each other's word would feed each other in a circle once
-            // the store is back, and hear nothing for a while.
+            // While the store is down, roots may wait for each other to get changes. If
+            // they became each other's children once it is back, they would form a cycle
+            // and get no changes for a while.
             JoinOutcome::Joined(_)
                 if slots.is_held_by(self.identity.address) && slots.read(self).await.is_ok() =>
             {
@@ -118,7 +120,7 @@
                 self.become_child(parent, slots);
                 return Millis(0);
             }
-            // It was waited for.
+            // The join already waited for the peer.
             JoinOutcome::Disconnected => return DISCONNECTED_RETRY_DELAY,
             JoinOutcome::Declined => {}
         }
@@ -129,16 +131,16 @@
         JOIN_RETRY_DELAY + self.jitter(JOIN_RETRY_JITTER)
     }
 
-    /// A root looks whether another has taken its place.
+    /// Makes a root standalone if another instance has claimed its slot.
     async fn check_root(&self, slots: &mut RootSlots) {
         if slots.read(self).await.is_ok() && !slots.is_held_by(self.identity.address) {
-            tracing::info!("another instance is root in its place");
+            tracing::info!("root slot claimed by another instance");
             self.set_role(Role::Standalone);
         }
     }
 
     fn become_root(&self) {
-        tracing::info!(group = self.identity.group, "asks the store for others");
+        tracing::info!(group = self.identity.group, "became a root of the group");
         self.store.probe_often();
         self.start_retaining_rows();
         self.set_role(Role::Root);
@@ -146,8 +148,8 @@
     }
 
     fn become_child(&self, parent: Parent, slots: &RootSlots) {
-        tracing::info!(feeder = %parent.address, "fed by another instance");
-        // Others wait for the holder of a place to tell that the store is back.
+        tracing::info!(feeder = %parent.address, "joined a parent");
+        // Others learn from the holder of a root slot that the store is back.
         match slots.is_held_by(self.identity.address) {
             true => self.store.probe_often(),
             false => {
@@ -157,18 +159,18 @@
         }
         self.set_role(Role::Child(parent));
         self.role_decided.send_replace(true);
-        // Whoever feeds others learns of changes: the store may be back for all.
+        // The parent gets changes, so the store may be reachable again.
         self.store.probe_now();
     }
 
-    /// A time below `most`, another one for each instance and moment.
+    /// A pseudo-random time below `max` that differs by instance and moment.
     fn jitter(&self, max: Millis) -> Millis {
         let now = self.clock.now().0.to_le_bytes();
         let hash = stable_hash(&[self.identity.instance.as_bytes(), &now]);
         Millis(hash % max.0)
     }
 
-    /// Asks the roots, and those that they feed, until one feeds this process.
+    /// Tries to join the roots or instances below them, in order of preference.
     async fn join_any_parent(&self, slots: &RootSlots) -> JoinOutcome {
         let holders = slots.holders();
         let others = holders.filter(|holder| *holder != self.identity.address);
@@ -190,13 +192,15 @@
         }
     }
 
+    /// Sorts `addresses` by this instance's preference, without parents it left recently.
     fn by_preference(&self, addresses: &[SocketAddr]) -> Vec<SocketAddr> {
         let now = self.clock.now();
         self.feeders()
             .order(&self.identity.instance, addresses, now)
     }
 
-    /// Asks the instance at `address`, or one that it feeds, to feed this process.
+    /// Asks the instance at `address` to become the parent, or an instance below it if it
+    /// is full. Descends at most `depth` levels.
     async fn join(&self, address: SocketAddr, hold: Millis, depth: usize) -> JoinOutcome {
         let peer = Peer::open(address, self.clock);
         let reply = self
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other.
+//! Messages between the instances of a relay tree.
 
 use crate::{
     base::Millis,
@@ -10,51 +10,55 @@
 };
 use std::net::SocketAddr;
 
-/// What an instance asks another one.
+/// A request to an instance, from a child or from an instance that looks for a parent.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct RelayRequest {
-    /// Where the one that asks can be asked itself.
+    /// The address at which the sender takes relay requests.
     pub(super) at: SocketAddr,
-    /// The instance that asks.
+    /// The sender's instance name.
     pub(super) from: String,
-    /// How long the answer may wait for something to tell.
+    /// How long the receiver may hold the request until it has something to answer.
     pub(super) hold: Millis,
     pub(super) want: Want,
 }
 
+/// What a request asks for.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum Want {
-    /// The rows of `table` that changed after the revision `after`; all for 0.
+    /// The rows of `table` that changed after the revision `after`; all rows if 0.
     Changes { after: u64, table: String },
-    /// To be fed from now on.
+    /// To become a child of the receiver.
     Join,
 }
 
-/// What it answers.
+/// The answer to a [`RelayRequest`].
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum Reply {
-    /// The changes asked for are no longer kept, or not yet.
+    /// The receiver doesn't have the requested changes, or not yet.
     Forgotten,
-    /// It feeds as many as it can; those at these addresses may feed more.
+    /// The receiver has as many children as it may have. Their addresses follow, as they
+    /// may take more children.
     Full(Vec<SocketAddr>),
+    /// The sender is now a child of the receiver.
     Joined,
-    /// It does not learn of changes itself.
+    /// The receiver doesn't get changes itself at present.
     Lost,
+    /// The requested changes.
     Page(Page),
 }
 
 /// Changes of a table.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct Page {
-    /// How long ago the store has told what is told here.
+    /// How long ago the store confirmed the state that the page reflects.
     pub(super) age: Millis,
-    /// The revision up to which all changes are told.
+    /// The revision up to which the page is complete.
     pub(super) revision: u64,
     pub(super) rows: Vec<Row>,
 }
 
 impl Page {
-    /// Its rows, as if the store had told them.
+    /// Converts the page to a listing as the store would return it.
     pub(super) fn into_listing(self) -> Listing {
         Listing {
             rows: self.rows,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,5 +1,7 @@
-//! How a program learns what changes in the store: from the store, or from another
-//! instance of the program in its data centre, and how it feeds others.
+//! Distributes changes of the store's tables among the instances of a program.
+//!
+//! The instances of a data centre form a tree: a few roots read the store, and each
+//! other instance (child) gets the changes from a root or another child (its parent).
 
 mod follower;
 mod handle;
--- a/src/relay/root_slots.rs
+++ b/src/relay/root_slots.rs
@@ -1,4 +1,4 @@
-//! The places of the instances that ask the store for others.
+//! The root slots of a group, kept in the store.
 
 use super::handle::Relay;
 use crate::{
@@ -12,53 +12,53 @@
 };
 use std::net::SocketAddr;
 
-/// The table of roots: a part for each group, a row for each place.
+/// The table of roots: a part for each group, a row for each slot.
 ///
-/// A row is a hint where to ask. Two instances that take themselves for the same root do
-/// no harm: both read the store.
+/// A row only tells where to ask for changes. Two instances that believe to hold the same
+/// slot do no harm: both read the store.
 const ROOTS_TABLE: &str = "roots";
 
-/// What a place's row holds.
+/// The value of a slot's row: the instance that holds the slot.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct Holder {
     address: SocketAddr,
     instance: String,
 }
 
-/// A place and who holds it.
+/// A slot as last read from the store.
 #[derive(Clone, Debug, Default)]
 struct RootSlot {
     holder: Option<Holder>,
-    /// 0 for one that was never taken.
+    /// 0 for a slot that was never claimed.
     revision: u64,
 }
 
-/// The places of one group, as read last; none before that.
+/// The root slots of one group as last read; empty before the first read.
 #[derive(Debug, Default)]
 pub(super) struct RootSlots(Vec<RootSlot>);
 
 impl RootSlots {
-    /// Whether the instance at `address` holds one.
+    /// Whether the instance at `address` holds a slot.
     pub(super) fn is_held_by(&self, address: SocketAddr) -> bool {
         self.holders().any(|holder| holder == address)
     }
 
-    /// Whether one was never taken.
+    /// Whether some slot has no holder.
     pub(super) fn has_free(&self) -> bool {
         self.0.iter().any(|slot| slot.holder.is_none())
     }
 
-    /// Where the roots can be asked.
+    /// The addresses of the roots.
     pub(super) fn holders(&self) -> impl Iterator<Item = SocketAddr> {
         let holders = self.0.iter().filter_map(|slot| slot.holder.as_ref());
         holders.map(|holder| holder.address)
     }
 
-    /// Reads who holds them; what was known stays when the store does not tell.
+    /// Reads the slots from the store. On an error the slots keep their last state.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] when the store did not answer, or said why it can't.
+    /// [`StoreError`] if the store is unreachable or the call failed.
     pub(super) async fn read(&mut self, relay: &Relay) -> Result<(), StoreError> {
         if relay.store.is_away() {
             return Err(StoreError::Unreachable);
@@ -79,8 +79,8 @@
         Ok(())
     }
 
-    /// Takes one that nobody holds, or whose holder is gone; false when there is none, or
-    /// another was faster.
+    /// Claims a slot that has no holder or whose holder can't be reached. Returns false if
+    /// there is none, or if another instance changed the slot first.
     pub(super) async fn claim(&mut self, relay: &Relay) -> bool {
         let Some(number) = self.free_slot(relay) else {
             return false;
@@ -100,7 +100,7 @@
             return false;
         };
         let before = slot.holder.as_ref().map(|holder| &holder.instance);
-        tracing::info!(number, ?before, "takes the place of a root");
+        tracing::info!(number, ?before, "root slot claimed");
         *slot = RootSlot {
             holder: Some(holder),
             revision,
@@ -108,7 +108,8 @@
         true
     }
 
-    /// The place that the instance of `relay` may take, another first one for each.
+    /// The slot that this instance may claim. Instances start their search at different
+    /// slots, so that they compete less.
     fn free_slot(&self, relay: &Relay) -> Option<usize> {
         let now = relay.clock.now();
         let is_free = |slot: &RootSlot| match &slot.holder {
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Feeds other instances.
+//! Serves changes to the children of this instance.
 
 use super::{
     handle::{PATH, Relay},
@@ -19,16 +19,16 @@
 };
 use std::sync::Arc;
 
-/// The bytes of a question.
+/// The maximum size of a relay request.
 const MAX_REQUEST_BYTES: usize = 4 * 1024;
 
-/// The longest time that a question is held.
+/// The longest time for which a relay request is held.
 const MAX_HOLD: Millis = Millis(2_000);
 
 const OCTET_STREAM: &str = "application/octet-stream";
 
 impl Relay {
-    /// Answers other instances until the program drains.
+    /// Answers relay requests until the program drains.
     pub async fn serve(self: Arc<Self>, context: Context, server: HttpServer) {
         let handler = move |request| {
             let relay = self.clone();
@@ -47,14 +47,14 @@
             Err(_) => None,
         };
         let Some(relay_request) = relay_request else {
-            tracing::warn!("a question of another instance is not understood");
+            tracing::warn!("invalid relay request");
             return text(StatusCode::BAD_REQUEST, "text/plain", "no question\n");
         };
         let reply = self.reply(relay_request).await;
         match postcard::to_stdvec(&reply) {
             Ok(body) => text(StatusCode::OK, OCTET_STREAM, body),
             Err(error) => {
-                tracing::error!(%error, "a reply can't be encoded");
+                tracing::error!(%error, "relay reply can't be encoded");
                 text(
                     StatusCode::INTERNAL_SERVER_ERROR,
                     "text/plain",
@@ -83,6 +83,7 @@
         }
     }
 
+    /// Answers a child's request for the changes of `table` after the revision `after`.
     async fn changes(&self, table: &str, after: u64, hold: Millis) -> Reply {
         let Some(table) = self.known_table(table) else {
             return Reply::Forgotten;
@@ -96,6 +97,7 @@
         page.map_or(Reply::Forgotten, Reply::Page)
     }
 
+    /// Accepts the instance `from` as a child if its tables can be served within `hold`.
     async fn admit_child(&self, from: &str, hold: Millis) -> Reply {
         self.start_retaining_rows();
         let tables = self.all_tables();
@@ -108,7 +110,7 @@
         }
         let children = self.children().count();
         metrics::gauge!("redwing_relay_children").set(children as f64);
-        tracing::info!(instance = from, children, "feeds another instance");
+        tracing::info!(instance = from, children, "child admitted");
         Reply::Joined
     }
 }
--- a/src/relay/table.rs
+++ b/src/relay/table.rs
@@ -1,4 +1,4 @@
-//! One table as this process has read it, for itself and for those that it feeds.
+//! The state of one followed table, for this process and its children.
 
 use super::message::Page;
 use crate::{
@@ -12,7 +12,7 @@
 };
 use tokio::sync::watch;
 
-/// Written by the table's follower.
+/// A followed table. Its follower writes it; the server of relay requests reads it.
 pub(super) struct Table {
     state: watch::Sender<State>,
     view: Mutex<TableView>,
@@ -20,20 +20,20 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    /// The revision of the newest change.
+    /// The revision of the newest retained change.
     changed: u64,
-    /// When the store told what is known.
+    /// When the store confirmed the known state.
     confirmed: Millis,
-    /// Whether changes are learnt at present.
+    /// Whether the follower receives changes at present.
     connected: bool,
     /// The revision up to which all changes are known.
     revision: u64,
-    /// Whether all rows are kept, for others.
+    /// Whether all rows of the table are retained.
     complete: bool,
 }
 
 impl State {
-    /// Whether the rows are kept for others, and learnt at present.
+    /// Whether children can be served: all rows are retained, and changes arrive.
     fn can_serve(&self) -> bool {
         self.complete && self.connected
     }
@@ -49,8 +49,8 @@
 }
 
 impl Table {
-    /// Takes what was told of the table up to `revision`, as the store had it at
-    /// `confirmed`; returns what it changes.
+    /// Applies an update that is complete up to `revision` and that the store confirmed at
+    /// `confirmed`. `take` applies it to the view; its changes are returned.
     pub(super) fn update(
         &self,
         revision: u64,
@@ -71,7 +71,7 @@
         changes
     }
 
-    /// All rows were told, up to `revision`.
+    /// Records that a listing of all rows, up to `revision`, was applied.
     pub(super) fn set_complete(&self, revision: u64) {
         let was_complete = self.state.borrow().complete;
         let mut view = self.view();
@@ -83,7 +83,8 @@
         self.state.send_modify(|state| state.complete = true);
     }
 
-    /// Keeps the rows from now on, for others; true when they have to be listed for it.
+    /// Starts to retain rows for children. Returns true if that is new, in which case the
+    /// table must be listed again.
     pub(super) fn start_retaining(&self) -> bool {
         let mut view = self.view();
         let starts = !view.retains_rows();
@@ -93,33 +94,33 @@
         starts
     }
 
-    /// Whether the rows are kept for others, and learnt at present.
+    /// Whether children can be served: all rows are retained, and changes arrive.
     pub(super) fn can_serve(&self) -> bool {
         self.state.borrow().can_serve()
     }
 
-    /// Nothing is learnt at present.
+    /// Records that no changes arrive at present.
     pub(super) fn set_disconnected(&self) {
         self.state.send_modify(|state| state.connected = false);
     }
 
-    /// Forgets removed rows that nobody can miss any more.
+    /// Drops rows that were removed some time ago; see [`TableView::prune`].
     pub(super) fn prune(&self) {
         self.view().prune();
     }
 
-    /// Waits at most `hold` until others can be fed.
+    /// Waits at most `hold` until children can be served.
     pub(super) async fn wait_servable(&self, hold: Millis) {
         let mut state = self.state.subscribe();
         let can_serve = state.wait_for(State::can_serve);
         let _ = tokio::time::timeout(hold.as_duration(), can_serve).await;
     }
 
-    /// Waits at most `hold` for a change after `after`, for the store's word that there
-    /// is none, or until nothing is learnt.
+    /// Waits at most `hold` for a change after the revision `after`, for a newer
+    /// confirmation from the store, or for the loss of the feed.
     ///
-    /// With changes alone each instance between the store and another would add the time
-    /// that it waits to the age of what is told, until it is too old to go by.
+    /// If confirmations didn't end the wait, each level of the tree would add its hold to
+    /// the age of the pages, until children take them for stale.
     pub(super) async fn wait_update(&self, after: u64, hold: Millis) {
         let mut state = self.state.subscribe();
         let confirmed = state.borrow().confirmed;
@@ -129,7 +130,7 @@
         let _ = tokio::time::timeout(hold.as_duration(), updated).await;
     }
 
-    /// What changed after `after`; `None` when that is not kept.
+    /// The changes after the revision `after`; `None` if they are not retained.
     pub(super) fn page(&self, after: u64, now: Millis) -> Option<Page> {
         let state = *self.state.borrow();
         if !state.complete {
@@ -138,7 +139,7 @@
         let rows = self.view().rows_since(after)?;
         Some(Page {
             age: now.since(state.confirmed),
-            // What changed since may be among the rows, but not all of it.
+            // The rows may include newer changes, but not all of them.
             revision: state.revision,
             rows,
         })
