--- a/src/view/confirm.rs
+++ b/src/view/confirm.rs
@@ -1,4 +1,4 @@
-//! Asks the store whether the configuration in force is still the newest.
+//! Confirms with the store that the configuration in force is the newest.
 
 use super::Site;
 use crate::{
@@ -8,18 +8,19 @@
 };
 use std::sync::Arc;
 
-/// How often the store is asked. A feed that is silent proves nothing: it may have
-/// lost its history. Some questions may fail before the configuration is too old.
+/// How often the store is asked. A feed without changes is no confirmation, as it may have
+/// lost its history. Some calls may fail before the configuration is too old.
 const CONFIRM_INTERVAL: Millis = Millis(1_000);
 
-/// The wait after a question that failed, or found nothing.
+/// The delay after a failed call, and while no valid configuration has been found.
 const RETRY_DELAY: Millis = Millis(200);
 
-/// The least time between two questions. Callers with unknown keys or paths have the
-/// store asked at once, so that nobody is turned away by an old configuration.
+/// The minimum time between two calls. Callers with unknown keys or paths cause a call at
+/// once, so that no caller is rejected by an outdated configuration.
 const MIN_CONFIRM_INTERVAL: Millis = Millis(50);
 
-/// Confirms the configuration for good, where its age matters.
+/// Confirms the configuration regularly and on request, until the program ends. Needed
+/// only where the configuration's age is limited.
 pub async fn confirm_config(site: Arc<Site>, store: Store) {
     let key = Key::new(OPERATOR_TABLE, "", CONFIG_KEY);
     let mut applied = 0;
@@ -34,10 +35,10 @@
                             applied = row.revision;
                             site.apply_config(config);
                         }
-                        Err(error) => tracing::error!(%error, "a configuration is left out"),
+                        Err(error) => tracing::error!(%error, "invalid configuration ignored"),
                     }
                 }
-                // One that is not understood is not in force.
+                // An invalid configuration is not in force, so it can't be confirmed.
                 if row.revision == applied {
                     site.set_confirmed(asked);
                 }
@@ -49,11 +50,11 @@
         if error.is_some() != failing {
             failing = error.is_some();
             match &error {
-                Some(error) => tracing::warn!(%error, "the configuration is not confirmed"),
-                None => tracing::info!("the configuration is confirmed again"),
+                Some(error) => tracing::warn!(%error, "configuration can't be confirmed"),
+                None => tracing::info!("configuration can be confirmed again"),
             }
         }
-        // There is none before the operators' first.
+        // `applied` is 0 until the operators have written a valid configuration.
         let wait = match failing || applied == 0 {
             true => RETRY_DELAY,
             false => CONFIRM_INTERVAL,
--- a/src/view/crash_row.rs
+++ b/src/view/crash_row.rs
@@ -1,4 +1,4 @@
-//! A crash as the store keeps it.
+//! Rows of crashes and attempts in the store.
 
 use crate::{
     base::{Fingerprint, Millis},
@@ -12,42 +12,43 @@
     Serialize, //
 };
 
-/// The table of crashes. Each is a row of its own that is written without a
-/// condition: instances that saw the same crash write the same row.
+/// The table of crashes. Each crash has its own row, which is written unconditionally:
+/// instances that saw the same crash write the same row.
 pub(super) const CRASHES: &str = "crashes";
 
-/// One server's end under one request.
+/// The crash of a server while it ran a request.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Crash {
     pub(super) life: Life,
     pub(super) request: Fingerprint,
 }
 
-/// The table of attempts. Each is a row in a part of its own, as hundreds of requests
-/// may lose their servers at once, and nobody follows them.
+/// The table of claimed attempts. Each row has a part of its own: hundreds of requests may
+/// lose their servers at once, and no instance follows the table.
 const ATTEMPTS: &str = "attempts";
 
-/// The row that lets one instance run a request under which servers have ended.
+/// The key of the row with which one instance at a time claims the attempt of a request
+/// under which servers have crashed.
 pub(super) fn attempt_key(request: Fingerprint) -> Key {
     Key::new(ATTEMPTS, request.to_string(), "attempt")
 }
 
-/// What a row holds beside its key.
+/// The value of a row in either table.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct RowValue {
-    /// By the store's clock.
+    /// When the row was written, by the store's clock.
     at: Millis,
 }
 
 impl Crash {
-    /// The row's key: request, start of the server's life, its id.
+    /// The row's key: the request, the server's start time, the server's id.
     pub(super) fn key(&self) -> Key {
         let Life { born, id } = &self.life;
         let key = format!("{}/{}/{id}", self.request, born.0);
         Key::new(CRASHES, "", key)
     }
 
-    /// The crash that a row's key names.
+    /// Parses a row's key.
     pub(super) fn parse(key: &str) -> Option<Self> {
         let mut parts = key.splitn(3, '/');
         let request = Fingerprint::parse(parts.next()?)?;
@@ -57,12 +58,12 @@
     }
 }
 
-/// The value of a row that was written at `at`.
+/// Encodes the value of a row that is written at `at`.
 pub(super) fn value_at(at: Millis) -> Bytes {
     encode(&RowValue { at })
 }
 
-/// When a row was written, by its value.
+/// Decodes when a row was written; `None` if its value is invalid.
 pub(super) fn written_at(value: &[u8]) -> Option<Millis> {
     decode::<RowValue>("crash or attempt", value).map(|value| value.at)
 }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -1,11 +1,11 @@
-//! Servers that ended under requests, as all instances know them.
+//! Crashes of servers while they ran requests, shared among all instances.
 
 use super::crash_row::{
     CRASHES,
     Crash,
     attempt_key,
-    value_at, //
-    written_at,
+    value_at,
+    written_at, //
 };
 use crate::{
     base::{Fingerprint, Millis},
@@ -29,83 +29,88 @@
     time::Instant, //
 };
 
-/// The crashes that this program saw or heard of; [`sync_crashes`] shares them.
+/// The crashes that this program saw or received; [`sync_crashes`] shares them.
 ///
-/// A request that ends each server that runs it comes again at other instances,
-/// under other ids. What each of them saw goes through the store to all, so that
-/// three servers end under it at most, wherever it comes.
+/// A request that crashes each server that runs it is sent again to other instances,
+/// under other ids. The instances share the crashes through the store, so that such a
+/// request crashes at most three servers, wherever it arrives.
 pub struct Crashes {
+    /// Whether the table of crashes was listed since the start.
     listed: watch::Sender<bool>,
-    /// Until when calls wait for the list.
+    /// Until when calls wait for that listing.
     listing_deadline: Instant,
     quarantine: Mutex<Quarantine>,
     store: Store,
-    /// Changes that are not in the store yet.
+    /// The number of queued changes that are not in the store yet.
     pending_writes: watch::Sender<usize>,
     writes: mpsc::Sender<Write>,
 }
 
-/// Who may run a request that may end its server.
+/// The result of [`Crashes::claim_attempt`].
 #[derive(Clone, Copy, Debug)]
 pub enum ClaimResult {
+    /// Another instance has claimed the attempt.
     Elsewhere,
+    /// This instance has claimed the attempt.
     Here(Attempt),
-    /// The store can't tell.
+    /// The store didn't answer.
     Unknown,
 }
 
-/// The one attempt of a request that all instances may make at a time.
+/// A claimed attempt of a request. All instances together may make one at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     request: Fingerprint,
-    /// Of its row, which another claim replaces.
+    /// The revision of the claim's row; a later claim replaces the row.
     revision: u64,
 }
 
-/// Takes what is to be written; for [`sync_crashes`].
+/// The receiving end of the queue of changes, for [`sync_crashes`].
 pub struct CrashWrites(mpsc::Receiver<Write>);
 
-/// A change that all instances should learn.
+/// A queued change to the tables of crashes and attempts.
 #[derive(Debug)]
 enum Write {
-    /// A crash, whose row stands from now on or is removed.
+    /// Write the row of a crash if it `counts`; remove the row if not.
     Crash { counts: bool, key: Key },
-    /// An attempt is over; what it showed was queued before.
+    /// Release an attempt. The crashes it caused were queued before.
     Release(Attempt),
 }
 
-/// Changes that may wait for the store. A server's end concerns some ten requests;
-/// more than this many wait only when dozens end in an outage.
+/// How many changes may be queued for the store. A server's crash concerns some ten
+/// requests, so the queue overflows only if dozens of servers crash in an outage.
 const MAX_PENDING_WRITES: usize = 1_024;
 
-/// The most rows of one transaction; the store takes 100.
+/// The maximum number of rows in one transaction; the store accepts 100.
 const MAX_TRANSACTION_ROWS: usize = 90;
 
-/// The wait after a write that the store did not take.
+/// The delay after a failed write.
 const WRITE_RETRY_DELAY: Millis = Millis(200);
 
-/// How long the store holds a call for changes. A silent feed is noticed after
-/// this and half a second: within the 3 s that the users allow for all to know.
+/// How long the store holds a call for changes. A feed that stopped delivering is
+/// detected half a second after this: within the 3 s that the users allow until all
+/// instances know a crash.
 const CHANGES_HOLD: Millis = Millis(1_500);
 
-/// The wait after changes, in which those of one crash gather.
+/// The delay collects the changes of one crash into one batch.
 const BATCH_DELAY: Millis = Millis(10);
 
-/// How long an instance has for a trial that it has taken: a long item's run. One
-/// that was broken off by something else is free then.
+/// How long a trial stays claimed if its holder doesn't release it: the run time of a
+/// long item. A trial that was interrupted for another reason is free after this.
 const TRIAL_TIMEOUT: Millis = Millis(10_000);
 
-/// How long after the start calls wait for the list of crashes: it takes some ms.
+/// How long after the start calls wait for the listing of crashes, which usually takes
+/// some milliseconds.
 const LISTING_TIMEOUT: Millis = Millis(1_000);
 
-/// How often crashes that count no more are looked for.
+/// How often expired crashes are removed.
 const SWEEP_INTERVAL: Millis = Millis(60_000);
 
-/// Batches of changes that may wait here; the follower waits then.
+/// How many batches of changes may be queued; the follower waits while the queue is full.
 const FEED_CAPACITY: usize = 16;
 
 impl Crashes {
-    /// No crash is known yet; `store` is where they are shared.
+    /// Creates the state with no known crash. Crashes are shared through `store`.
     pub fn open(store: Store) -> (Arc<Self>, CrashWrites) {
         let (writes, pending) = mpsc::channel(MAX_PENDING_WRITES);
         let crashes = Self {
@@ -119,14 +124,14 @@
         (Arc::new(crashes), CrashWrites(pending))
     }
 
-    /// The server `life` has ended, and `requests` were under way there.
+    /// Records that the server `life` crashed while it ran `requests`.
     pub fn record_crash(&self, life: &Life, requests: &[Fingerprint]) {
         let now = self.store.now();
         for request in requests {
             let (request, life) = (*request, life.clone());
             if self.quarantine().is_answered(request, now) {
                 let server = &life.id;
-                tracing::info!(%request, server, "server ended beside a request that others answer");
+                tracing::info!(%request, server, "crash not counted: other servers answer the request");
                 continue;
             }
             if !self.quarantine().note(request, life.clone(), now) {
@@ -134,38 +139,38 @@
             }
             let ended = self.quarantine().ended(request);
             let server = &life.id;
-            tracing::warn!(%request, server, ended, "server ended under a request");
+            tracing::warn!(%request, server, ended, "server crashed while it ran a request");
             metrics::counter!("redwing_crashes_seen_total").increment(1);
             if ended == ENDED_MOST {
-                tracing::warn!(%request, ended, "request in quarantine");
+                tracing::warn!(%request, ended, "request quarantined");
                 metrics::counter!("redwing_requests_quarantined_total").increment(1);
             }
             self.queue_crash(Crash { life, request }.key(), true);
         }
     }
 
-    /// A server answered `request`.
+    /// Records that a server answered `request`, which clears its crashes.
     pub fn record_answer(&self, request: Fingerprint) {
         let cleared = self.quarantine().acquit(request, self.store.now());
         if cleared.is_empty() {
             return;
         }
         let ended = cleared.len();
-        tracing::info!(%request, ended, "request acquitted: a server answered it");
+        tracing::info!(%request, ended, "crashes cleared: a server answered the request");
         for life in cleared {
             self.queue_crash(Crash { life, request }.key(), false);
         }
     }
 
-    /// What may be done with `request`.
+    /// Whether and how `request` may run.
     pub fn quarantine_state(&self, request: Fingerprint) -> Verdict {
         let now = self.store.now();
         self.quarantine().judge(request, now)
     }
 
-    /// Takes the one attempt of `request` that all instances may make at a time, and
-    /// reads what the attempts before it have shown. One that its holder never ended
-    /// is free after `timeout`.
+    /// Claims the attempt of `request`, of which all instances may make one at a time, and
+    /// reads the crashes of earlier attempts. A claim that its holder doesn't release is
+    /// free after `timeout`.
     pub async fn claim_attempt(&self, request: Fingerprint, timeout: Millis) -> ClaimResult {
         if self.store.is_away() {
             return ClaimResult::Unknown;
@@ -181,15 +186,16 @@
             };
             let rows = match self.store.transact(&transaction).await {
                 Ok(Outcome::Done { revision }) => {
-                    // Its holder before has written what it saw before it ended it.
+                    // The previous holder wrote the crashes it saw before it released the
+                    // attempt.
                     self.refresh(request).await;
                     let ended = self.crash_count(request);
-                    tracing::info!(%request, ended, "a request that may end its server is tried");
+                    tracing::info!(%request, ended, "attempt claimed");
                     return ClaimResult::Here(Attempt { request, revision });
                 }
                 Ok(Outcome::Conflict { rows }) => rows,
                 Err(error) => {
-                    tracing::info!(%request, %error, "whether another tries it is unknown");
+                    tracing::info!(%request, %error, "attempt not claimed");
                     return ClaimResult::Unknown;
                 }
             };
@@ -199,6 +205,7 @@
             });
             match free {
                 Some(free) => expected = free,
+                // The claim was released meanwhile.
                 None if rows.is_empty() => expected = 0,
                 None => return ClaimResult::Elsewhere,
             }
@@ -206,13 +213,13 @@
         ClaimResult::Elsewhere
     }
 
-    /// Takes the trial of `request`, which is in quarantine; `None` when another has
-    /// it, or the store can't tell.
+    /// Claims the trial of `request`, which is in quarantine. `None` if another instance has
+    /// claimed it, the store didn't answer, or the trial is no longer due.
     pub async fn claim_trial(&self, request: Fingerprint) -> Option<Attempt> {
         let ClaimResult::Here(attempt) = self.claim_attempt(request, TRIAL_TIMEOUT).await else {
             return None;
         };
-        // Others may have tried it meanwhile.
+        // Another instance may have made the trial meanwhile.
         if self.quarantine_state(request) == Verdict::Barred {
             self.release_attempt(attempt);
             return None;
@@ -220,30 +227,30 @@
         Some(attempt)
     }
 
-    /// How many servers ended under `request`.
+    /// How many servers have crashed while they ran `request`.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.quarantine().ended(request)
     }
 
-    /// Whether the crashes that others saw were read since the start.
+    /// Whether the table of crashes was listed since the start.
     pub fn are_listed(&self) -> bool {
         *self.listed.borrow()
     }
 
-    /// Whether all that this program saw is in the store.
+    /// Whether all changes of this program are in the store.
     pub fn are_shared(&self) -> bool {
         *self.pending_writes.borrow() == 0
     }
 
-    /// Waits at most `timeout` until all that this program saw is in the store.
+    /// Waits at most `timeout` until all changes of this program are in the store.
     pub async fn wait_shared(&self, timeout: Millis) {
         let mut pending_writes = self.pending_writes.subscribe();
         let none = pending_writes.wait_for(|count| *count == 0);
         let _ = tokio::time::timeout(timeout.as_duration(), none).await;
     }
 
-    /// Reads what others saw under `request`, for a program that can't wait for the
-    /// feed: the request comes from the one that has just lost its server.
+    /// Reads the crashes of `request` from the store, without waiting for the feed: the
+    /// request may come from an instance that has just lost its server.
     pub async fn refresh(&self, request: Fingerprint) {
         let prefix = format!("{request}/");
         match self
@@ -265,22 +272,24 @@
                     }
                 }
             }
-            Err(error) => tracing::info!(%request, %error, "crashes under it were not read"),
+            Err(error) => tracing::info!(%request, %error, "crashes of the request not read"),
         }
     }
 
-    /// Waits until they were read, for a second after the start at most.
+    /// Waits until the table of crashes was listed, for a second after the start at most.
     ///
-    /// Requests reach a program that has just started before it is ready. One that
-    /// ended servers before met it with an empty list, 5 ms after its start.
+    /// Requests may reach a program before it is ready. One that had crashed servers before
+    /// arrived 5 ms after a start, when the program knew no crashes.
     pub async fn wait_listed(&self) {
         let mut listed = self.listed.subscribe();
         let read = listed.wait_for(|listed| *listed);
-        // Without the store a program knows no configuration and calls nobody.
+        // A timeout is harmless: without the store there is no configuration, and so no
+        // call is sent.
         let _ = tokio::time::timeout_at(self.listing_deadline, read).await;
     }
 
-    /// The attempt is over: another may be made once all know what it showed.
+    /// Releases an attempt that is over. The release is written after its crashes, so that
+    /// the next holder reads them.
     pub fn release_attempt(&self, attempt: Attempt) {
         self.queue(Write::Release(attempt));
     }
@@ -300,7 +309,7 @@
         if let Err(error) = self.writes.try_send(write) {
             self.pending_writes.send_modify(|count| *count -= 1);
             metrics::counter!("redwing_crashes_unshared_total").increment(1);
-            tracing::warn!(%error, "a crash is known here only");
+            tracing::warn!(%error, "crash or release not shared with other instances");
         }
     }
 
@@ -310,7 +319,7 @@
             Change::Removed { key, .. } => (key, None),
         };
         let Some(Crash { life, request }) = Crash::parse(&key) else {
-            tracing::warn!(key, "an entry names no crash");
+            tracing::warn!(key, "invalid crash key ignored");
             return;
         };
         let at = value.map(|value| written_at(&value));
@@ -322,14 +331,15 @@
                 let server = life.id.clone();
                 if quarantine.note(request, life, at) {
                     let ended = quarantine.ended(request);
-                    tracing::info!(%request, server, ended, "crash heard of");
+                    tracing::info!(%request, server, ended, "crash received from the store");
                 }
             }
         }
     }
 }
 
-/// Shares crashes with all instances through the store, for good.
+/// Shares crashes with all instances through the store and removes expired ones, until the
+/// program ends.
 pub async fn sync_crashes(crashes: Arc<Crashes>, writes: CrashWrites, relay: Arc<Relay>) {
     let store = &crashes.store;
     let (sender, mut feed) = mpsc::channel(FEED_CAPACITY);
@@ -367,8 +377,8 @@
     }
 }
 
-/// Writes changes, and ends attempts once what they showed is written. A write whose
-/// outcome is unknown is written again: it says the same.
+/// Writes queued changes: in each batch first the crashes, then the releases of attempts.
+/// A write of crashes whose outcome is unknown is repeated, as it is idempotent.
 async fn run_writer(writes: CrashWrites, crashes: Arc<Crashes>) {
     let CrashWrites(mut writes) = writes;
     let store = &crashes.store;
@@ -395,7 +405,8 @@
     }
 }
 
-/// Writes the crashes that count and removes the others, until the store has done so.
+/// Writes the crashes that count and removes the others; retries until the store has
+/// applied it.
 async fn store_crashes(store: &Store, crashes: BTreeMap<Key, bool>) {
     let at = value_at(store.now());
     let (set, remove): (Vec<_>, Vec<_>) = crashes.into_iter().partition(|(_, counts)| *counts);
@@ -405,13 +416,13 @@
         set: set.into_iter().map(|(key, _)| (key, at.clone())).collect(),
     };
     while let Err(error) = store.transact(&transaction).await {
-        tracing::debug!(%error, "crashes wait for the store");
+        tracing::debug!(%error, "crashes not written, retrying");
         tokio::time::sleep(WRITE_RETRY_DELAY.as_duration()).await;
     }
 }
 
-/// Frees an attempt, unless another holds it by now. One that stays is free by itself
-/// after a while.
+/// Removes the row of a claimed attempt, unless another instance has claimed it meanwhile.
+/// There is no retry: the claim times out.
 async fn remove_attempt(store: &Store, attempt: Attempt) {
     let key = attempt_key(attempt.request);
     let transaction = Transaction {
@@ -420,6 +431,6 @@
         set: Vec::new(),
     };
     if let Err(error) = store.transact(&transaction).await {
-        tracing::debug!(%error, "an attempt is not freed");
+        tracing::debug!(%error, "attempt not released");
     }
 }
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -1,5 +1,4 @@
-//! What a program knows of its site: configuration, servers, named versions,
-//! crashes.
+//! A program's view of its site: configuration, servers, named versions, crashes.
 
 mod confirm;
 mod crash_row;
--- a/src/view/reach.rs
+++ b/src/view/reach.rs
@@ -1,5 +1,5 @@
-//! Finds out whether the store answers this process itself, while another instance tells
-//! it what changes.
+//! Checks whether the store answers this process directly, while it gets changes from a
+//! parent.
 
 use super::Site;
 use crate::{
@@ -9,18 +9,18 @@
 };
 use std::sync::Arc;
 
-/// How often the store is asked: a process that it does not answer leaves its callers to
-/// others within two such times.
+/// How often a child checks the store. A gateway that the store doesn't answer stops
+/// accepting callers within two intervals.
 const CHECK_INTERVAL: Millis = Millis(1_000);
 
-/// The wait after a question that found no answer. The next one waits by itself for a store
-/// that is away, and callers are turned away until it is answered.
+/// The delay after a check without an answer. It is short, as callers are rejected until
+/// a check succeeds, and the next check itself waits for an unreachable store.
 const RETRY_DELAY: Millis = Millis(20);
 
-/// Looks for good.
+/// Records in `site` whether the store answers this process, until the program ends.
 pub async fn watch_store(site: Arc<Site>, relay: Arc<Relay>) {
     loop {
-        // Who asks the store for changes learns it from them.
+        // A process that reads the store itself notices when its calls for changes fail.
         let result = match relay.has_parent() {
             true => relay.store().ask().await,
             false => Ok(()),
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -1,4 +1,4 @@
-//! The site as this process knows it.
+//! The state of the site as this process knows it.
 
 use crate::{
     base::{Clock, Millis},
@@ -21,30 +21,32 @@
     watch, //
 };
 
-/// Shared by all tasks of a program; [`super::sync_site`] writes it.
+/// The site's state, shared by all tasks of a program and updated by
+/// [`super::sync_site`].
 ///
 /// # Invariants
 ///
-/// The configuration's version and each named version never fall.
+/// The configuration's version and each named version never decrease.
 pub struct Site {
     pub clock: Clock,
     config: watch::Sender<Option<Arc<Config>>>,
-    /// Since when the store does not answer this process itself.
+    /// Since when the store hasn't answered the checks of [`super::watch_store`].
     unreachable_since: Mutex<Option<Millis>>,
-    /// Told when the store has confirmed the configuration.
+    /// Notified when the store has confirmed the configuration.
     confirmed: Notify,
     directory: Mutex<Directory>,
     freshness: Mutex<Freshness>,
     servers_listed: AtomicBool,
-    /// The version that a trainer named last, by model, and when it was seen.
+    /// The highest weight version that a trainer has named, by model, and when it was first
+    /// seen.
     named: Mutex<HashMap<String, (u64, Millis)>>,
-    /// Told when somebody wants the configuration confirmed.
+    /// Notified when a caller needs the configuration confirmed.
     confirmation_requested: Notify,
 }
 
 impl Site {
-    /// A site of which nothing is known, where a key must stop working within
-    /// `revocation` of its removal.
+    /// Creates the state with nothing known. A removed key must stop working within
+    /// `revocation`, if that is set.
     pub fn new(clock: Clock, revocation: Option<Millis>) -> Self {
         Self {
             clock,
@@ -59,12 +61,12 @@
         }
     }
 
-    /// The configuration in force; `None` until one was seen.
+    /// The configuration in force; `None` until one was received.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// Takes `config` unless it is older than the one in force.
+    /// Puts `config` in force unless it is older than the current one.
     pub(super) fn apply_config(&self, config: Config) {
         self.config.send_if_modified(|current| {
             let in_force = current.as_ref().map(|config| config.version);
@@ -80,37 +82,39 @@
                 }
                 false => {
                     let version = config.version;
-                    tracing::warn!(version, ?in_force, "an older configuration is left out");
+                    tracing::warn!(version, ?in_force, "older configuration ignored");
                 }
             }
             newer
         });
     }
 
-    /// Whether the configuration is new enough to go by for requests with keys.
+    /// Whether the configuration was confirmed recently enough to authorise requests with
+    /// keys.
     pub fn is_config_fresh(&self) -> bool {
         self.freshness().is_fresh(self.clock.boottime())
     }
 
-    /// Whether a key must stop working within a bounded time of its removal.
+    /// Whether the age of the configuration is limited, so that a removed key stops working
+    /// within a bounded time.
     pub fn is_config_age_limited(&self) -> bool {
         self.freshness().is_bounded()
     }
 
-    /// The store named the configuration in force when it was asked at `asked`, by
-    /// the clock that runs on while the process is suspended.
+    /// Records that the store confirmed the configuration in force, in answer to a call made
+    /// at `asked` by the clock that also runs while the process is suspended.
     pub(super) fn set_confirmed(&self, asked: Millis) {
         self.freshness().confirm(asked);
         self.confirmed.notify_waiters();
     }
 
-    /// Waits until somebody wants the configuration confirmed.
+    /// Waits until a caller needs the configuration confirmed.
     pub(super) async fn confirmation_requested(&self) {
         self.confirmation_requested.notified().await;
     }
 
-    /// Has the store asked anew for the newest configuration, and waits for that;
-    /// false when it has not answered `timeout` that time.
+    /// Requests a confirmation of the configuration and waits for it. Returns false if it
+    /// doesn't arrive within `timeout`.
     pub async fn reconfirm_config(&self, timeout: Millis) -> bool {
         let at = self.clock.boottime();
         let confirmed = async {
@@ -133,14 +137,14 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The servers; held only for a moment.
+    /// Locks the directory of servers. Callers must release it quickly and not await.
     pub fn directory(&self) -> MutexGuard<'_, Directory> {
         self.directory
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the servers' announcements were read since the start.
+    /// Whether the servers' table was listed since the start.
     pub fn servers_listed(&self) -> bool {
         self.servers_listed.load(Ordering::Relaxed)
     }
@@ -149,7 +153,8 @@
         self.servers_listed.store(true, Ordering::Relaxed);
     }
 
-    /// Since when the store does not answer, or not this process; `None` while it does.
+    /// Since when changes haven't arrived, or the store hasn't answered this process directly;
+    /// `None` if neither is the case.
     pub fn store_unreachable_since(&self) -> Option<Millis> {
         let away = self.directory().away_since();
         let unreachable_since = *self
@@ -159,7 +164,7 @@
         away.into_iter().chain(unreachable_since).min()
     }
 
-    /// Whether the store answers this process itself.
+    /// Records whether the store answers this process directly.
     pub(super) fn set_store_reachable(&self, reached: bool) {
         let now = self.now();
         let mut unreachable_since = self
@@ -167,7 +172,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if unreachable_since.is_some() == reached {
-            tracing::info!(reached, "the store answers this process, or does not");
+            tracing::info!(reached, "store reachability changed");
         }
         *unreachable_since = match reached {
             true => None,
@@ -180,8 +185,8 @@
         self.directory().at(address, service).cloned()
     }
 
-    /// The version that was named last for `model`, and when that was seen;
-    /// version 1 before any.
+    /// The highest version that was named for `model`, and when it was first seen; version 1
+    /// if none was named.
     pub fn named_version(&self, model: &str) -> (u64, Millis) {
         let named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         named.get(model).copied().unwrap_or((1, Millis(0)))
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the site up to date from the store.
+//! Keeps a program's [`Site`] up to date with the store.
 
 use super::Site;
 use crate::{
@@ -22,29 +22,31 @@
 };
 use tokio::sync::mpsc;
 
-/// Batches of changes that may wait for the keeper; the follower waits then.
+/// How many batches of changes may be queued; a follower waits while the queue is full.
 const FEED_CAPACITY: usize = 16;
 
-/// How often lapsed servers are looked at.
+/// How often servers whose announcements lapsed in an outage are checked for removal.
 const LAPSE_CHECK_INTERVAL: Millis = Millis(200);
 
-/// The operators' table changes seldom and has to be in force within seconds.
+/// Short, as the operators' table changes rarely and must take effect within seconds.
 const OPERATOR_BATCH_DELAY: Millis = Millis(5);
 
-/// The longest wait after a call for the operators' table that failed. Hundreds of
-/// processes together can ask for more than the store takes; a configuration that is
-/// turned away some times in a row was in force two seconds late.
+/// The longest delay after a failed call for the operators' table. Hundreds of processes
+/// together can exceed what the store accepts. With a longer delay, some rejected calls
+/// in a row made a configuration take effect two seconds late.
 const OPERATOR_MAX_BACKOFF: Millis = Millis(100);
 
-/// How long the store holds a call for the servers' changes. A feed that fell silent is
-/// noticed after this and 0.6 s; a server that leaves takes requests for 2 s.
+/// How long the store holds a call for changes of servers. A feed that stopped
+/// delivering is detected 0.6 s after this, in time for a server that is shutting down:
+/// it accepts requests for 2 s.
 const SERVERS_HOLD: Millis = Millis(1_000);
 
-/// Servers announce changes of state and weights; a moment's delay gathers
-/// those of a release or of a step's weights into one call.
+/// The delay collects the announcements of a release, or of a step's new weights, into
+/// few batches.
 const SERVERS_BATCH_DELAY: Millis = Millis(100);
 
-/// Follows the operators' and the servers' tables for good.
+/// Applies the changes of the operators' and the servers' tables to `site`, until the
+/// program ends.
 pub async fn sync_site(site: Arc<Site>, relay: Arc<Relay>) {
     let (operators, mut operator_feed) = mpsc::channel(FEED_CAPACITY);
     let (servers, mut server_feed) = mpsc::channel(FEED_CAPACITY);
@@ -80,7 +82,7 @@
             _ = lapse_check.tick() => {
                 let gone = site.directory().settle(site.now());
                 for server in gone {
-                    tracing::info!(server, "server gone: still missing after the store's return");
+                    tracing::info!(server, "server removed: not announced again after the store's return");
                 }
             }
             else => return,
@@ -95,7 +97,7 @@
     if key == CONFIG_KEY {
         match read_config(&value) {
             Ok(config) => site.apply_config(config),
-            Err(error) => tracing::error!(%error, "a configuration is left out"),
+            Err(error) => tracing::error!(%error, "invalid configuration ignored"),
         }
     } else if key.starts_with(NAMED_VERSION)
         && let Some(named) = read_named(&value)
@@ -104,10 +106,10 @@
     }
 }
 
-/// The servers' rows that name no server.
+/// Keys of rows in the servers' table that are not valid server entries.
 ///
-/// Other writers may write there too. Each such row is told of once, however
-/// often it is written, until it names a server or is gone.
+/// Other programs may write to that table. Each such row is logged once, however often
+/// it is written, until it becomes valid or is removed.
 #[derive(Default)]
 struct InvalidEntries(HashSet<String>);
 
@@ -115,7 +117,7 @@
     fn record(&mut self, key: &str, error: &EntryError) {
         metrics::counter!("redwing_entries_left_out_total").increment(1);
         if self.0.insert(key.to_owned()) {
-            tracing::warn!(server = key, %error, "an entry names no server");
+            tracing::warn!(server = key, %error, "invalid server entry ignored");
         }
     }
 }
@@ -153,12 +155,12 @@
             let before = directory.get(&key);
             if before.is_none_or(|before| (&before.life, before.draining) != (life, draining)) {
                 let (service, born) = (&server.service, life.born.0);
-                tracing::info!(server = key, service, born, draining, "server seen");
+                tracing::info!(server = key, service, born, draining, "server announced");
             }
             directory.put(server);
         }
         Change::Removed { key, .. } => {
-            tracing::info!(server = key, "server's announcement gone");
+            tracing::info!(server = key, "server announcement removed");
             invalid.0.remove(&key);
             site.directory().remove(&key, now);
         }
