--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -1,4 +1,4 @@
-//! True time, as the gateways agree on it.
+//! A wall clock that all gateways agree on.
 
 use super::rows::{
     CLOCKS,
@@ -18,16 +18,18 @@
     Ordering, //
 };
 
-/// Tells true time: the store's steady clock, and the offset from it that the middle
-/// one of all gateways' clocks has. One whose clock was set wrong, or that was
-/// suspended, would count requests in other windows than they belong to.
+/// The store's steady clock plus the median offset of all gateways' clocks from it. With
+/// its own clock, a gateway whose clock was set wrong or that was suspended would count
+/// requests in the wrong windows.
 pub(super) struct SyncedClock {
     clock: Clock,
+    /// The agreed offset from the store's clock, in ms; 0 before the first synchronisation.
     offset: AtomicI64,
     store: Store,
 }
 
-/// How long a gateway's row counts: three times the time between two of them.
+/// How long a gateway's clock reading is used: three times the interval at which it is
+/// written.
 const CLOCK_ROW_LIFETIME: Millis = Millis(15_000);
 
 impl SyncedClock {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// The present point in true time.
+    /// The current Unix time by the agreed clock; by the local clock before the first
+    /// synchronisation.
     pub(super) fn now(&self) -> Millis {
         match self.offset.load(Ordering::Relaxed) {
             0 => self.clock.wall(),
@@ -47,7 +50,7 @@
         }
     }
 
-    /// The gateways that were heard of lately, beside that of `run`.
+    /// The gateways with a recent clock reading, except that of `run`.
     pub(super) async fn live_gateways(&self, run: &GatewayRun) -> Result<Vec<String>, StoreError> {
         let other_offsets = self.other_offsets(run).await?;
         Ok(other_offsets
@@ -56,7 +59,7 @@
             .collect())
     }
 
-    /// What the clocks of the others say that were heard of lately.
+    /// The recent clock offsets of the other gateways, with their instance names.
     async fn other_offsets(&self, run: &GatewayRun) -> Result<Vec<(String, i64)>, StoreError> {
         let listing = self.store.whole_part(USAGE, CLOCKS).await?;
         let now = self.store.now();
@@ -68,8 +71,8 @@
         Ok(rows.collect())
     }
 
-    /// Tells the others what this gateway's clock says, and takes the middle of what
-    /// all say.
+    /// Sets the offset to the median of all gateways' offsets, and publishes this gateway's
+    /// own.
     pub(super) async fn synchronise(&self, run: &GatewayRun) -> Result<(), StoreError> {
         let other_offsets = self.other_offsets(run).await?;
         let now = self.store.now();
@@ -83,13 +86,7 @@
             let before = self.offset.swap(offset, Ordering::Relaxed);
             if before.abs_diff(offset) > LOGGED_SHIFT_MS {
                 let gateways = offsets.len();
-                tracing::info!(
-                    own,
-                    offset,
-                    before,
-                    gateways,
-                    "true time by all gateways' clocks"
-                );
+                tracing::info!(own, offset, before, gateways, "clock offset changed");
             }
         }
         let row = ClockRow {
@@ -105,5 +102,5 @@
     }
 }
 
-/// Changes of the offset from which on they are told, in ms.
+/// A change of the offset by more than this is logged.
 const LOGGED_SHIFT_MS: u64 = 20;
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -1,4 +1,4 @@
-//! Counts what this gateway's requests begin, and keeps it in the store.
+//! Counts this gateway's requests and writes the counts to the store.
 
 use super::{
     clocks::SyncedClock,
@@ -19,7 +19,7 @@
 };
 use tokio::sync::Notify;
 
-/// This gateway's count of requests, by workspace and window.
+/// This gateway's counts of requests, by workspace and window.
 pub struct Counter {
     pub(super) gateway_run: GatewayRun,
     clock: Clock,
@@ -30,24 +30,24 @@
     pub(super) windows: Windows,
 }
 
-/// The wait after a first request, in which more gather. A gateway that is killed
-/// takes what it has not written with it.
+/// The delay after a first request, so that more are written with it. It is short, as a
+/// gateway that is killed loses the counts it has not written.
 const BATCH_DELAY: Millis = Millis(50);
 
-/// The least time between two writes of a busy gateway.
+/// The minimum time between two writes of a busy gateway.
 const MIN_WRITE_INTERVAL: Millis = Millis(1_000);
 
-/// How often windows are closed.
+/// How often windows that are over are closed.
 const CLOSE_INTERVAL: Millis = Millis(250);
 
-/// How often the clocks are compared.
+/// How often the clock is synchronised with the other gateways.
 const CLOCK_SYNC_INTERVAL: Millis = Millis(5_000);
 
-/// The wait after a write that the store did not take.
+/// The delay after a call that the store failed.
 const RETRY_DELAY: Millis = Millis(200);
 
 impl Counter {
-    /// Nothing is counted yet; `instance` names the gateway.
+    /// Creates the counter with nothing counted, for the gateway `instance`.
     pub fn open(instance: &str, clock: Clock, store: Store, windows: Windows) -> Arc<Self> {
         let gateway_run = GatewayRun {
             instance: instance.to_owned(),
@@ -66,7 +66,8 @@
         })
     }
 
-    /// A request of `workspace` was sent at `sent` to a server that began to run it.
+    /// Counts a request of `workspace` that was sent at `sent`, by the local clock, and that a
+    /// server began to run.
     pub fn count_request(&self, workspace: &str, sent: Millis) {
         let ago = self.clock.now().since(sent);
         let began = self.synced_clock.now() - ago;
@@ -74,7 +75,7 @@
         self.request_counted.notify_one();
     }
 
-    /// Keeps the count in the store for good.
+    /// Closes windows and writes their counts to the store, until the program ends.
     pub async fn run(self: Arc<Self>) {
         tokio::spawn(self.clone().sync_clock());
         loop {
@@ -98,7 +99,7 @@
             let wait = match self.synced_clock.synchronise(&self.gateway_run).await {
                 Ok(()) => CLOCK_SYNC_INTERVAL,
                 Err(error) => {
-                    tracing::debug!(%error, "clocks are not compared");
+                    tracing::debug!(%error, "clock not synchronised, retrying");
                     RETRY_DELAY
                 }
             };
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Writes what the store does not have yet; whether there was anything.
+    /// Writes the counts that the store doesn't have yet. Returns whether there were any.
     async fn store_counts(&self) -> bool {
         let mut any = false;
         loop {
@@ -125,7 +126,7 @@
             match self.store.transact(&transaction).await {
                 Ok(_) => self.tally().set_written(window, &part),
                 Err(error) => {
-                    tracing::debug!(window, %error, "use is not written yet");
+                    tracing::debug!(window, %error, "counts not written, retrying");
                     tokio::time::sleep(RETRY_DELAY.as_duration()).await;
                 }
             }
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -1,8 +1,8 @@
-//! Counts the requests of each workspace and reports them, window by window.
+//! Counts the requests of each workspace and reports them to the platform, by time window.
 //!
-//! Each gateway counts what it sends; one of them holds the lease of reporting. What
-//! is reported of a window is fixed in the store before it is first sent, so that
-//! whoever sends it, and however often, sends the same.
+//! Each gateway counts the requests that it sends; the holder of the reporting lease sums
+//! the counts and reports them. The report of a window is stored before it is first sent,
+//! so that every gateway sends the same report, also when it is repeated.
 
 mod clocks;
 mod counter;
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -1,4 +1,4 @@
-//! Reports use to the platform, by one gateway at a time.
+//! Reports usage to the platform, from one gateway at a time.
 
 use super::{
     counter::Counter,
@@ -31,32 +31,37 @@
     sync::Arc, //
 };
 
-/// Where reports go and how long the lease of reporting lasts.
+/// Settings of the reporter.
 #[derive(Clone, Copy, Debug)]
 pub struct Reporting {
+    /// The platform's address, to which reports are sent.
     pub address: SocketAddr,
-    /// Nobody takes over from a holder that was heard of within this time.
+    /// The duration of the reporting lease: no gateway takes it over from a holder that has
+    /// renewed it within this time.
     pub lease: Millis,
 }
 
-/// How often the lease is looked at by who does not hold it, and reports are planned
-/// by who does.
+/// How often a gateway checks or renews the lease.
 const LEASE_CHECK_INTERVAL: Millis = Millis(1_000);
+
+/// How often the holder of the lease checks for due reports.
 const REPORT_INTERVAL: Millis = Millis(250);
 
-/// How long the platform has to take a report. The send ends before the lease does.
+/// How long the platform may take to answer a report.
 const SEND_TIMEOUT: Millis = Millis(800);
 
-/// How much of the lease is left unused: the time to notice that it is over.
+/// The time between the latest end of a send and the end of the lease: a holder needs some
+/// time to notice that the lease is over.
 const LEASE_MARGIN: Millis = Millis(400);
 
-/// Windows that are kept after they were reported, and removed then.
+/// The number of reported windows whose rows are kept.
 const MAX_KEPT_WINDOWS: u64 = 24;
 
-/// The most rows of one removal; the store takes 100.
+/// The maximum number of rows in one removal; the store accepts 100.
 const MAX_REMOVED_ROWS: usize = 90;
 
-/// Reports the use that all gateways count, for good, while this one holds the lease.
+/// Reports the usage that all gateways count while this one holds the lease. Runs until the
+/// program ends.
 pub async fn run_reporter(counter: Arc<Counter>, reporting: Reporting, store: Store, clock: Clock) {
     let gateway_run = counter.gateway_run.clone();
     let claimant = Claimant {
@@ -64,7 +69,7 @@
         holder: gateway_run.instance.clone(),
         incarnation: Incarnation(gateway_run.started.0),
     };
-    // Gateways that start together don't ask together.
+    // Spreads the lease checks of gateways that start together.
     let spread = stable_hash(&[gateway_run.instance.as_bytes()]) % LEASE_CHECK_INTERVAL.0;
     tokio::time::sleep(Millis(spread).as_duration()).await;
     let mut reporter = Reporter {
@@ -95,7 +100,8 @@
     }
 }
 
-/// Windows that were summed up, by whoever held the lease.
+/// The reports of finalised windows with the revisions of their rows, by window. Earlier
+/// holders of the lease may have written them.
 struct WindowReports(BTreeMap<u64, (u64, Report)>);
 
 struct Reporter {
@@ -111,7 +117,7 @@
 }
 
 impl Reporter {
-    /// Looks at the lease; takes it when it is free, renews it when that is due.
+    /// Reads the lease; acquires it if it is free, renews it if that is due.
     async fn check_lease(&mut self) {
         let asked = self.clock.boottime();
         if self
@@ -123,7 +129,7 @@
         let row = match self.store.row(&lease_key()).await {
             Ok(row) => row,
             Err(error) => {
-                tracing::debug!(%error, "the lease of reporting is not seen");
+                tracing::debug!(%error, "reporting lease not read");
                 return;
             }
         };
@@ -150,7 +156,7 @@
             Ok(Outcome::Done { .. }) => {
                 if self.held.is_none() {
                     let (fence, instance) = (next.epoch, &self.gateway_run.instance);
-                    tracing::info!(fence, instance, "holds the lease of reporting");
+                    tracing::info!(fence, instance, "reporting lease acquired");
                 }
                 self.held = Some(Held {
                     epoch: next.epoch,
@@ -159,22 +165,24 @@
                 self.watch.see(self.clock.boottime(), Some(next));
             }
             Ok(Outcome::Conflict { .. }) => self.drop_lease(),
-            // It may be renewed or not; what was held before lasts as it did.
-            Err(error) => tracing::info!(%error, "the lease of reporting is not renewed"),
+            // The write may have been applied or not. A lease that was held before is still
+            // held, until its previous end.
+            Err(error) => tracing::info!(%error, "reporting lease not written"),
         }
     }
 
     fn drop_lease(&mut self) {
         if let Some(held) = self.held.take() {
             let fence = held.epoch;
-            tracing::info!(fence, "no longer holds the lease of reporting");
+            tracing::info!(fence, "reporting lease lost");
         }
     }
 
-    /// The number under which this gateway may send now; `None` when it may not.
+    /// The fencing token for a send that starts now; `None` if the lease is not held, or too
+    /// short for a send.
     ///
-    /// A holder that was frozen, or cut off, finds its lease over here, and sends
-    /// nothing beside its successor: a send ends before the lease does.
+    /// A send must end before the lease does. A holder that was frozen or partitioned finds
+    /// its lease expired here, so that it doesn't send at the same time as its successor.
     fn fence(&self) -> Option<Fence> {
         let held = self.held?;
         let now = self.clock.boottime();
@@ -182,10 +190,11 @@
         allowed.then_some(held.epoch)
     }
 
-    /// Sums up the windows that are over, and sends what was not taken yet.
+    /// Finalises the next window if it is due, and sends the reports that the platform hasn't
+    /// accepted yet. Errors are logged; the next call retries.
     async fn report_due(&mut self, fence: Fence, known: &mut Option<WindowReports>) {
         if let Err(error) = self.try_report_due(fence, known).await {
-            tracing::info!(%error, "use is not reported yet");
+            tracing::info!(%error, "reporting failed, retrying");
         }
     }
 
@@ -212,6 +221,7 @@
         self.prune(reports).await
     }
 
+    /// Reads the reports that earlier holders of the lease stored.
     async fn load_reports(&self) -> Result<WindowReports, StoreError> {
         let listing = self.store.whole_part(USAGE, REPORTS).await?;
         let rows = listing.rows.into_iter().filter_map(|row| {
@@ -222,7 +232,8 @@
         Ok(WindowReports(rows.collect()))
     }
 
-    /// Fixes what is reported of `window`, if all that counts is in.
+    /// Stores the final report of `window`, if it may be summed up: all gateways have closed
+    /// it, or the wait for them is over. Returns the report with its row's revision.
     async fn finalise(
         &self,
         window: u64,
@@ -261,18 +272,18 @@
         };
         let fixed = match self.store.transact(&transaction).await? {
             Outcome::Done { revision } => (revision, report),
-            // The holder before has fixed it, or the answer to its write was lost.
+            // A previous holder stored a report, or the answer to an earlier write was lost.
             Outcome::Conflict { rows } => match decode_first(rows) {
                 Some(fixed) => fixed,
                 None => return Ok(None),
             },
         };
         metrics::counter!("redwing_usage_parts_missing_total").increment(missing as u64);
-        tracing::info!(window, requests, missing, "use of a window is summed up");
+        tracing::info!(window, requests, missing, "usage window finalised");
         Ok(Some(fixed))
     }
 
-    /// What the gateways counted in `window`, by their names.
+    /// Reads the gateways' counts for `window`, with the gateways' instance names.
     async fn read_counts(&self, window: u64) -> Result<Vec<(String, Part)>, StoreError> {
         let prefix = window_prefix(window);
         let reading = count_parts().map(|part| {
@@ -292,7 +303,8 @@
         Ok(counts)
     }
 
-    /// Sends the windows that the platform has not taken yet, in their order.
+    /// Sends the reports that the platform hasn't accepted yet, in the order of windows. Stops
+    /// at the first that it doesn't accept.
     async fn send_all(&self, fence: Fence, reports: &mut WindowReports) -> Result<(), StoreError> {
         let unsent = reports.0.iter_mut().filter(|(_, (_, report))| !report.sent);
         for (window, (revision, report)) in unsent {
@@ -309,11 +321,11 @@
             let status = match answer {
                 Ok(answer) => answer.status.as_u16(),
                 Err(error) => {
-                    tracing::info!(window, %error, "the report may have been taken");
+                    tracing::info!(window, %error, "usage report not answered");
                     return Ok(());
                 }
             };
-            tracing::info!(window, fence, status, "use of a window is reported");
+            tracing::info!(window, fence, status, "usage report answered");
             metrics::counter!("redwing_usage_reports_total", "status" => status.to_string())
                 .increment(1);
             if status != 200 {
@@ -333,7 +345,8 @@
         Ok(())
     }
 
-    /// Removes what was reported long ago.
+    /// Removes the oldest report, and the counts up to its window, if the report was sent and
+    /// is more than [`MAX_KEPT_WINDOWS`] windows old.
     async fn prune(&self, reports: &mut WindowReports) -> Result<(), StoreError> {
         let Some((last, _)) = reports.0.last_key_value() else {
             return Ok(());
@@ -368,6 +381,7 @@
     }
 }
 
+/// Decodes the report in the first of `rows`; returns it with its revision.
 fn decode_first(rows: Vec<crate::store::Row>) -> Option<(u64, Report)> {
     let row = rows.into_iter().next()?;
     let report = decode::<Report>("report", &row.value?)?;
--- a/src/usage/rows.rs
+++ b/src/usage/rows.rs
@@ -1,4 +1,4 @@
-//! Where use lies in the store.
+//! Keys and values of the usage rows in the store.
 
 use crate::{
     base::{Millis, stable_hash},
@@ -10,49 +10,49 @@
     Serialize, //
 };
 
-/// The table of all that concerns use.
+/// The table of all usage rows.
 pub(super) const USAGE: &str = "usage";
 
-/// The part with what the gateways' clocks say.
+/// The part of the gateways' clock readings.
 pub(super) const CLOCKS: &str = "clocks";
 
-/// The part with the windows that were summed up.
+/// The part of the reports of finalised windows.
 pub(super) const REPORTS: &str = "reports";
 
-/// The part with the lease of reporting.
+/// The part of the reporting lease.
 const LEASE: &str = "lease";
 
-/// Gateways write their counts to this many parts: one part takes 200 transactions
-/// a second, and hundreds of gateways write each second.
+/// The number of parts over which the gateways' counts are spread: one part accepts 200
+/// transactions a second, and hundreds of gateways write each second.
 const COUNT_PARTS: u64 = 16;
 
-/// What a gateway's clock says.
+/// A gateway's clock reading.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub(super) struct ClockRow {
-    /// When it was written, by the store's clock.
+    /// When the row was written, by the store's clock.
     pub(super) at: Millis,
-    /// Unix time less the store's clock, in ms.
+    /// The gateway's Unix time minus the store's clock, in ms.
     pub(super) offset: i64,
 }
 
-/// A window that was summed up: what is sent of it, for good.
+/// The final report of a window. Its counts never change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(super) struct Report {
     pub(super) counts: Counts,
-    /// Whether the platform has taken it.
+    /// Whether the platform has accepted the report.
     pub(super) sent: bool,
 }
 
-/// One life of a gateway.
+/// One run of a gateway process, from its start to its end.
 #[derive(Clone, Debug)]
 pub(super) struct GatewayRun {
     pub(super) instance: String,
-    /// When it started, in Unix ms.
+    /// When the process started, in Unix ms.
     pub(super) started: Millis,
 }
 
 impl GatewayRun {
-    /// Its row of counts for `window`.
+    /// The key of this run's counts for `window`.
     pub(super) fn count_key(&self, window: u64) -> Key {
         let number = stable_hash(&[self.instance.as_bytes()]) % COUNT_PARTS;
         let (instance, started) = (&self.instance, self.started.0);
@@ -60,23 +60,23 @@
         Key::new(USAGE, count_part(number), key)
     }
 
-    /// Its row of [`CLOCKS`].
+    /// The key of the gateway's row in [`CLOCKS`].
     pub(super) fn clock_key(&self) -> Key {
         Key::new(USAGE, CLOCKS, self.instance.as_str())
     }
 }
 
-/// The gateway that wrote the row of counts called `key`.
+/// The instance name of the gateway that wrote the counts under `key`.
 pub(super) fn instance_of(key: &str) -> Option<&str> {
     key.split('/').nth(1)
 }
 
-/// What the keys of a window's counts begin with.
+/// The key prefix of all counts for `window`.
 pub(super) fn window_prefix(window: u64) -> String {
     format!("{window:012}/")
 }
 
-/// The parts in which counts lie.
+/// The names of all parts that hold counts.
 pub(super) fn count_parts() -> impl Iterator<Item = String> {
     (0..COUNT_PARTS).map(count_part)
 }
@@ -85,12 +85,12 @@
     format!("counts-{number:02}")
 }
 
-/// The row of a window that was summed up.
+/// The key of a window's report.
 pub(super) fn report_key(window: u64) -> Key {
     Key::new(USAGE, REPORTS, format!("{window:012}"))
 }
 
-/// The row of the lease.
+/// The key of the reporting lease.
 pub(super) fn lease_key() -> Key {
     Key::new(USAGE, LEASE, "usage")
 }
