--- a/src/relay/follower.rs
+++ b/src/relay/follower.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FollowOptions {
     /// The longest delay after a failed call.
-    pub backoff: Millis,
+    pub max_backoff: Millis,
     /// How long the store holds a call for changes while there are none (long polling).
     pub hold: Millis,
     /// Whether the table's rows are in several parts.
@@ -140,7 +140,7 @@
                         () = tokio::time::sleep(backoff.as_duration()) => {}
                         () = self.relay.parent_found() => {}
                     }
-                    backoff = Millis((backoff.0 * 2).min(self.options.backoff.0));
+                    backoff = Millis((backoff.0 * 2).min(self.options.max_backoff.0));
                 }
             }
         }
@@ -154,7 +154,7 @@
                 .poll_parent(&parent, after, longer, longer + PAGE_TIMEOUT_MARGIN)
                 .await
             {
-                PollOutcome::Page(page) => return Ok(self.take_page(page, after).await),
+                PollOutcome::Page(page) => return Ok(self.apply_page(page, after).await),
                 PollOutcome::Forgotten => return Err(StoreError::HistoryLost),
                 // Time was lost at the parent: the store answers at once.
                 PollOutcome::Left => hold = Millis(0),
@@ -178,7 +178,7 @@
     }
 
     /// Applies a parent's page. No batch delay follows: the root has already waited.
-    async fn take_page(&self, page: Page, after: u64) -> u64 {
+    async fn apply_page(&self, page: Page, after: u64) -> u64 {
         let confirmed = self.relay.clock.now() - page.age;
         let listing = page.into_listing();
         let revision = listing.revision.max(after);
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -163,11 +163,11 @@
     /// parent.
     pub(super) fn leave_parent(&self, parent: &Parent, reason: LeaveReason) -> bool {
         let left = self.role.send_if_modified(|role| {
-            let meant = matches!(role, Role::Child(now) if now.address == parent.address);
-            if meant {
+            let is_parent = matches!(role, Role::Child(now) if now.address == parent.address);
+            if is_parent {
                 *role = Role::Standalone;
             }
-            meant
+            is_parent
         });
         if left {
             metrics::counter!("redwing_feeders_left_total", "reason" => reason.label())
@@ -184,11 +184,11 @@
     /// Makes a root standalone, as the store doesn't answer it: it may find a parent.
     pub(super) fn step_down(&self) {
         self.role.send_if_modified(|role| {
-            let root = matches!(role, Role::Root);
-            if root {
+            let is_root = matches!(role, Role::Root);
+            if is_root {
                 *role = Role::Standalone;
             }
-            root
+            is_root
         });
     }
 
@@ -208,10 +208,10 @@
         self.wait_role(|role| !matches!(role, Role::Root)).await;
     }
 
-    async fn wait_role(&self, holds: impl Fn(&Role) -> bool) {
+    async fn wait_role(&self, predicate: impl Fn(&Role) -> bool) {
         let mut role = self.role.subscribe();
         // The sender is a field of `self`, so the channel can't close.
-        let _ = role.wait_for(|role| holds(role)).await;
+        let _ = role.wait_for(|role| predicate(role)).await;
     }
 
     /// Whether this process retains rows for children.
@@ -241,13 +241,13 @@
         self.tables().values().cloned().collect()
     }
 
-    /// Sends a relay request to `peer`; `None` if no valid reply arrives within `within`.
+    /// Sends a relay request to `peer`; `None` if no valid reply arrives within `timeout`.
     pub(super) async fn ask(
         &self,
         peer: &Peer,
         want: Want,
         hold: Millis,
-        within: Millis,
+        timeout: Millis,
     ) -> Option<Reply> {
         let message = RelayRequest {
             at: self.identity.address,
@@ -261,7 +261,7 @@
             .uri(PATH)
             .body(Full::new(Bytes::from(body)))
             .ok()?;
-        let answer = peer.call(request, within).await.ok()?;
+        let answer = peer.call(request, timeout).await.ok()?;
         postcard::from_bytes(&answer.body).ok()
     }
 
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -70,7 +70,7 @@
         loop {
             match self.role() {
                 Role::Standalone => {
-                    let wait = self.find_parent(&mut slots).await;
+                    let wait = self.find_role(&mut slots).await;
                     tokio::time::sleep(wait.as_duration()).await;
                 }
                 // A child that holds a root slot becomes root again once the store answers it.
@@ -92,7 +92,7 @@
     }
 
     /// Tries once to become a child or a root; returns the delay before the next try.
-    async fn find_parent(&self, slots: &mut RootSlots) -> Millis {
+    async fn find_role(&self, slots: &mut RootSlots) -> Millis {
         let mut reached = slots.read(self).await.is_ok();
         if reached && slots.has_free() && !slots.is_held_by(self.identity.address) {
             tokio::time::sleep(self.jitter(ELECTION_JITTER).as_duration()).await;
@@ -175,15 +175,15 @@
         let holders = slots.holders();
         let others = holders.filter(|holder| *holder != self.identity.address);
         let candidates = self.by_preference(&others.collect::<Vec<SocketAddr>>());
-        let mut lost = Vec::new();
+        let mut disconnected = Vec::new();
         for address in candidates {
             match self.join(address, Millis(0), MAX_JOIN_DEPTH).await {
-                JoinOutcome::Disconnected => lost.push(address),
+                JoinOutcome::Disconnected => disconnected.push(address),
                 joined @ JoinOutcome::Joined(_) => return joined,
                 JoinOutcome::Declined => {}
             }
         }
-        match lost.first() {
+        match disconnected.first() {
             Some(first) => {
                 self.join(*first, DISCONNECTED_JOIN_HOLD, MAX_JOIN_DEPTH)
                     .await
@@ -214,9 +214,11 @@
         match reply {
             Some(Reply::Joined) => JoinOutcome::Joined(Parent { address, peer }),
             Some(Reply::Lost) => JoinOutcome::Disconnected,
-            Some(Reply::Full(fed)) if depth > 0 => {
-                let below = self.by_preference(&fed);
-                let below = below.into_iter().find(|fed| *fed != self.identity.address);
+            Some(Reply::Full(children)) if depth > 0 => {
+                let below = self.by_preference(&children);
+                let below = below
+                    .into_iter()
+                    .find(|child| *child != self.identity.address);
                 match below {
                     Some(below) => Box::pin(self.join(below, hold, depth - 1)).await,
                     None => JoinOutcome::Declined,
--- a/src/relay/table.rs
+++ b/src/relay/table.rs
@@ -50,16 +50,16 @@
 
 impl Table {
     /// Applies an update that is complete up to `revision` and that the store confirmed at
-    /// `confirmed`. `take` applies it to the view; its changes are returned.
+    /// `confirmed`. `apply` applies it to the view; its changes are returned.
     pub(super) fn update(
         &self,
         revision: u64,
         confirmed: Millis,
-        take: impl FnOnce(&mut TableView) -> Vec<Change>,
+        apply: impl FnOnce(&mut TableView) -> Vec<Change>,
     ) -> Vec<Change> {
         let (changes, newest) = {
             let mut view = self.view();
-            let changes = take(&mut view);
+            let changes = apply(&mut view);
             (changes, view.newest_retained())
         };
         self.state.send_modify(|state| {
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -246,7 +246,7 @@
 async fn follow_work(relay: Arc<Relay>, events: mpsc::Sender<Event>) {
     let (sender, mut feed) = mpsc::channel(RING);
     let following = FollowOptions {
-        backoff: MAX_BACKOFF,
+        max_backoff: MAX_BACKOFF,
         hold: DEFAULT_HOLD,
         batch_delay: PACE,
         has_parts: true,
--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -65,8 +65,8 @@
         let now = self.store.now();
         let rows = listing.rows.into_iter().filter_map(|row| {
             let clock = decode::<ClockRow>("clock", &row.value?)?;
-            let counts = now.since(clock.at) < CLOCK_ROW_LIFETIME && row.key != run.instance;
-            counts.then_some((row.key, clock.offset))
+            let is_used = now.since(clock.at) < CLOCK_ROW_LIFETIME && row.key != run.instance;
+            is_used.then_some((row.key, clock.offset))
         });
         Ok(rows.collect())
     }
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -83,16 +83,16 @@
         store,
         watch: Watch::default(),
     };
-    let mut windows: Option<WindowReports> = None;
+    let mut reports: Option<WindowReports> = None;
     loop {
         reporter.check_lease().await;
         let wait = match reporter.fence() {
             Some(fence) => {
-                reporter.report_due(fence, &mut windows).await;
+                reporter.report_due(fence, &mut reports).await;
                 REPORT_INTERVAL
             }
             None => {
-                windows = None;
+                reports = None;
                 LEASE_CHECK_INTERVAL
             }
         };
@@ -192,8 +192,8 @@
 
     /// Finalises the next window if it is due, and sends the reports that the platform hasn't
     /// accepted yet. Errors are logged; the next call retries.
-    async fn report_due(&mut self, fence: Fence, known: &mut Option<WindowReports>) {
-        if let Err(error) = self.try_report_due(fence, known).await {
+    async fn report_due(&mut self, fence: Fence, cached: &mut Option<WindowReports>) {
+        if let Err(error) = self.try_report_due(fence, cached).await {
             tracing::info!(%error, "reporting failed, retrying");
         }
     }
@@ -201,11 +201,11 @@
     async fn try_report_due(
         &mut self,
         fence: Fence,
-        known: &mut Option<WindowReports>,
+        cached: &mut Option<WindowReports>,
     ) -> Result<(), StoreError> {
-        let reports = match known {
+        let reports = match cached {
             Some(reports) => reports,
-            None => known.insert(self.load_reports().await?),
+            None => cached.insert(self.load_reports().await?),
         };
         let windows = self.counter.windows;
         let now = self.counter.synced_clock.now();
@@ -270,17 +270,17 @@
             remove: Vec::new(),
             set: vec![(key, encode(&report))],
         };
-        let fixed = match self.store.transact(&transaction).await? {
+        let stored = match self.store.transact(&transaction).await? {
             Outcome::Done { revision } => (revision, report),
             // A previous holder stored a report, or the answer to an earlier write was lost.
             Outcome::Conflict { rows } => match decode_first(rows) {
-                Some(fixed) => fixed,
+                Some(stored) => stored,
                 None => return Ok(None),
             },
         };
         metrics::counter!("redwing_usage_parts_missing_total").increment(missing as u64);
         tracing::info!(window, requests, missing, "usage window finalised");
-        Ok(Some(fixed))
+        Ok(Some(stored))
     }
 
     /// Reads the gateways' counts for `window`, with the gateways' instance names.
--- a/src/view/confirm.rs
+++ b/src/view/confirm.rs
@@ -23,23 +23,23 @@
 /// only where the configuration's age is limited.
 pub async fn confirm_config(site: Arc<Site>, store: Store) {
     let key = Key::new(OPERATOR_TABLE, "", CONFIG_KEY);
-    let mut applied = 0;
+    let mut applied_revision = 0;
     let mut failing = false;
     loop {
         let asked = site.clock.boottime();
         let error = match store.row(&key).await {
             Ok(Some(row)) => {
-                if row.revision != applied {
+                if row.revision != applied_revision {
                     match read_config(&row.value.unwrap_or_default()) {
                         Ok(config) => {
-                            applied = row.revision;
+                            applied_revision = row.revision;
                             site.apply_config(config);
                         }
                         Err(error) => tracing::error!(%error, "invalid configuration ignored"),
                     }
                 }
                 // An invalid configuration is not in force, so it can't be confirmed.
-                if row.revision == applied {
+                if row.revision == applied_revision {
                     site.set_confirmed(asked);
                 }
                 None
@@ -54,8 +54,8 @@
                 None => tracing::info!("configuration can be confirmed again"),
             }
         }
-        // `applied` is 0 until the operators have written a valid configuration.
-        let wait = match failing || applied == 0 {
+        // `applied_revision` is 0 until the operators have written a valid configuration.
+        let wait = match failing || applied_revision == 0 {
             true => RETRY_DELAY,
             false => CONFIRM_INTERVAL,
         };
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -344,7 +344,7 @@
     let store = &crashes.store;
     let (sender, mut feed) = mpsc::channel(FEED_CAPACITY);
     let options = FollowOptions {
-        backoff: MAX_BACKOFF,
+        max_backoff: MAX_BACKOFF,
         hold: CHANGES_HOLD,
         batch_delay: BATCH_DELAY,
         has_parts: false,
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -51,14 +51,14 @@
     let (operators, mut operator_feed) = mpsc::channel(FEED_CAPACITY);
     let (servers, mut server_feed) = mpsc::channel(FEED_CAPACITY);
     let operator_table = FollowOptions {
-        backoff: OPERATOR_MAX_BACKOFF,
+        max_backoff: OPERATOR_MAX_BACKOFF,
         hold: DEFAULT_HOLD,
         batch_delay: OPERATOR_BATCH_DELAY,
         has_parts: false,
         table: OPERATOR_TABLE,
     };
     let server_table = FollowOptions {
-        backoff: MAX_BACKOFF,
+        max_backoff: MAX_BACKOFF,
         hold: SERVERS_HOLD,
         batch_delay: SERVERS_BATCH_DELAY,
         has_parts: false,
