--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -46,7 +46,7 @@
     children: Mutex<Children>,
     pub(super) clock: Clock,
     /// What this process found out about its possible parents.
-    feeders: Mutex<Feeders>,
+    parents: Mutex<Feeders>,
     role: watch::Sender<Role>,
     pub(super) identity: Identity,
     /// Whether the process retains rows for children.
@@ -115,7 +115,7 @@
         Arc::new(Self {
             children: Mutex::default(),
             clock,
-            feeders: Mutex::default(),
+            parents: Mutex::default(),
             role: watch::Sender::new(Role::Standalone),
             identity,
             retaining_rows: AtomicBool::new(false),
@@ -175,7 +175,7 @@
             // A parent without changes answers, and also tells when it has them again, so it
             // need not be avoided.
             if reason != LeaveReason::Lost {
-                self.feeders().leave(parent.address, self.clock.now());
+                self.parents().leave(parent.address, self.clock.now());
             }
         }
         left
@@ -269,8 +269,8 @@
         lock(&self.children)
     }
 
-    pub(super) fn feeders(&self) -> MutexGuard<'_, Feeders> {
-        lock(&self.feeders)
+    pub(super) fn parents(&self) -> MutexGuard<'_, Feeders> {
+        lock(&self.parents)
     }
 
     fn tables(&self) -> MutexGuard<'_, BTreeMap<&'static str, Arc<Table>>> {
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -195,7 +195,7 @@
     /// Sorts `addresses` by this instance's preference, without parents it left recently.
     fn by_preference(&self, addresses: &[SocketAddr]) -> Vec<SocketAddr> {
         let now = self.clock.now();
-        self.feeders()
+        self.parents()
             .order(&self.identity.instance, addresses, now)
     }
 
@@ -208,8 +208,8 @@
             .await;
         let now = self.clock.now();
         match reply {
-            Some(_) => self.feeders().reach(address),
-            None => self.feeders().miss(address, now),
+            Some(_) => self.parents().reach(address),
+            None => self.parents().miss(address, now),
         }
         match reply {
             Some(Reply::Joined) => JoinOutcome::Joined(Parent { address, peer }),
--- a/src/relay/root_slots.rs
+++ b/src/relay/root_slots.rs
@@ -114,7 +114,7 @@
         let now = relay.clock.now();
         let is_free = |slot: &RootSlot| match &slot.holder {
             None => true,
-            Some(holder) => relay.feeders().is_gone(holder.address, now),
+            Some(holder) => relay.parents().is_gone(holder.address, now),
         };
         let (first, count) = (first_place(&relay.identity.instance), self.0.len());
         let mut turns = (0..count).map(|turn| (first + turn) % count);
--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -3,7 +3,7 @@
 use super::rows::{
     CLOCKS,
     ClockRow,
-    GatewayRun,
+    GatewayIncarnation,
     USAGE, //
 };
 use crate::{
@@ -50,9 +50,12 @@
         }
     }
 
-    /// The gateways with a recent clock reading, except that of `run`.
-    pub(super) async fn live_gateways(&self, run: &GatewayRun) -> Result<Vec<String>, StoreError> {
-        let other_offsets = self.other_offsets(run).await?;
+    /// The gateways with a recent clock reading, except that of `gateway`.
+    pub(super) async fn live_gateways(
+        &self,
+        gateway: &GatewayIncarnation,
+    ) -> Result<Vec<String>, StoreError> {
+        let other_offsets = self.other_offsets(gateway).await?;
         Ok(other_offsets
             .into_iter()
             .map(|(instance, _)| instance)
@@ -60,12 +63,15 @@
     }
 
     /// The recent clock offsets of the other gateways, with their instance names.
-    async fn other_offsets(&self, run: &GatewayRun) -> Result<Vec<(String, i64)>, StoreError> {
+    async fn other_offsets(
+        &self,
+        gateway: &GatewayIncarnation,
+    ) -> Result<Vec<(String, i64)>, StoreError> {
         let listing = self.store.whole_part(USAGE, CLOCKS).await?;
         let now = self.store.now();
         let rows = listing.rows.into_iter().filter_map(|row| {
             let clock = decode::<ClockRow>("clock", &row.value?)?;
-            let is_used = now.since(clock.at) < CLOCK_ROW_LIFETIME && row.key != run.instance;
+            let is_used = now.since(clock.at) < CLOCK_ROW_LIFETIME && row.key != gateway.instance;
             is_used.then_some((row.key, clock.offset))
         });
         Ok(rows.collect())
@@ -73,8 +79,8 @@
 
     /// Sets the offset to the median of all gateways' offsets, and publishes this gateway's
     /// own.
-    pub(super) async fn synchronise(&self, run: &GatewayRun) -> Result<(), StoreError> {
-        let other_offsets = self.other_offsets(run).await?;
+    pub(super) async fn synchronise(&self, gateway: &GatewayIncarnation) -> Result<(), StoreError> {
+        let other_offsets = self.other_offsets(gateway).await?;
         let now = self.store.now();
         let own = self.clock.wall().0.cast_signed() - now.0.cast_signed();
         let mut offsets: Vec<i64> = other_offsets
@@ -94,7 +100,7 @@
             offset: own,
         };
         let transaction = Transaction {
-            set: vec![(run.clock_key(), encode(&row))],
+            set: vec![(gateway.clock_key(), encode(&row))],
             ..Transaction::default()
         };
         self.store.transact(&transaction).await?;
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -2,7 +2,7 @@
 
 use super::{
     clocks::SyncedClock,
-    rows::GatewayRun, //
+    rows::GatewayIncarnation, //
 };
 use crate::{
     base::{Clock, Millis},
@@ -21,7 +21,7 @@
 
 /// This gateway's counts of requests, by workspace and window.
 pub struct Counter {
-    pub(super) gateway_run: GatewayRun,
+    pub(super) gateway: GatewayIncarnation,
     clock: Clock,
     pub(super) synced_clock: SyncedClock,
     request_counted: Notify,
@@ -49,14 +49,14 @@
 impl Counter {
     /// Creates the counter with nothing counted, for the gateway `instance`.
     pub fn open(instance: &str, clock: Clock, store: Store, windows: Windows) -> Arc<Self> {
-        let gateway_run = GatewayRun {
+        let gateway = GatewayIncarnation {
             instance: instance.to_owned(),
             started: clock.now(),
         };
         let synced_clock = SyncedClock::new(clock, store.clone());
         let tally = Tally::new(windows, clock.wall());
         Arc::new(Self {
-            gateway_run,
+            gateway,
             clock,
             synced_clock,
             request_counted: Notify::new(),
@@ -96,7 +96,7 @@
 
     async fn sync_clock(self: Arc<Self>) {
         loop {
-            let wait = match self.synced_clock.synchronise(&self.gateway_run).await {
+            let wait = match self.synced_clock.synchronise(&self.gateway).await {
                 Ok(()) => CLOCK_SYNC_INTERVAL,
                 Err(error) => {
                     tracing::debug!(%error, "clock not synchronised, retrying");
@@ -118,7 +118,7 @@
             let Some((window, part)) = next else {
                 return any;
             };
-            let row = (self.gateway_run.count_key(window), encode(&part));
+            let row = (self.gateway.count_key(window), encode(&part));
             let transaction = Transaction {
                 set: vec![row],
                 ..Transaction::default()
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -3,7 +3,7 @@
 use super::{
     counter::Counter,
     rows::{
-        GatewayRun,
+        GatewayIncarnation,
         REPORTS,
         Report,
         USAGE,
@@ -63,17 +63,17 @@
 /// Reports the usage that all gateways count while this one holds the lease. Runs until the
 /// program ends.
 pub async fn run_reporter(counter: Arc<Counter>, reporting: Reporting, store: Store, clock: Clock) {
-    let gateway_run = counter.gateway_run.clone();
+    let gateway = counter.gateway.clone();
     let claimant = Claimant {
         address: String::new(),
-        holder: gateway_run.instance.clone(),
-        incarnation: Incarnation(gateway_run.started.0),
+        holder: gateway.instance.clone(),
+        incarnation: Incarnation(gateway.started.0),
     };
     // Spreads the lease checks of gateways that start together.
-    let spread = stable_hash(&[gateway_run.instance.as_bytes()]) % LEASE_CHECK_INTERVAL.0;
+    let spread = stable_hash(&[gateway.instance.as_bytes()]) % LEASE_CHECK_INTERVAL.0;
     tokio::time::sleep(Millis(spread).as_duration()).await;
     let mut reporter = Reporter {
-        gateway_run,
+        gateway,
         clock,
         counter,
         held: None,
@@ -105,7 +105,7 @@
 struct WindowReports(BTreeMap<u64, (u64, Report)>);
 
 struct Reporter {
-    gateway_run: GatewayRun,
+    gateway: GatewayIncarnation,
     clock: Clock,
     counter: Arc<Counter>,
     held: Option<Held>,
@@ -155,7 +155,7 @@
         match self.store.transact(&transaction).await {
             Ok(Outcome::Done { .. }) => {
                 if self.held.is_none() {
-                    let (fence, instance) = (next.epoch, &self.gateway_run.instance);
+                    let (fence, instance) = (next.epoch, &self.gateway.instance);
                     tracing::info!(fence, instance, "reporting lease acquired");
                 }
                 self.held = Some(Held {
@@ -209,7 +209,7 @@
         };
         let windows = self.counter.windows;
         let now = self.counter.synced_clock.now();
-        let first = windows.at(self.gateway_run.started);
+        let first = windows.at(self.gateway.started);
         let next = reports.0.last_key_value();
         let next = next.map_or(first, |(window, _)| window + 1);
         if windows.end(next) <= now
@@ -246,9 +246,9 @@
         let mut gateways = self
             .counter
             .synced_clock
-            .live_gateways(&self.gateway_run)
+            .live_gateways(&self.gateway)
             .await?;
-        gateways.push(self.gateway_run.instance.clone());
+        gateways.push(self.gateway.instance.clone());
         let counts = self.read_counts(window).await?;
         let closed = |(instance, part): &(String, Part)| part.closed.then(|| instance.clone());
         let closed: HashSet<String> = counts.iter().filter_map(closed).collect();
@@ -314,7 +314,7 @@
             let request = UsageReport {
                 counts: &report.counts,
                 fence,
-                holder: &self.gateway_run.instance,
+                holder: &self.gateway.instance,
                 window: *window,
             };
             let answer = self.peer.call(request.build(), SEND_TIMEOUT).await;
--- a/src/usage/rows.rs
+++ b/src/usage/rows.rs
@@ -43,16 +43,16 @@
     pub(super) sent: bool,
 }
 
-/// One run of a gateway process, from its start to its end.
+/// One incarnation of a gateway, from a start of its process to its end.
 #[derive(Clone, Debug)]
-pub(super) struct GatewayRun {
+pub(super) struct GatewayIncarnation {
     pub(super) instance: String,
     /// When the process started, in Unix ms.
     pub(super) started: Millis,
 }
 
-impl GatewayRun {
-    /// The key of this run's counts for `window`.
+impl GatewayIncarnation {
+    /// The key of this incarnation's counts for `window`.
     pub(super) fn count_key(&self, window: u64) -> Key {
         let number = stable_hash(&[self.instance.as_bytes()]) % COUNT_PARTS;
         let (instance, started) = (&self.instance, self.started.0);
--- a/src/view/crash_row.rs
+++ b/src/view/crash_row.rs
@@ -19,7 +19,7 @@
 /// The crash of a server while it ran a request.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Crash {
-    pub(super) life: Life,
+    pub(super) incarnation: Life,
     pub(super) request: Fingerprint,
 }
 
@@ -43,7 +43,7 @@
 impl Crash {
     /// The row's key: the request, the server's start time, the server's id.
     pub(super) fn key(&self) -> Key {
-        let Life { born, id } = &self.life;
+        let Life { born, id } = &self.incarnation;
         let key = format!("{}/{}/{id}", self.request, born.0);
         Key::new(CRASHES, "", key)
     }
@@ -53,8 +53,11 @@
         let mut parts = key.splitn(3, '/');
         let request = Fingerprint::parse(parts.next()?)?;
         let born = Millis(parts.next()?.parse().ok()?);
-        let life = Life::new(parts.next()?, born);
-        Some(Self { life, request })
+        let incarnation = Life::new(parts.next()?, born);
+        Some(Self {
+            incarnation,
+            request,
+        })
     }
 }
 
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -124,28 +124,35 @@
         (Arc::new(crashes), CrashWrites(pending))
     }
 
-    /// Records that the server `life` crashed while it ran `requests`.
-    pub fn record_crash(&self, life: &Life, requests: &[Fingerprint]) {
+    /// Records that the server with `incarnation` crashed while it ran `requests`.
+    pub fn record_crash(&self, incarnation: &Life, requests: &[Fingerprint]) {
         let now = self.store.now();
         for request in requests {
-            let (request, life) = (*request, life.clone());
+            let (request, incarnation) = (*request, incarnation.clone());
             if self.quarantine().is_answered(request, now) {
-                let server = &life.id;
+                let server = &incarnation.id;
                 tracing::info!(%request, server, "crash not counted: other servers answer the request");
                 continue;
             }
-            if !self.quarantine().note(request, life.clone(), now) {
+            if !self.quarantine().note(request, incarnation.clone(), now) {
                 continue;
             }
             let ended = self.quarantine().ended(request);
-            let server = &life.id;
+            let server = &incarnation.id;
             tracing::warn!(%request, server, ended, "server crashed while it ran a request");
             metrics::counter!("redwing_crashes_seen_total").increment(1);
             if ended == ENDED_MOST {
                 tracing::warn!(%request, ended, "request quarantined");
                 metrics::counter!("redwing_requests_quarantined_total").increment(1);
             }
-            self.queue_crash(Crash { life, request }.key(), true);
+            self.queue_crash(
+                Crash {
+                    incarnation,
+                    request,
+                }
+                .key(),
+                true,
+            );
         }
     }
 
@@ -157,8 +164,15 @@
         }
         let ended = cleared.len();
         tracing::info!(%request, ended, "crashes cleared: a server answered the request");
-        for life in cleared {
-            self.queue_crash(Crash { life, request }.key(), false);
+        for incarnation in cleared {
+            self.queue_crash(
+                Crash {
+                    incarnation,
+                    request,
+                }
+                .key(),
+                false,
+            );
         }
     }
 
@@ -318,18 +332,22 @@
             Change::Put { key, value, .. } => (key, Some(value)),
             Change::Removed { key, .. } => (key, None),
         };
-        let Some(Crash { life, request }) = Crash::parse(&key) else {
+        let Some(Crash {
+            incarnation,
+            request,
+        }) = Crash::parse(&key)
+        else {
             tracing::warn!(key, "invalid crash key ignored");
             return;
         };
         let at = value.map(|value| written_at(&value));
         match at {
-            None => self.quarantine().forget(request, &life),
+            None => self.quarantine().forget(request, &incarnation),
             Some(None) => {}
             Some(Some(at)) => {
                 let mut quarantine = self.quarantine();
-                let server = life.id.clone();
-                if quarantine.note(request, life, at) {
+                let server = incarnation.id.clone();
+                if quarantine.note(request, incarnation, at) {
                     let ended = quarantine.ended(request);
                     tracing::info!(%request, server, ended, "crash received from the store");
                 }
@@ -367,9 +385,9 @@
             }
             _ = sweep.tick() => {
                 let expired = crashes.quarantine().expired(store.now(), MAX_TRANSACTION_ROWS);
-                for (request, life) in expired {
-                    crashes.quarantine().forget(request, &life);
-                    crashes.queue_crash(Crash { life, request }.key(), false);
+                for (request, incarnation) in expired {
+                    crashes.quarantine().forget(request, &incarnation);
+                    crashes.queue_crash(Crash { incarnation, request }.key(), false);
                 }
             }
             else => return,
