--- a/src/relay/follower.rs
+++ b/src/relay/follower.rs
@@ -156,14 +156,14 @@
             {
                 PollOutcome::Page(page) => return Ok(self.apply_page(page, after).await),
                 PollOutcome::Forgotten => return Err(StoreError::HistoryLost),
-                // Time was lost at the parent: the store answers at once.
+                // The request took time in vain, so the store must answer at once.
                 PollOutcome::Left => hold = Millis(0),
             }
         }
         let table = self.options.table;
         let listing = tokio::select! {
             listing = self.relay.store.changes(table, after, hold) => listing?,
-            // The new parent may have changes earlier.
+            // The parent that was found is polled instead.
             () = self.relay.parent_found() => return Ok(after),
         };
         let revision = listing.revision.max(after);
--- a/src/relay/root_slots.rs
+++ b/src/relay/root_slots.rs
@@ -14,7 +14,7 @@
 
 /// The table of roots: a part for each group, a row for each slot.
 ///
-/// A row only tells where to ask for changes. Two instances that believe to hold the same
+/// A row only tells where to ask for changes. Two instances that believe they hold the same
 /// slot do no harm: both read the store.
 const ROOTS_TABLE: &str = "roots";
 
--- a/src/view/confirm.rs
+++ b/src/view/confirm.rs
@@ -50,8 +50,8 @@
         if error.is_some() != failing {
             failing = error.is_some();
             match &error {
-                Some(error) => tracing::warn!(%error, "configuration can't be confirmed"),
-                None => tracing::info!("configuration can be confirmed again"),
+                Some(error) => tracing::warn!(%error, "the configuration is not confirmed"),
+                None => tracing::info!("the configuration is confirmed again"),
             }
         }
         // `applied_revision` is 0 until the operators have written a valid configuration.
