--- a/src/relay/follower.rs
+++ b/src/relay/follower.rs
@@ -149,9 +149,14 @@
     async fn poll_changes(&mut self, after: u64) -> Result<u64, StoreError> {
         let mut hold = self.options.hold;
         if let Some(parent) = self.relay.parent() {
-            let longer = hold + PARENT_EXTRA_HOLD;
+            let parent_hold = hold + PARENT_EXTRA_HOLD;
             match self
-                .poll_parent(&parent, after, longer, longer + PAGE_TIMEOUT_MARGIN)
+                .poll_parent(
+                    &parent,
+                    after,
+                    parent_hold,
+                    parent_hold + PAGE_TIMEOUT_MARGIN,
+                )
                 .await
             {
                 PollOutcome::Page(page) => return Ok(self.apply_page(page, after).await),
@@ -195,14 +200,14 @@
         parent: &Parent,
         after: u64,
         hold: Millis,
-        within: Millis,
+        timeout: Millis,
     ) -> PollOutcome {
         let want = Want::Changes {
             after,
             table: self.options.table.to_owned(),
         };
         let reply = tokio::select! {
-            reply = self.relay.ask(&parent.peer, want, hold, within) => reply,
+            reply = self.relay.ask(&parent.peer, want, hold, timeout) => reply,
             () = self.relay.parent_left(parent) => return PollOutcome::Left,
         };
         let age = match &reply {
