--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -77,7 +77,9 @@
                 Role::Child(parent) if slots.is_held_by(self.identity.address) => tokio::select! {
                     () = self.parent_left(&parent) => {}
                     () = tokio::time::sleep(SLOT_CHECK_INTERVAL.as_duration()) => {
-                        if slots.read(self).await.is_ok() && slots.is_held_by(self.identity.address) {
+                        if slots.read(self).await.is_ok()
+                            && slots.is_held_by(self.identity.address)
+                        {
                             self.become_root();
                         }
                     }
@@ -85,7 +87,8 @@
                 Role::Child(parent) => self.parent_left(&parent).await,
                 Role::Root => tokio::select! {
                     () = self.demoted() => {}
-                    () = tokio::time::sleep(ROOT_CHECK_INTERVAL.as_duration()) => self.check_root(&mut slots).await,
+                    () = tokio::time::sleep(ROOT_CHECK_INTERVAL.as_duration()) =>
+                        self.check_root(&mut slots).await,
                 },
             }
         }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -131,7 +131,7 @@
             let (request, incarnation) = (*request, incarnation.clone());
             if self.quarantine().is_answered(request, now) {
                 let server = &incarnation.id;
-                tracing::info!(%request, server, "crash not counted: other servers answer the request");
+                tracing::info!(%request, server, "crash not counted: request answered elsewhere");
                 continue;
             }
             if !self.quarantine().note(request, incarnation.clone(), now) {
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -82,7 +82,7 @@
             _ = lapse_check.tick() => {
                 let gone = site.directory().settle(site.now());
                 for server in gone {
-                    tracing::info!(server, "server removed: not announced again after the store's return");
+                    tracing::info!(server, "server removed: not announced after the outage");
                 }
             }
             else => return,
