--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -1,9 +1,9 @@
-//! True time, as the gateways agree on it.
+//! A wall clock that all gateways agree on.
 
 use super::rows::{
-    Author,
     CLOCKS,
     ClockRow,
+    GatewayIncarnation,
     USAGE, //
 };
 use crate::{
@@ -18,19 +18,21 @@
     Ordering, //
 };
 
-/// Tells true time: the store's steady clock, and the offset from it that the middle
-/// one of all gateways' clocks has. One whose clock was set wrong, or that was
-/// suspended, would count requests in other windows than they belong to.
-pub(super) struct Clocks {
+/// The store's steady clock plus the median offset of all gateways' clocks from it. With
+/// its own clock, a gateway whose clock was set wrong or that was suspended would count
+/// requests in the wrong windows.
+pub(super) struct SyncedClock {
     clock: Clock,
+    /// The agreed offset from the store's clock, in ms; 0 before the first synchronisation.
     offset: AtomicI64,
     store: Store,
 }
 
-/// How long a gateway's row counts: three times the time between two of them.
-const HEARD_WITHIN: Millis = Millis(15_000);
+/// How long a gateway's clock reading is used: three times the interval at which it is
+/// written.
+const CLOCK_ROW_LIFETIME: Millis = Millis(15_000);
 
-impl Clocks {
+impl SyncedClock {
     pub(super) fn new(clock: Clock, store: Store) -> Self {
         Self {
             clock,
@@ -39,7 +41,8 @@
         }
     }
 
-    /// The present point in true time.
+    /// The current Unix time by the agreed clock; by the local clock before the first
+    /// synchronisation.
     pub(super) fn now(&self) -> Millis {
         match self.offset.load(Ordering::Relaxed) {
             0 => self.clock.wall(),
@@ -47,57 +50,63 @@
         }
     }
 
-    /// The gateways that were heard of lately, beside that of `author`.
-    pub(super) async fn heard(&self, author: &Author) -> Result<Vec<String>, StoreError> {
-        let others = self.others(author).await?;
-        Ok(others.into_iter().map(|(instance, _)| instance).collect())
+    /// The gateways with a recent clock reading, except that of `gateway`.
+    pub(super) async fn live_gateways(
+        &self,
+        gateway: &GatewayIncarnation,
+    ) -> Result<Vec<String>, StoreError> {
+        let other_offsets = self.other_offsets(gateway).await?;
+        Ok(other_offsets
+            .into_iter()
+            .map(|(instance, _)| instance)
+            .collect())
     }
 
-    /// What the clocks of the others say that were heard of lately.
-    async fn others(&self, author: &Author) -> Result<Vec<(String, i64)>, StoreError> {
+    /// The recent clock offsets of the other gateways, with their instance names.
+    async fn other_offsets(
+        &self,
+        gateway: &GatewayIncarnation,
+    ) -> Result<Vec<(String, i64)>, StoreError> {
         let listing = self.store.whole_part(USAGE, CLOCKS).await?;
         let now = self.store.now();
         let rows = listing.rows.into_iter().filter_map(|row| {
             let clock = decode::<ClockRow>("clock", &row.value?)?;
-            let counts = now.since(clock.at) < HEARD_WITHIN && row.key != author.instance;
-            counts.then_some((row.key, clock.offset))
+            let is_used = now.since(clock.at) < CLOCK_ROW_LIFETIME && row.key != gateway.instance;
+            is_used.then_some((row.key, clock.offset))
         });
         Ok(rows.collect())
     }
 
-    /// Tells the others what this gateway's clock says, and takes the middle of what
-    /// all say.
-    pub(super) async fn settle(&self, author: &Author) -> Result<(), StoreError> {
-        let others = self.others(author).await?;
+    /// Sets the offset to the median of all gateways' offsets, and publishes this gateway's
+    /// own.
+    pub(super) async fn synchronise(&self, gateway: &GatewayIncarnation) -> Result<(), StoreError> {
+        let other_offsets = self.other_offsets(gateway).await?;
         let now = self.store.now();
         let own = self.clock.wall().0.cast_signed() - now.0.cast_signed();
-        let mut offsets: Vec<i64> = others.into_iter().map(|(_, offset)| offset).collect();
+        let mut offsets: Vec<i64> = other_offsets
+            .into_iter()
+            .map(|(_, offset)| offset)
+            .collect();
         offsets.push(own);
         if let Some(offset) = middle(&mut offsets) {
             let before = self.offset.swap(offset, Ordering::Relaxed);
-            if before.abs_diff(offset) > TOLD_FROM {
+            if before.abs_diff(offset) > LOGGED_SHIFT_MS {
                 let gateways = offsets.len();
-                tracing::info!(
-                    own,
-                    offset,
-                    before,
-                    gateways,
-                    "true time by all gateways' clocks"
-                );
+                tracing::info!(own, offset, before, gateways, "clock offset changed");
             }
         }
         let row = ClockRow {
             at: now,
             offset: own,
         };
-        let write = Transaction {
-            set: vec![(author.clock_key(), encode(&row))],
+        let transaction = Transaction {
+            set: vec![(gateway.clock_key(), encode(&row))],
             ..Transaction::default()
         };
-        self.store.transact(&write).await?;
+        self.store.transact(&transaction).await?;
         Ok(())
     }
 }
 
-/// Changes of the offset from which on they are told, in ms.
-const TOLD_FROM: u64 = 20;
+/// A change of the offset by more than this is logged.
+const LOGGED_SHIFT_MS: u64 = 20;
--- a/src/view/confirm.rs
+++ b/src/view/confirm.rs
@@ -1,4 +1,4 @@
-//! Asks the store whether the configuration in force is still the newest.
+//! Confirms with the store that the configuration in force is the newest.
 
 use super::Site;
 use crate::{
@@ -8,60 +8,61 @@
 };
 use std::sync::Arc;
 
-/// How often the store is asked. A feed that is silent proves nothing: it may have
-/// lost its history. Some questions may fail before the configuration is too old.
-const EVERY: Millis = Millis(1_000);
+/// How often the store is asked. A feed without changes is no confirmation, as it may have
+/// lost its history. Some calls may fail before the configuration is too old.
+const CONFIRM_INTERVAL: Millis = Millis(1_000);
 
-/// The wait after a question that failed, or found nothing.
-const AGAIN: Millis = Millis(200);
+/// The delay after a failed call, and while no valid configuration has been found.
+const RETRY_DELAY: Millis = Millis(200);
 
-/// The least time between two questions. Callers with unknown keys or paths have the
-/// store asked at once, so that nobody is turned away by an old configuration.
-const LEAST: Millis = Millis(50);
+/// The minimum time between two calls. Callers with unknown keys or paths cause a call at
+/// once, so that no caller is rejected by an outdated configuration.
+const MIN_CONFIRM_INTERVAL: Millis = Millis(50);
 
-/// Confirms the configuration for good, where its age matters.
-pub async fn confirm(site: Arc<Site>, store: Store) {
+/// Confirms the configuration regularly and on request, until the program ends. Needed
+/// only where the configuration's age is limited.
+pub async fn confirm_config(site: Arc<Site>, store: Store) {
     let key = Key::new(OPERATOR_TABLE, "", CONFIG_KEY);
-    let mut applied = 0;
-    let mut lost = false;
+    let mut applied_revision = 0;
+    let mut failing = false;
     loop {
         let asked = site.clock.boottime();
-        let failed = match store.row(&key).await {
+        let error = match store.row(&key).await {
             Ok(Some(row)) => {
-                if row.revision != applied {
+                if row.revision != applied_revision {
                     match read_config(&row.value.unwrap_or_default()) {
                         Ok(config) => {
-                            applied = row.revision;
-                            site.offer(config);
+                            applied_revision = row.revision;
+                            site.apply_config(config);
                         }
-                        Err(error) => tracing::error!(%error, "a configuration is left out"),
+                        Err(error) => tracing::error!(%error, "invalid configuration ignored"),
                     }
                 }
-                // One that is not understood is not in force.
-                if row.revision == applied {
-                    site.confirm(asked);
+                // An invalid configuration is not in force, so it can't be confirmed.
+                if row.revision == applied_revision {
+                    site.set_confirmed(asked);
                 }
                 None
             }
             Ok(None) => None,
             Err(error) => Some(error),
         };
-        if failed.is_some() != lost {
-            lost = failed.is_some();
-            match &failed {
+        if error.is_some() != failing {
+            failing = error.is_some();
+            match &error {
                 Some(error) => tracing::warn!(%error, "the configuration is not confirmed"),
                 None => tracing::info!("the configuration is confirmed again"),
             }
         }
-        // There is none before the operators' first.
-        let wait = match lost || applied == 0 {
-            true => AGAIN,
-            false => EVERY,
+        // `applied_revision` is 0 until the operators have written a valid configuration.
+        let wait = match failing || applied_revision == 0 {
+            true => RETRY_DELAY,
+            false => CONFIRM_INTERVAL,
         };
-        tokio::time::sleep(LEAST.as_duration()).await;
+        tokio::time::sleep(MIN_CONFIRM_INTERVAL.as_duration()).await;
         tokio::select! {
-            () = tokio::time::sleep((wait - LEAST).as_duration()) => {}
-            () = site.confirmation_wanted() => {}
+            () = tokio::time::sleep((wait - MIN_CONFIRM_INTERVAL).as_duration()) => {}
+            () = site.confirmation_requested() => {}
         }
     }
 }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -1,17 +1,17 @@
-//! Servers that ended under requests, as all instances know them.
+//! Crashes of servers while they ran requests, shared among all instances.
 
 use super::crash_row::{
     CRASHES,
     Crash,
     attempt_key,
-    read_at,
-    value_at, //
+    value_at,
+    written_at, //
 };
 use crate::{
     base::{Fingerprint, Millis},
     platform::Store,
     policy::quarantine::{ENDED_MOST, Quarantine, Verdict},
-    relay::{BACKOFF_MOST, Followed, Following, Relay, follow},
+    relay::{FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     routing::Life,
     store::{Change, Key, Outcome, Transaction}, //
 };
@@ -29,146 +29,165 @@
     time::Instant, //
 };
 
-/// The crashes that this program saw or heard of; [`keep_crashes`] shares them.
+/// The crashes that this program saw or received; [`sync_crashes`] shares them.
 ///
-/// A request that ends each server that runs it comes again at other instances,
-/// under other ids. What each of them saw goes through the store to all, so that
-/// three servers end under it at most, wherever it comes.
+/// A request that crashes each server that runs it is sent again to other instances,
+/// under other ids. The instances share the crashes through the store, so that such a
+/// request crashes at most three servers, wherever it arrives.
 pub struct Crashes {
+    /// Whether the table of crashes was listed since the start.
     listed: watch::Sender<bool>,
-    /// Until when calls wait for the list.
-    listed_until: Instant,
+    /// Until when calls wait for that listing.
+    listing_deadline: Instant,
     quarantine: Mutex<Quarantine>,
     store: Store,
-    /// Changes that are not in the store yet.
-    unshared: watch::Sender<usize>,
+    /// The number of queued changes that are not in the store yet.
+    pending_writes: watch::Sender<usize>,
     writes: mpsc::Sender<Write>,
 }
 
-/// Who may run a request that may end its server.
+/// The result of [`Crashes::claim_attempt`].
 #[derive(Clone, Copy, Debug)]
-pub enum Claimed {
+pub enum ClaimResult {
+    /// Another instance has claimed the attempt.
     Elsewhere,
+    /// This instance has claimed the attempt.
     Here(Attempt),
-    /// The store can't tell.
+    /// The store didn't answer.
     Unknown,
 }
 
-/// The one attempt of a request that all instances may make at a time.
+/// A claimed attempt of a request. All instances together may make one at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     request: Fingerprint,
-    /// Of its row, which another claim replaces.
+    /// The revision of the claim's row; a later claim replaces the row.
     revision: u64,
 }
 
-/// Takes what is to be written; for [`keep_crashes`].
+/// The receiving end of the queue of changes, for [`sync_crashes`].
 pub struct CrashWrites(mpsc::Receiver<Write>);
 
-/// A change that all instances should learn.
+/// A queued change to the tables of crashes and attempts.
 #[derive(Debug)]
 enum Write {
-    /// A crash, whose row stands from now on or is removed.
+    /// Write the row of a crash if it `counts`; remove the row if not.
     Crash { counts: bool, key: Key },
-    /// An attempt is over; what it showed was queued before.
+    /// Release an attempt. The crashes it caused were queued before.
     Release(Attempt),
 }
 
-/// Changes that may wait for the store. A server's end concerns some ten requests;
-/// more than this many wait only when dozens end in an outage.
-const WRITES_MOST: usize = 1_024;
+/// How many changes may be queued for the store. A server's crash concerns some ten
+/// requests, so the queue overflows only if dozens of servers crash in an outage.
+const MAX_PENDING_WRITES: usize = 1_024;
 
-/// The most rows of one transaction; the store takes 100.
-const ROWS_MOST: usize = 90;
+/// The maximum number of rows in one transaction; the store accepts 100.
+const MAX_TRANSACTION_ROWS: usize = 90;
 
-/// The wait after a write that the store did not take.
-const WRITE_AGAIN: Millis = Millis(200);
+/// The delay after a failed write.
+const WRITE_RETRY_DELAY: Millis = Millis(200);
 
-/// How long the store holds a call for changes. A silent feed is noticed after
-/// this and half a second: within the 3 s that the users allow for all to know.
-const HOLD: Millis = Millis(1_500);
+/// How long the store holds a call for changes. A feed that stopped delivering is
+/// detected half a second after this: within the 3 s that the users allow until all
+/// instances know a crash.
+const CHANGES_HOLD: Millis = Millis(1_500);
 
-/// The wait after changes, in which those of one crash gather.
-const PACE: Millis = Millis(10);
+/// The delay collects the changes of one crash into one batch.
+const BATCH_DELAY: Millis = Millis(10);
 
-/// How long an instance has for a trial that it has taken: a long item's run. One
-/// that was broken off by something else is free then.
-const TRIAL_KEPT: Millis = Millis(10_000);
+/// How long a trial stays claimed if its holder doesn't release it: the run time of a
+/// long item. A trial that was interrupted for another reason is free after this.
+const TRIAL_TIMEOUT: Millis = Millis(10_000);
 
-/// How long after the start calls wait for the list of crashes: it takes some ms.
-const LISTED_WITHIN: Millis = Millis(1_000);
+/// How long after the start calls wait for the listing of crashes, which usually takes
+/// some milliseconds.
+const LISTING_TIMEOUT: Millis = Millis(1_000);
 
-/// How often crashes that count no more are looked for.
-const SWEEP: Millis = Millis(60_000);
+/// How often expired crashes are removed.
+const SWEEP_INTERVAL: Millis = Millis(60_000);
 
-/// Batches of changes that may wait here; the follower waits then.
-const RING: usize = 16;
+/// How many batches of changes may be queued; the follower waits while the queue is full.
+const FEED_CAPACITY: usize = 16;
 
 impl Crashes {
-    /// No crash is known yet; `store` is where they are shared.
+    /// Creates the state with no known crash. Crashes are shared through `store`.
     pub fn open(store: Store) -> (Arc<Self>, CrashWrites) {
-        let (writes, pending) = mpsc::channel(WRITES_MOST);
+        let (writes, pending) = mpsc::channel(MAX_PENDING_WRITES);
         let crashes = Self {
             listed: watch::Sender::new(false),
-            listed_until: Instant::now() + LISTED_WITHIN.as_duration(),
+            listing_deadline: Instant::now() + LISTING_TIMEOUT.as_duration(),
             quarantine: Mutex::default(),
             store,
-            unshared: watch::Sender::new(0),
+            pending_writes: watch::Sender::new(0),
             writes,
         };
         (Arc::new(crashes), CrashWrites(pending))
     }
 
-    /// The server `life` has ended, and `requests` were under way there.
-    pub fn note(&self, life: &Life, requests: &[Fingerprint]) {
+    /// Records that the server with `incarnation` crashed while it ran `requests`.
+    pub fn record_crash(&self, incarnation: &Life, requests: &[Fingerprint]) {
         let now = self.store.now();
         for request in requests {
-            let (request, life) = (*request, life.clone());
+            let (request, incarnation) = (*request, incarnation.clone());
             if self.quarantine().is_answered(request, now) {
-                let server = &life.id;
-                tracing::info!(%request, server, "server ended beside a request that others answer");
+                let server = &incarnation.id;
+                tracing::info!(%request, server, "crash not counted: request answered elsewhere");
                 continue;
             }
-            if !self.quarantine().note(request, life.clone(), now) {
+            if !self.quarantine().note(request, incarnation.clone(), now) {
                 continue;
             }
             let ended = self.quarantine().ended(request);
-            let server = &life.id;
-            tracing::warn!(%request, server, ended, "server ended under a request");
+            let server = &incarnation.id;
+            tracing::warn!(%request, server, ended, "server crashed while it ran a request");
             metrics::counter!("redwing_crashes_seen_total").increment(1);
             if ended == ENDED_MOST {
-                tracing::warn!(%request, ended, "request in quarantine");
+                tracing::warn!(%request, ended, "request quarantined");
                 metrics::counter!("redwing_requests_quarantined_total").increment(1);
             }
-            self.write_crash(Crash { life, request }.key(), true);
+            self.queue_crash(
+                Crash {
+                    incarnation,
+                    request,
+                }
+                .key(),
+                true,
+            );
         }
     }
 
-    /// A server answered `request`.
-    pub fn survived(&self, request: Fingerprint) {
-        let acquitted = self.quarantine().acquit(request, self.store.now());
-        if acquitted.is_empty() {
+    /// Records that a server answered `request`, which clears its crashes.
+    pub fn record_answer(&self, request: Fingerprint) {
+        let cleared = self.quarantine().acquit(request, self.store.now());
+        if cleared.is_empty() {
             return;
         }
-        let ended = acquitted.len();
-        tracing::info!(%request, ended, "request acquitted: a server answered it");
-        for life in acquitted {
-            self.write_crash(Crash { life, request }.key(), false);
+        let ended = cleared.len();
+        tracing::info!(%request, ended, "crashes cleared: a server answered the request");
+        for incarnation in cleared {
+            self.queue_crash(
+                Crash {
+                    incarnation,
+                    request,
+                }
+                .key(),
+                false,
+            );
         }
     }
 
-    /// What may be done with `request`.
-    pub fn judge(&self, request: Fingerprint) -> Verdict {
+    /// Whether and how `request` may run.
+    pub fn quarantine_state(&self, request: Fingerprint) -> Verdict {
         let now = self.store.now();
         self.quarantine().judge(request, now)
     }
 
-    /// Takes the one attempt of `request` that all instances may make at a time, and
-    /// reads what the attempts before it have shown. One that its holder never ended
-    /// is free after `kept`.
-    pub async fn claim_attempt(&self, request: Fingerprint, kept: Millis) -> Claimed {
+    /// Claims the attempt of `request`, of which all instances may make one at a time, and
+    /// reads the crashes of earlier attempts. A claim that its holder doesn't release is
+    /// free after `timeout`.
+    pub async fn claim_attempt(&self, request: Fingerprint, timeout: Millis) -> ClaimResult {
         if self.store.is_away() {
-            return Claimed::Unknown;
+            return ClaimResult::Unknown;
         }
         let key = attempt_key(request);
         let mut expected = 0;
@@ -181,78 +200,84 @@
             };
             let rows = match self.store.transact(&transaction).await {
                 Ok(Outcome::Done { revision }) => {
-                    // Its holder before has written what it saw before it ended it.
+                    // The previous holder wrote the crashes it saw before it released the
+                    // attempt.
                     self.refresh(request).await;
-                    let ended = self.ended(request);
-                    tracing::info!(%request, ended, "a request that may end its server is tried");
-                    return Claimed::Here(Attempt { request, revision });
+                    let ended = self.crash_count(request);
+                    tracing::info!(%request, ended, "attempt claimed");
+                    return ClaimResult::Here(Attempt { request, revision });
                 }
                 Ok(Outcome::Conflict { rows }) => rows,
                 Err(error) => {
-                    tracing::info!(%request, %error, "whether another tries it is unknown");
-                    return Claimed::Unknown;
+                    tracing::info!(%request, %error, "attempt not claimed");
+                    return ClaimResult::Unknown;
                 }
             };
             let free = rows.iter().find_map(|row| {
-                let at = read_at(row.value.as_ref()?)?;
-                (now.since(at) >= kept).then_some(row.revision)
+                let at = written_at(row.value.as_ref()?)?;
+                (now.since(at) >= timeout).then_some(row.revision)
             });
             match free {
                 Some(free) => expected = free,
+                // The claim was released meanwhile.
                 None if rows.is_empty() => expected = 0,
-                None => return Claimed::Elsewhere,
+                None => return ClaimResult::Elsewhere,
             }
         }
-        Claimed::Elsewhere
+        ClaimResult::Elsewhere
     }
 
-    /// Takes the trial of `request`, which is in quarantine; `None` when another has
-    /// it, or the store can't tell.
+    /// Claims the trial of `request`, which is in quarantine. `None` if another instance has
+    /// claimed it, the store didn't answer, or the trial is no longer due.
     pub async fn claim_trial(&self, request: Fingerprint) -> Option<Attempt> {
-        let Claimed::Here(attempt) = self.claim_attempt(request, TRIAL_KEPT).await else {
+        let ClaimResult::Here(attempt) = self.claim_attempt(request, TRIAL_TIMEOUT).await else {
             return None;
         };
-        // Others may have tried it meanwhile.
-        if self.judge(request) == Verdict::Barred {
+        // Another instance may have made the trial meanwhile.
+        if self.quarantine_state(request) == Verdict::Barred {
             self.release_attempt(attempt);
             return None;
         }
         Some(attempt)
     }
 
-    /// How many servers ended under `request`.
-    pub fn ended(&self, request: Fingerprint) -> usize {
+    /// How many servers have crashed while they ran `request`.
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.quarantine().ended(request)
     }
 
-    /// Whether the crashes that others saw were read since the start.
+    /// Whether the table of crashes was listed since the start.
     pub fn are_listed(&self) -> bool {
         *self.listed.borrow()
     }
 
-    /// Whether all that this program saw is in the store.
+    /// Whether all changes of this program are in the store.
     pub fn are_shared(&self) -> bool {
-        *self.unshared.borrow() == 0
+        *self.pending_writes.borrow() == 0
     }
 
-    /// Waits at most `within` until all that this program saw is in the store.
-    pub async fn wait_shared(&self, within: Millis) {
-        let mut unshared = self.unshared.subscribe();
-        let none = unshared.wait_for(|unshared| *unshared == 0);
-        let _ = tokio::time::timeout(within.as_duration(), none).await;
+    /// Waits at most `timeout` until all changes of this program are in the store.
+    pub async fn wait_shared(&self, timeout: Millis) {
+        let mut pending_writes = self.pending_writes.subscribe();
+        let none = pending_writes.wait_for(|count| *count == 0);
+        let _ = tokio::time::timeout(timeout.as_duration(), none).await;
     }
 
-    /// Reads what others saw under `request`, for a program that can't wait for the
-    /// feed: the request comes from the one that has just lost its server.
+    /// Reads the crashes of `request` from the store, without waiting for the feed: the
+    /// request may come from an instance that has just lost its server.
     pub async fn refresh(&self, request: Fingerprint) {
         let prefix = format!("{request}/");
-        match self.store.rows(CRASHES, "", &prefix, ROWS_MOST).await {
+        match self
+            .store
+            .rows(CRASHES, "", &prefix, MAX_TRANSACTION_ROWS)
+            .await
+        {
             Ok(listing) => {
                 let rows = listing.rows.into_iter();
                 for row in rows.take_while(|row| row.key.starts_with(&prefix)) {
                     if let Some(value) = row.value {
                         let (key, revision) = (row.key, row.revision);
-                        self.take(Change::Put {
+                        self.apply_change(Change::Put {
                             key,
                             part: row.part,
                             revision,
@@ -261,24 +286,26 @@
                     }
                 }
             }
-            Err(error) => tracing::info!(%request, %error, "crashes under it were not read"),
+            Err(error) => tracing::info!(%request, %error, "crashes of the request not read"),
         }
     }
 
-    /// Waits until they were read, for a second after the start at most.
+    /// Waits until the table of crashes was listed, for a second after the start at most.
     ///
-    /// Requests reach a program that has just started before it is ready. One that
-    /// ended servers before met it with an empty list, 5 ms after its start.
+    /// Requests may reach a program before it is ready. One that had crashed servers before
+    /// arrived 5 ms after a start, when the program knew no crashes.
     pub async fn wait_listed(&self) {
         let mut listed = self.listed.subscribe();
         let read = listed.wait_for(|listed| *listed);
-        // Without the store a program knows no configuration and calls nobody.
-        let _ = tokio::time::timeout_at(self.listed_until, read).await;
+        // A timeout is harmless: without the store there is no configuration, and so no
+        // call is sent.
+        let _ = tokio::time::timeout_at(self.listing_deadline, read).await;
     }
 
-    /// The attempt is over: another may be made once all know what it showed.
+    /// Releases an attempt that is over. The release is written after its crashes, so that
+    /// the next holder reads them.
     pub fn release_attempt(&self, attempt: Attempt) {
-        self.write(Write::Release(attempt));
+        self.queue(Write::Release(attempt));
     }
 
     fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
@@ -287,64 +314,69 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write_crash(&self, key: Key, counts: bool) {
-        self.write(Write::Crash { counts, key });
+    fn queue_crash(&self, key: Key, counts: bool) {
+        self.queue(Write::Crash { counts, key });
     }
 
-    fn write(&self, write: Write) {
-        self.unshared.send_modify(|unshared| *unshared += 1);
+    fn queue(&self, write: Write) {
+        self.pending_writes.send_modify(|count| *count += 1);
         if let Err(error) = self.writes.try_send(write) {
-            self.unshared.send_modify(|unshared| *unshared -= 1);
+            self.pending_writes.send_modify(|count| *count -= 1);
             metrics::counter!("redwing_crashes_unshared_total").increment(1);
-            tracing::warn!(%error, "a crash is known here only");
+            tracing::warn!(%error, "crash or release not shared with other instances");
         }
     }
 
-    fn take(&self, change: Change) {
+    fn apply_change(&self, change: Change) {
         let (key, value) = match change {
             Change::Put { key, value, .. } => (key, Some(value)),
             Change::Removed { key, .. } => (key, None),
         };
-        let Some(Crash { life, request }) = Crash::parse(&key) else {
-            tracing::warn!(key, "an entry names no crash");
+        let Some(Crash {
+            incarnation,
+            request,
+        }) = Crash::parse(&key)
+        else {
+            tracing::warn!(key, "invalid crash key ignored");
             return;
         };
-        let at = value.map(|value| read_at(&value));
+        let at = value.map(|value| written_at(&value));
         match at {
-            None => self.quarantine().forget(request, &life),
+            None => self.quarantine().forget(request, &incarnation),
             Some(None) => {}
             Some(Some(at)) => {
                 let mut quarantine = self.quarantine();
-                let server = life.id.clone();
-                if quarantine.note(request, life, at) {
+                let server = incarnation.id.clone();
+                if quarantine.note(request, incarnation, at) {
                     let ended = quarantine.ended(request);
-                    tracing::info!(%request, server, ended, "crash heard of");
+                    tracing::info!(%request, server, ended, "crash received from the store");
                 }
             }
         }
     }
 }
 
-/// Shares crashes with all instances through the store, for good.
-pub async fn keep_crashes(crashes: Arc<Crashes>, writes: CrashWrites, relay: Arc<Relay>) {
+/// Shares crashes with all instances through the store and removes expired ones, until the
+/// program ends.
+pub async fn sync_crashes(crashes: Arc<Crashes>, writes: CrashWrites, relay: Arc<Relay>) {
     let store = &crashes.store;
-    let (sender, mut feed) = mpsc::channel(RING);
-    let following = Following {
-        backoff: BACKOFF_MOST,
-        hold: HOLD,
-        pace: PACE,
-        parts: false,
+    let (sender, mut feed) = mpsc::channel(FEED_CAPACITY);
+    let options = FollowOptions {
+        max_backoff: MAX_BACKOFF,
+        hold: CHANGES_HOLD,
+        batch_delay: BATCH_DELAY,
+        has_parts: false,
         table: CRASHES,
     };
-    tokio::spawn(follow(relay, following, sender));
-    tokio::spawn(write_all(writes, crashes.clone()));
-    let mut sweep = tokio::time::interval(SWEEP.as_duration());
+    tokio::spawn(follow(relay, options, sender));
+    tokio::spawn(run_writer(writes, crashes.clone()));
+    let mut sweep = tokio::time::interval(SWEEP_INTERVAL.as_duration());
     loop {
         tokio::select! {
-            Some(followed) = feed.recv() => {
-                if let Followed::Changes { changes, listed } = followed {
+            Some(event) = feed.recv() => {
+                if let FollowEvent::Changes { changes, listed } = event {
                     for change in changes {
-                        crashes.take(change);
+                        crashes.apply_change(change);
                     }
                     if listed {
                         crashes.listed.send_replace(true);
@@ -352,10 +384,10 @@
                 }
             }
             _ = sweep.tick() => {
-                let expired = crashes.quarantine().expired(store.now(), ROWS_MOST);
-                for (request, life) in expired {
-                    crashes.quarantine().forget(request, &life);
-                    crashes.write_crash(Crash { life, request }.key(), false);
+                let expired = crashes.quarantine().expired(store.now(), MAX_TRANSACTION_ROWS);
+                for (request, incarnation) in expired {
+                    crashes.quarantine().forget(request, &incarnation);
+                    crashes.queue_crash(Crash { incarnation, request }.key(), false);
                 }
             }
             else => return,
@@ -363,36 +395,37 @@
     }
 }
 
-/// Writes changes, and ends attempts once what they showed is written. A write whose
-/// outcome is unknown is written again: it says the same.
-async fn write_all(writes: CrashWrites, crashes: Arc<Crashes>) {
+/// Writes queued changes: in each batch first the crashes, then the releases of attempts.
+/// A write of crashes whose outcome is unknown is repeated, as it is idempotent.
+async fn run_writer(writes: CrashWrites, crashes: Arc<Crashes>) {
     let CrashWrites(mut writes) = writes;
     let store = &crashes.store;
-    let mut some = Vec::new();
-    while writes.recv_many(&mut some, ROWS_MOST).await > 0 {
-        let taken = some.len();
-        let mut last = BTreeMap::new();
-        let mut over = Vec::new();
-        for write in some.drain(..) {
+    let mut batch = Vec::new();
+    while writes.recv_many(&mut batch, MAX_TRANSACTION_ROWS).await > 0 {
+        let taken = batch.len();
+        let mut crash_rows = BTreeMap::new();
+        let mut released = Vec::new();
+        for write in batch.drain(..) {
             match write {
                 Write::Crash { counts, key } => {
-                    last.insert(key, counts);
+                    crash_rows.insert(key, counts);
                 }
-                Write::Release(attempt) => over.push(attempt),
+                Write::Release(attempt) => released.push(attempt),
             }
         }
-        if !last.is_empty() {
-            write_crashes(store, last).await;
+        if !crash_rows.is_empty() {
+            store_crashes(store, crash_rows).await;
         }
-        for attempt in over {
+        for attempt in released {
             remove_attempt(store, attempt).await;
         }
-        crashes.unshared.send_modify(|unshared| *unshared -= taken);
+        crashes.pending_writes.send_modify(|count| *count -= taken);
     }
 }
 
-/// Writes the crashes that count and removes the others, until the store has done so.
-async fn write_crashes(store: &Store, crashes: BTreeMap<Key, bool>) {
+/// Writes the crashes that count and removes the others; retries until the store has
+/// applied it.
+async fn store_crashes(store: &Store, crashes: BTreeMap<Key, bool>) {
     let at = value_at(store.now());
     let (set, remove): (Vec<_>, Vec<_>) = crashes.into_iter().partition(|(_, counts)| *counts);
     let transaction = Transaction {
@@ -401,13 +434,13 @@
         set: set.into_iter().map(|(key, _)| (key, at.clone())).collect(),
     };
     while let Err(error) = store.transact(&transaction).await {
-        tracing::debug!(%error, "crashes wait for the store");
-        tokio::time::sleep(WRITE_AGAIN.as_duration()).await;
+        tracing::debug!(%error, "crashes not written, retrying");
+        tokio::time::sleep(WRITE_RETRY_DELAY.as_duration()).await;
     }
 }
 
-/// Frees an attempt, unless another holds it by now. One that stays is free by itself
-/// after a while.
+/// Removes the row of a claimed attempt, unless another instance has claimed it meanwhile.
+/// There is no retry: the claim times out.
 async fn remove_attempt(store: &Store, attempt: Attempt) {
     let key = attempt_key(attempt.request);
     let transaction = Transaction {
@@ -416,6 +449,6 @@
         set: Vec::new(),
     };
     if let Err(error) = store.transact(&transaction).await {
-        tracing::debug!(%error, "an attempt is not freed");
+        tracing::debug!(%error, "attempt not released");
     }
 }
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -1,17 +1,16 @@
-//! What a program knows of its site: configuration, servers, named versions,
-//! crashes.
+//! A program's view of its site: configuration, servers, named versions, crashes.
 
 mod confirm;
 mod crash_row;
 mod crashes;
-mod keeper;
 mod reach;
 mod site;
+mod sync;
 
 pub use self::{
-    confirm::confirm,
-    crashes::{Attempt, Claimed, CrashWrites, Crashes, keep_crashes},
-    keeper::keep,
-    reach::watch_reach,
+    confirm::confirm_config,
+    crashes::{Attempt, ClaimResult, CrashWrites, Crashes, sync_crashes},
+    reach::watch_store,
     site::Site, //
+    sync::sync_site,
 };
