--- a/src/batch/claim.rs
+++ b/src/batch/claim.rs
@@ -18,7 +18,7 @@
 
 impl Claim {
     /// The word of a former holder that nobody runs the bundle.
-    pub fn free() -> Self {
+    pub fn released() -> Self {
         Self {
             holder: String::new(),
             second: None,
@@ -27,14 +27,14 @@
     }
 
     /// Whether nobody runs the bundle, by its former holder's word.
-    pub fn is_free(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         self.holder.is_empty()
     }
 
     /// Whether `other` is the same claim, perhaps written by another try.
-    pub fn is_same_run(&self, other: &Self) -> bool {
-        let name = |claim: &Self| (claim.holder.clone(), claim.token, claim.second.clone());
-        name(self) == name(other)
+    pub fn is_same_claim(&self, other: &Self) -> bool {
+        let fields = |claim: &Self| (claim.holder.clone(), claim.token, claim.second.clone());
+        fields(self) == fields(other)
     }
 }
 
--- a/src/batch/head.rs
+++ b/src/batch/head.rs
@@ -52,21 +52,21 @@
 
 /// The most bytes of items in one row: the store takes 64 KiB, and the encoding
 /// of a chunk adds a little to its items.
-const CHUNK_BYTES: usize = 40 * 1024;
+const MAX_CHUNK_BYTES: usize = 40 * 1024;
 
 impl Head {
     /// The head of `submission`, and its items dealt into chunks in their order.
     pub fn of(submission: &Submission, accepted: Millis) -> (Self, Vec<Vec<Item>>) {
         let mut chunks: Vec<Vec<Item>> = Vec::new();
-        let mut room = 0;
+        let mut remaining_bytes = 0;
         let mut items = Vec::new();
         for item in &submission.items {
-            let size = size_of(item);
-            if size > room || chunks.is_empty() {
+            let size = estimated_size(item);
+            if size > remaining_bytes || chunks.is_empty() {
                 chunks.push(Vec::new());
-                room = CHUNK_BYTES;
+                remaining_bytes = MAX_CHUNK_BYTES;
             }
-            room = room.saturating_sub(size);
+            remaining_bytes = remaining_bytes.saturating_sub(size);
             items.push(ItemRef {
                 chunk: (chunks.len() - 1) as u16,
                 expected: item.expected,
@@ -96,7 +96,7 @@
     /// The bundles' numbers, those first whose longest item is expected to be
     /// the longest. A group counts when its last item is there, so the long ones
     /// have to begin first.
-    pub fn order(&self) -> Vec<u16> {
+    pub fn bundle_order(&self) -> Vec<u16> {
         let longest = |bundle: &Bundle| {
             let items = bundle.items.iter();
             let expected = items.map(|index| self.items[usize::from(*index)].expected);
@@ -110,12 +110,12 @@
     /// Whether more groups than its trainer waits for stand before that of `bundle`.
     /// The trainer takes any groups, but those that were left over from an earlier
     /// step come first and are waited for.
-    pub fn is_beyond(&self, bundle: &Bundle) -> bool {
+    pub fn is_surplus(&self, bundle: &Bundle) -> bool {
         self.needed > 0 && bundle.group >= self.needed
     }
 
     /// The output tokens that its trainer expects; 0 when it gave no estimates.
-    pub fn tokens(&self) -> u64 {
+    pub fn expected_tokens(&self) -> u64 {
         let expected = self.items.iter().map(|item| u64::from(item.expected));
         expected.sum()
     }
@@ -130,14 +130,14 @@
 /// The most items in a bundle. Groups of 16 on engines with 6 slots ran in
 /// three turns on one engine while others were idle; reading a shared prompt
 /// of 1,000 tokens once more takes 5 ms.
-const BUNDLE_MOST: usize = 4;
+const MAX_BUNDLE_ITEMS: usize = 4;
 
 /// The groups in the order of their first items, dealt into bundles of equal
 /// size.
 fn bundles_of(items: &[Item]) -> Vec<Bundle> {
     let groups = groups_of(items).into_iter().enumerate();
     let bundles = groups.flat_map(|(number, group)| {
-        let count = group.len().div_ceil(BUNDLE_MOST).max(1);
+        let count = group.len().div_ceil(MAX_BUNDLE_ITEMS).max(1);
         let size = group.len().div_ceil(count).max(1);
         let bundle = |items: &[u16]| Bundle {
             group: number as u16,
@@ -161,7 +161,7 @@
     groups
 }
 
-fn size_of(item: &Item) -> usize {
+fn estimated_size(item: &Item) -> usize {
     let headers = item
         .headers
         .iter()
--- a/src/batch/layout.rs
+++ b/src/batch/layout.rs
@@ -16,25 +16,25 @@
 pub const RESULTS: &str = "results";
 
 /// The parts of [`WORK`] with the runners' heartbeats begin so.
-const HEARTBEATS: &str = "heartbeats-";
+const HEARTBEAT_PART_PREFIX: &str = "heartbeats-";
 
 /// The heartbeats lie in so many parts: one part takes 200 transactions a second, and
 /// 3,300 runners write one each, most of them when they start together.
-const HEARTBEAT_PARTS: u64 = 64;
+const HEARTBEAT_PART_COUNT: u64 = 64;
 
 /// The part of [`WORK`] with the heartbeat of the runner `instance`.
 pub fn heartbeat_part(instance: &str) -> String {
-    let number = stable_hash(&[instance.as_bytes()]) % HEARTBEAT_PARTS;
-    format!("{HEARTBEATS}{number:02}")
+    let number = stable_hash(&[instance.as_bytes()]) % HEARTBEAT_PART_COUNT;
+    format!("{HEARTBEAT_PART_PREFIX}{number:02}")
 }
 
 /// Whether `part` holds heartbeats.
-pub fn has_heartbeats(part: &str) -> bool {
-    part.starts_with(HEARTBEATS)
+pub fn is_heartbeat_part(part: &str) -> bool {
+    part.starts_with(HEARTBEAT_PART_PREFIX)
 }
 
 /// The part of the batch called `id`.
-pub fn part_of(id: &str) -> String {
+pub fn batch_part(id: &str) -> String {
     format!("batch-{id}")
 }
 
--- a/src/batch/log.rs
+++ b/src/batch/log.rs
@@ -20,7 +20,7 @@
 
 impl Log {
     /// Whether the item at `index` is listed.
-    pub fn has(&self, index: u16) -> bool {
+    pub fn contains(&self, index: u16) -> bool {
         self.listed.contains(&index)
     }
 }
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -27,17 +27,17 @@
         RESULTS,
         WORK,
         WorkKey,
-        has_heartbeats,
+        batch_part,
         heartbeat_part,
-        part_of,
+        is_heartbeat_part,
         partial_key, //
     },
     log::Log,
-    name::name_of,
-    page::{Page, page_of},
+    name::stored_name,
+    page::{Page, read_page},
     partial::Partial,
-    sample::{Sample, State},
-    writes::{Accept, accept, append, chunk_of}, //
+    sample::{Sample, SampleState},
+    writes::{AcceptTransactions, accept_transactions, append_transaction, chunk_key}, //
 };
 
 /// Encodes a value that the store keeps.
--- a/src/batch/page.rs
+++ b/src/batch/page.rs
@@ -14,22 +14,22 @@
 }
 
 /// The most bytes of text in one page.
-const PAGE_MOST: usize = 700 * 1024;
+const MAX_PAGE_BYTES: usize = 700 * 1024;
 
 /// Puts the results together that `listing` holds, from `first` on. A result
 /// whose pieces were not all read ends the page.
-pub fn page_of(first: usize, listing: &Listing) -> Page {
+pub fn read_page(first: usize, listing: &Listing) -> Page {
     let mut page = Page::default();
     let mut bytes = 0;
     let mut rows = listing.rows.iter().peekable();
-    while rows.peek().is_some() && bytes < PAGE_MOST {
+    while rows.peek().is_some() && bytes < MAX_PAGE_BYTES {
         let position = first + page.samples.len();
         let prefix = format!("{position:06}/");
         let mut pieces: Vec<&Bytes> = Vec::new();
         while let Some(row) = rows.next_if(|row| row.key.starts_with(&prefix)) {
             pieces.extend(row.value.as_ref());
         }
-        let Some(whole) = join(&pieces) else {
+        let Some(whole) = join_pieces(&pieces) else {
             break;
         };
         let Some(sample) = decode::<Sample>("result", &whole) else {
@@ -41,7 +41,7 @@
     page
 }
 
-fn join(pieces: &[&Bytes]) -> Option<Vec<u8>> {
+fn join_pieces(pieces: &[&Bytes]) -> Option<Vec<u8>> {
     let count = *pieces.first()?.first()?;
     if pieces.len() != usize::from(count) {
         return None;
--- a/src/batch/sample.rs
+++ b/src/batch/sample.rs
@@ -7,7 +7,7 @@
 
 /// How an item ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum State {
+pub enum SampleState {
     Succeeded,
     /// It was given up.
     Terminated,
@@ -19,7 +19,7 @@
     pub id: String,
     /// The scorer's signature of its answer.
     pub score: Option<String>,
-    pub state: State,
+    pub state: SampleState,
     /// The data of all events, joined by line feeds.
     pub text: String,
     /// All weight versions that generated an event of the text.
--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -10,8 +10,8 @@
     Submission,
     WORK,
     WorkKey,
+    batch_part, //
     encode,
-    part_of, //
 };
 use crate::{
     base::Millis,
@@ -25,29 +25,29 @@
 /// head go before it; they are the same whoever writes them, so a repeat or a
 /// race of two submissions changes nothing.
 #[derive(Debug)]
-pub struct Accept {
+pub struct AcceptTransactions {
     pub chunks: Vec<Transaction>,
     pub head: Transaction,
 }
 
 /// The most bytes in one transaction: the store takes 1 MB, and the wire form
 /// is a third longer than the values.
-const TRANSACTION_BYTES: usize = 600 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 600 * 1024;
 
 /// The most rows in one transaction; the store takes 100.
-const TRANSACTION_ROWS: usize = 90;
+const MAX_TRANSACTION_ROWS: usize = 90;
 
 /// The most bytes of a result in one row.
-const RESULT_BYTES: usize = 44 * 1024;
+const MAX_RESULT_PIECE_BYTES: usize = 44 * 1024;
 
 /// The key of a chunk of items.
-pub fn chunk_of(chunk: u16) -> String {
+pub fn chunk_key(chunk: u16) -> String {
     format!("{chunk:05}")
 }
 
 /// How `submission` is written to the store.
-pub fn accept(submission: &Submission, now: Millis) -> Accept {
-    let part = part_of(&submission.id);
+pub fn accept_transactions(submission: &Submission, now: Millis) -> AcceptTransactions {
+    let part = batch_part(&submission.id);
     let (head, items) = Head::of(submission, now);
     let mut rows: Vec<(Key, Bytes)> = items
         .iter()
@@ -58,17 +58,18 @@
     // The last few ride with the head; the others go before.
     let mut chunks = Vec::new();
     while !fits(&rows) {
-        let mut before = Transaction::default();
+        let mut transaction = Transaction::default();
         let mut bytes = 0;
         while let Some((_, value)) = rows.first() {
             bytes += value.len();
-            let full = bytes > TRANSACTION_BYTES || before.set.len() == TRANSACTION_ROWS;
-            if full && !before.set.is_empty() {
+            let full =
+                bytes > MAX_TRANSACTION_BYTES || transaction.set.len() == MAX_TRANSACTION_ROWS;
+            if full && !transaction.set.is_empty() {
                 break;
             }
-            before.set.push(rows.remove(0));
+            transaction.set.push(rows.remove(0));
         }
-        chunks.push(before);
+        chunks.push(transaction);
     }
 
     let head_key = Key::new(WORK, &part, WorkKey::Head.to_string());
@@ -76,7 +77,7 @@
     let mut set = rows;
     set.push((head_key.clone(), encode(&head)));
     set.push((log_key, encode(&Log::default())));
-    Accept {
+    AcceptTransactions {
         chunks,
         head: Transaction {
             expect: vec![(head_key, 0)],
@@ -91,8 +92,13 @@
 /// # Panics
 ///
 /// Never: the caller has left out what is listed already.
-pub fn append(id: &str, log: &Log, revision: u64, samples: &[(u16, Sample)]) -> (Log, Transaction) {
-    let part = part_of(id);
+pub fn append_transaction(
+    id: &str,
+    log: &Log,
+    revision: u64,
+    samples: &[(u16, Sample)],
+) -> (Log, Transaction) {
+    let part = batch_part(id);
     let log_key = Key::new(WORK, &part, WorkKey::Log.to_string());
     let mut next = log.clone();
     let mut set = Vec::new();
@@ -111,19 +117,19 @@
 }
 
 fn chunk_row(part: &str, index: u16, items: &[Item]) -> (Key, Bytes) {
-    (Key::new(BODIES, part, chunk_of(index)), encode(&items))
+    (Key::new(BODIES, part, chunk_key(index)), encode(&items))
 }
 
 fn fits(rows: &[(Key, Bytes)]) -> bool {
     let bytes: usize = rows.iter().map(|(_, value)| value.len()).sum();
-    rows.len() <= TRANSACTION_ROWS && bytes <= TRANSACTION_BYTES
+    rows.len() <= MAX_TRANSACTION_ROWS && bytes <= MAX_TRANSACTION_BYTES
 }
 
 /// A result's rows: `POSITION/PIECE`, the first byte of each telling how many
 /// pieces there are.
 fn result_rows(part: &str, position: usize, sample: &Sample) -> Vec<(Key, Bytes)> {
     let whole = encode(sample);
-    let pieces = whole.chunks(RESULT_BYTES);
+    let pieces = whole.chunks(MAX_RESULT_PIECE_BYTES);
     let count = pieces.len() as u8;
     pieces
         .enumerate()
--- a/src/calls/caller.rs
+++ b/src/calls/caller.rs
@@ -214,7 +214,7 @@
         }
         *request.headers_mut() = call.headers.clone();
         platform::set_deadline(request.headers_mut(), left);
-        platform::set_instance(request.headers_mut(), &server.life.id);
+        platform::set_expected_server(request.headers_mut(), &server.life.id);
         platform::set_priority(request.headers_mut(), call.priority());
         let workspace = call.workspace.as_ref();
         let workspace = workspace.map(|workspace| workspace.name.as_str());
--- a/src/gateway/door.rs
+++ b/src/gateway/access.rs
@@ -21,14 +21,14 @@
 
 /// When a caller is asked to come back while no configuration is known yet:
 /// the store answers in milliseconds once it is reached.
-const WAIT_CONFIG: Millis = Millis(300);
+const CONFIG_RETRY_AFTER: Millis = Millis(300);
 
 /// How long the store has to confirm the configuration by which a caller would be
 /// turned away.
-const CONFIRMED_WITHIN: Millis = Millis(400);
+const CONFIRM_TIMEOUT: Millis = Millis(400);
 
 /// Lets callers in by the configuration in force.
-pub(super) struct Door {
+pub(super) struct AccessControl {
     pub(super) site: Arc<Site>,
 }
 
@@ -40,12 +40,12 @@
 }
 
 /// What a caller of batches is let in as.
-pub(super) enum Reader {
+pub(super) enum BatchScope {
     /// Callers need no key, or this one's is not held by any workspace: it may see
     /// batches that belong to none.
-    Anybody { denial: Option<Denial> },
+    Unowned { denial: Option<Denial> },
     /// It may see its workspace's batches.
-    Of(Arc<Workspace>),
+    Workspace(Arc<Workspace>),
 }
 
 /// Why a request is not let in.
@@ -63,37 +63,37 @@
     pub(super) fn answer(self) -> Answer {
         match self {
             Self::Denied(denial) => denied(denial),
-            Self::NoConfig => reply::refusal(WAIT_CONFIG, "no configuration yet"),
+            Self::NoConfig => reply::refusal(CONFIG_RETRY_AFTER, "no configuration yet"),
             Self::NoRoute => reply::status(StatusCode::NOT_FOUND, "no route"),
             Self::Stale => reply::refusal(WAIT_STALE, "the configuration is not confirmed"),
         }
     }
 }
 
-impl Door {
+impl AccessControl {
     /// Finds the route of a request and the workspace that asks.
     pub(super) async fn admit(&self, head: &Parts) -> Result<Admitted, Refusal> {
-        let keyed = |admitted: &Admitted| admitted.workspace.is_some();
-        let judged = self.judge(|config| find(config, head), keyed).await;
-        if let Err(refusal @ (Refusal::Denied(_) | Refusal::NoRoute)) = &judged {
+        let used_key = |admitted: &Admitted| admitted.workspace.is_some();
+        let decision = self.decide(|config| resolve(config, head), used_key).await;
+        if let Err(refusal @ (Refusal::Denied(_) | Refusal::NoRoute)) = &decision {
             let (host, path) = (host(head), head.uri.path());
             let version = self.site.config().map(|config| config.version);
             tracing::info!(host, path, version, ?refusal, "turned away");
         }
-        judged
+        decision
     }
 
     /// Finds out whose batches a caller may see.
-    pub(super) async fn reader(&self, head: &Parts) -> Result<Reader, Refusal> {
+    pub(super) async fn batch_scope(&self, head: &Parts) -> Result<BatchScope, Refusal> {
         let credential = platform::credential(&head.headers);
         let reader = |config: &Arc<Config>| {
-            let judged = access::judge(config.workspaces.as_ref(), false, credential);
-            judged.map_err(Refusal::Denied)
+            let decision = access::judge(config.workspaces.as_ref(), false, credential);
+            decision.map_err(Refusal::Denied)
         };
-        match self.judge(reader, Option::is_some).await {
-            Ok(Some(workspace)) => Ok(Reader::Of(workspace)),
-            Ok(None) => Ok(Reader::Anybody { denial: None }),
-            Err(Refusal::Denied(denial)) => Ok(Reader::Anybody {
+        match self.decide(reader, Option::is_some).await {
+            Ok(Some(workspace)) => Ok(BatchScope::Workspace(workspace)),
+            Ok(None) => Ok(BatchScope::Unowned { denial: None }),
+            Err(Refusal::Denied(denial)) => Ok(BatchScope::Unowned {
                 denial: Some(denial),
             }),
             Err(refusal) => Err(refusal),
@@ -107,31 +107,31 @@
     /// - the caller would be turned away, by a gateway that has just started, woken up
     ///   or come back from a partition and has not heard of a new key or route.
     ///
-    /// `keyed` tells whether a request was let in by a key.
-    async fn judge<T>(
+    /// `used_key` tells whether a request was let in by a key.
+    async fn decide<T>(
         &self,
-        judge: impl Fn(&Arc<Config>) -> Result<T, Refusal>,
-        keyed: impl Fn(&T) -> bool,
+        evaluate: impl Fn(&Arc<Config>) -> Result<T, Refusal>,
+        used_key: impl Fn(&T) -> bool,
     ) -> Result<T, Refusal> {
         let mut confirmed = !self.site.is_bounded();
         loop {
             // Looked at first: a configuration that is taken later is no older. A caller
             // that was judged before a confirmation came in with a key that was gone.
-            let fresh = self.site.is_fresh();
-            let judged = judge(&self.config()?);
-            let holds = match &judged {
-                Ok(admitted) => fresh || !keyed(admitted),
+            let was_fresh = self.site.is_fresh();
+            let decision = evaluate(&self.current_config()?);
+            let is_final = match &decision {
+                Ok(admitted) => was_fresh || !used_key(admitted),
                 Err(_) => confirmed,
             };
-            if holds {
-                return judged;
+            if is_final {
+                return decision;
             }
-            self.confirm().await?;
+            self.confirm_config().await?;
             confirmed = true;
         }
     }
 
-    fn config(&self) -> Result<Arc<Config>, Refusal> {
+    fn current_config(&self) -> Result<Arc<Config>, Refusal> {
         let config = self.site.config();
         if config.is_none() {
             tracing::info!("refused: no configuration yet");
@@ -141,13 +141,13 @@
 
     /// Has the store confirm the configuration; a caller isn't kept waiting for a
     /// store that is known to be away.
-    async fn confirm(&self) -> Result<(), Refusal> {
-        let away = self.site.store_away_since();
-        if away.is_none() && self.site.confirm_anew(CONFIRMED_WITHIN).await {
+    async fn confirm_config(&self) -> Result<(), Refusal> {
+        let unreachable_since = self.site.store_away_since();
+        if unreachable_since.is_none() && self.site.confirm_anew(CONFIRM_TIMEOUT).await {
             return Ok(());
         }
-        let away = away.map(|since| self.site.now().since(since).0);
-        tracing::info!(?away, "refused: the configuration is not confirmed");
+        let unreachable_ms = unreachable_since.map(|since| self.site.now().since(since).0);
+        tracing::info!(away = ?unreachable_ms, "refused: the configuration is not confirmed");
         metrics::counter!("redwing_stale_refusals_total").increment(1);
         Err(Refusal::Stale)
     }
@@ -168,7 +168,7 @@
     host.unwrap_or_default()
 }
 
-fn find(config: &Arc<Config>, head: &Parts) -> Result<Admitted, Refusal> {
+fn resolve(config: &Arc<Config>, head: &Parts) -> Result<Admitted, Refusal> {
     let route = config.route(host(head), head.uri.path());
     let route = route.ok_or(Refusal::NoRoute)?.clone();
     let credential = platform::credential(&head.headers);
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -12,16 +12,16 @@
         Submission,
         WORK,
         WorkKey,
-        accept,
-        chunk_of,
+        accept_transactions,
+        batch_part, //
+        chunk_key,
         decode,
         encode,
-        name_of,
-        page_of,
-        part_of, //
+        read_page,
+        stored_name,
     },
     duty::Answer,
-    platform::{ROWS_MOST, Store, read_submission, write_page},
+    platform::{MAX_READ_ROWS, Store, read_submission, write_page},
     store::{Key, Outcome, StoreError, Transaction},
     view::Site, //
 };
@@ -35,42 +35,42 @@
 pub(super) struct Batches {
     pub(super) clock: Clock,
     /// Heads that were read: they never change.
-    pub(super) heads: Mutex<HashMap<String, Arc<Head>>>,
+    pub(super) cached_heads: Mutex<HashMap<String, Arc<Head>>>,
     pub(super) site: Arc<Site>,
     pub(super) store: Store,
 }
 
 /// Heads kept in memory; a head of a hundred items is about 4 KB.
-const HEADS_MOST: usize = 256;
+const MAX_CACHED_HEADS: usize = 256;
 
 /// How often a waiting reader's results are looked for: a trainer that keeps two
 /// steps under way has less than half a second to spare on each, and one call costs
 /// the store 4 ms of its 2,000 calls a second.
-const POLL: Millis = Millis(50);
+const RESULTS_POLL_INTERVAL: Millis = Millis(50);
 
 /// The wait before a call to the store is repeated.
-const AGAIN: Millis = Millis(40);
+const STORE_RETRY_DELAY: Millis = Millis(40);
 
 /// How often a submission that the store turned away is tried before it is
 /// refused; the trainer's next attempt goes to another gateway.
-const ACCEPT_TRIES: u32 = 3;
+const MAX_SUBMIT_ATTEMPTS: u32 = 3;
 
 /// When a trainer is asked to come back while the store is away.
-const WAIT_STORE: Millis = Millis(400);
+const CALLER_RETRY_AFTER: Millis = Millis(400);
 
 /// How long a trainer that names no deadline is kept waiting for its answer.
-const ACCEPT_MOST: Millis = Millis(4_000);
+const SUBMIT_TIMEOUT: Millis = Millis(4_000);
 
 /// The same when the store has not answered for a while: another gateway may
 /// reach it.
-const ACCEPT_AWAY: Millis = Millis(800);
+const SUBMIT_TIMEOUT_IN_OUTAGE: Millis = Millis(800);
 
 /// How long reading and ending try the store.
-const READ_MOST: Millis = Millis(1_800);
+const STORE_TIMEOUT: Millis = Millis(1_800);
 
-/// How long they try it when it has not answered for [`AWAY_KNOWN`].
-const READ_AWAY: Millis = Millis(400);
-const AWAY_KNOWN: Millis = Millis(300);
+/// How long they try it when it has not answered for [`OUTAGE_CONFIRMED_AFTER`].
+const STORE_TIMEOUT_IN_OUTAGE: Millis = Millis(400);
+const OUTAGE_CONFIRMED_AFTER: Millis = Millis(300);
 
 /// Where a batch comes from.
 #[derive(Clone, Copy)]
@@ -90,10 +90,10 @@
         workspace: Option<&str>,
         id: &str,
     ) -> Result<Option<String>, StoreError> {
-        let own = workspace.and_then(|workspace| name_of(Some(workspace), id));
-        let names = own.into_iter().chain(name_of(None, id));
+        let own = workspace.and_then(|workspace| stored_name(Some(workspace), id));
+        let names = own.into_iter().chain(stored_name(None, id));
         for name in names {
-            if self.head(&name).await?.is_some() {
+            if self.read_head(&name).await?.is_some() {
                 return Ok(Some(name));
             }
         }
@@ -104,17 +104,17 @@
     pub(super) async fn submit(
         &self,
         id: &str,
-        from: Submitter<'_>,
+        submitter: Submitter<'_>,
         body: &[u8],
-        until: Millis,
+        deadline: Millis,
     ) -> Answer {
-        let Some(id) = &name_of(from.workspace, id) else {
+        let Some(id) = &stored_name(submitter.workspace, id) else {
             return reply::status(StatusCode::BAD_REQUEST, "not an id of a batch");
         };
-        let submission = match read_submission(id, from.host, from.path, body) {
+        let submission = match read_submission(id, submitter.host, submitter.path, body) {
             Ok(submission) => Submission {
-                priority: from.priority,
-                workspace: from.workspace.map(str::to_owned),
+                priority: submitter.priority,
+                workspace: submitter.workspace.map(str::to_owned),
                 ..submission
             },
             Err(error) => {
@@ -124,24 +124,30 @@
         };
         let (step, model) = (submission.step, submission.model.clone());
         let items = submission.items.len();
-        let writes = accept(&submission, self.store.now());
+        let writes = accept_transactions(&submission, self.store.now());
         drop(submission);
-        let most = match self.patience() < READ_MOST {
-            true => ACCEPT_AWAY,
-            false => ACCEPT_MOST,
+        let limit = match self.store_timeout() < STORE_TIMEOUT {
+            true => SUBMIT_TIMEOUT_IN_OUTAGE,
+            false => SUBMIT_TIMEOUT,
         };
-        let until = until.min(self.clock.now() + most);
+        let deadline = deadline.min(self.clock.now() + limit);
 
         // The head makes the batch exist; chunks alone are never run.
-        let mut unknown = false;
+        let mut in_doubt = false;
         for chunk in &writes.chunks {
-            if let Err(error) = self.write(chunk, until, &mut unknown).await {
+            if let Err(error) = self
+                .write_with_retries(chunk, deadline, &mut in_doubt)
+                .await
+            {
                 tracing::warn!(batch = id, %error, "batch refused: its items were not stored");
-                return reply::refusal(WAIT_STORE, "the store did not take the batch");
+                return reply::refusal(CALLER_RETRY_AFTER, "the store did not take the batch");
             }
         }
-        let mut unknown = false;
-        match self.write(&writes.head, until, &mut unknown).await {
+        let mut in_doubt = false;
+        match self
+            .write_with_retries(&writes.head, deadline, &mut in_doubt)
+            .await
+        {
             Ok(Outcome::Done { revision }) => {
                 tracing::info!(batch = id, step, model, items, revision, "batch accepted");
                 reply::status(StatusCode::ACCEPTED, "accepted")
@@ -150,86 +156,86 @@
                 tracing::info!(batch = id, step, model, "batch accepted before");
                 reply::status(StatusCode::ACCEPTED, "accepted before")
             }
-            Err(error) if unknown => {
+            Err(error) if in_doubt => {
                 // The write may still be done: no refusal would be true.
                 tracing::warn!(batch = id, step, model, %error, "batch in doubt");
                 reply::status(StatusCode::GATEWAY_TIMEOUT, "it may have been accepted")
             }
             Err(error) => {
                 tracing::warn!(batch = id, step, model, %error, "batch refused");
-                reply::refusal(WAIT_STORE, "the store did not take the batch")
+                reply::refusal(CALLER_RETRY_AFTER, "the store did not take the batch")
             }
         }
     }
 
     /// Repeats a write until its outcome is known or its time is over; sets
-    /// `unknown` when it may yet be done. All writes here may be repeated: they
+    /// `in_doubt` when it may yet be done. All writes here may be repeated: they
     /// write the same, or are conditional on what they themselves change.
-    async fn write(
+    async fn write_with_retries(
         &self,
         transaction: &Transaction,
-        until: Millis,
-        unknown: &mut bool,
+        deadline: Millis,
+        in_doubt: &mut bool,
     ) -> Result<Outcome, StoreError> {
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             let error = match self.store.transact(transaction).await {
                 Ok(outcome) => return Ok(outcome),
                 Err(error) => error,
             };
-            *unknown |= !error.is_not_done();
-            let enough = !*unknown && tries >= ACCEPT_TRIES;
-            if enough || self.clock.now() + AGAIN >= until {
+            *in_doubt |= !error.is_not_done();
+            let out_of_attempts = !*in_doubt && attempts >= MAX_SUBMIT_ATTEMPTS;
+            if out_of_attempts || self.clock.now() + STORE_RETRY_DELAY >= deadline {
                 return Err(error);
             }
-            tokio::time::sleep(AGAIN.as_duration()).await;
+            tokio::time::sleep(STORE_RETRY_DELAY.as_duration()).await;
         }
     }
 
     /// The results from position `from` on; waits up to `wait` for the first.
     pub(super) async fn results(&self, id: &str, from: usize, wait: Millis) -> Answer {
-        let until = self.clock.now() + wait;
+        let deadline = self.clock.now() + wait;
         loop {
-            let (total, page) = match self.page(id, from).await {
+            let (total, page) = match self.read_results(id, from).await {
                 Ok(Some(found)) => found,
                 Ok(None) => return unknown_batch(id),
                 // A reader that waits anyway gets what comes with the store's return;
                 // one that is sent away asks again half a second later.
-                Err(_) if self.clock.now() < until => continue,
-                Err(error) => return store_away(id, &error),
+                Err(_) if self.clock.now() < deadline => continue,
+                Err(error) => return store_unreachable(id, &error),
             };
-            let over = self.clock.now() + POLL > until;
-            if !page.samples.is_empty() || from >= total || over {
+            let out_of_time = self.clock.now() + RESULTS_POLL_INTERVAL > deadline;
+            if !page.samples.is_empty() || from >= total || out_of_time {
                 let (count, first) = (page.samples.len(), from);
                 tracing::debug!(batch = id, first, count, total, "results read");
                 return reply::json(write_page(from, total, &page));
             }
-            tokio::time::sleep(POLL.as_duration()).await;
+            tokio::time::sleep(RESULTS_POLL_INTERVAL.as_duration()).await;
         }
     }
 
-    async fn page(
+    async fn read_results(
         &self,
         id: &str,
         from: usize,
     ) -> Result<Option<(usize, crate::batch::Page)>, StoreError> {
-        let Some(head) = self.head(id).await? else {
+        let Some(head) = self.read_head(id).await? else {
             return Ok(None);
         };
-        let part = part_of(id);
+        let part = batch_part(id);
         let first = format!("{from:06}/");
-        let listing = self.reading(|| self.store.rows(RESULTS, &part, &first, ROWS_MOST));
-        let page = page_of(from, &listing.await?);
+        let listing = self.with_retries(|| self.store.rows(RESULTS, &part, &first, MAX_READ_ROWS));
+        let page = read_page(from, &listing.await?);
         Ok(Some((head.items.len(), page)))
     }
 
     /// The body of one item.
     pub(super) async fn item_body(&self, id: &str, item: &str) -> Answer {
-        let head = match self.head(id).await {
+        let head = match self.read_head(id).await {
             Ok(Some(head)) => head,
             Ok(None) => return unknown_batch(id),
-            Err(error) => return store_away(id, &error),
+            Err(error) => return store_unreachable(id, &error),
         };
         let Some(index) = head.index_of(item) else {
             tracing::info!(batch = id, item, "no such item");
@@ -237,12 +243,12 @@
         };
         let key = Key::new(
             BODIES,
-            part_of(id),
-            chunk_of(head.items[usize::from(index)].chunk),
+            batch_part(id),
+            chunk_key(head.items[usize::from(index)].chunk),
         );
-        let row = match self.reading(|| self.store.row(&key)).await {
+        let row = match self.with_retries(|| self.store.row(&key)).await {
             Ok(row) => row,
-            Err(error) => return store_away(id, &error),
+            Err(error) => return store_unreachable(id, &error),
         };
         let value = row.and_then(|row| row.value);
         let items: Option<Vec<Item>> = value.and_then(|value| decode("items", &value));
@@ -251,24 +257,24 @@
             Some(item) => reply::bytes(item.body),
             None => {
                 tracing::error!(batch = id, item, "an item of the head is not in its chunk");
-                reply::refusal(WAIT_STORE, "the item can't be read")
+                reply::refusal(CALLER_RETRY_AFTER, "the item can't be read")
             }
         }
     }
 
     /// Ends a batch; repeating it changes nothing.
     pub(super) async fn end(&self, id: &str) -> Answer {
-        let key = Key::new(WORK, part_of(id), WorkKey::Log.to_string());
-        let until = self.clock.now() + READ_MOST;
+        let key = Key::new(WORK, batch_part(id), WorkKey::Log.to_string());
+        let deadline = self.clock.now() + STORE_TIMEOUT;
         loop {
-            let row = match self.reading(|| self.store.row(&key)).await {
+            let row = match self.with_retries(|| self.store.row(&key)).await {
                 Ok(Some(row)) => row,
                 Ok(None) => return unknown_batch(id),
-                Err(error) => return store_away(id, &error),
+                Err(error) => return store_unreachable(id, &error),
             };
             let value = row.value.unwrap_or_default();
             let Some(mut log) = decode::<Log>("log", &value) else {
-                return reply::refusal(WAIT_STORE, "the batch can't be read");
+                return reply::refusal(CALLER_RETRY_AFTER, "the batch can't be read");
             };
             if log.ended {
                 return reply::status(StatusCode::OK, "ended");
@@ -288,26 +294,26 @@
                 // Someone listed results in between, or the answer is lost:
                 // reading again tells.
                 Ok(Outcome::Conflict { .. }) => {}
-                Err(error) if self.clock.now() >= until => return store_away(id, &error),
-                Err(_) => tokio::time::sleep(AGAIN.as_duration()).await,
+                Err(error) if self.clock.now() >= deadline => return store_unreachable(id, &error),
+                Err(_) => tokio::time::sleep(STORE_RETRY_DELAY.as_duration()).await,
             }
         }
     }
 
-    async fn head(&self, id: &str) -> Result<Option<Arc<Head>>, StoreError> {
-        let known = self.heads().get(id).cloned();
+    async fn read_head(&self, id: &str) -> Result<Option<Arc<Head>>, StoreError> {
+        let known = self.cached_heads().get(id).cloned();
         if known.is_some() {
             return Ok(known);
         }
-        let key = Key::new(WORK, part_of(id), WorkKey::Head.to_string());
-        let row = self.reading(|| self.store.row(&key)).await?;
+        let key = Key::new(WORK, batch_part(id), WorkKey::Head.to_string());
+        let row = self.with_retries(|| self.store.row(&key)).await?;
         let value = row.and_then(|row| row.value);
         let head: Option<Head> = value.and_then(|value| decode("head", &value));
         let Some(head) = head.map(Arc::new) else {
             return Ok(None);
         };
-        let mut heads = self.heads();
-        if heads.len() >= HEADS_MOST
+        let mut heads = self.cached_heads();
+        if heads.len() >= MAX_CACHED_HEADS
             && let Some(oldest) = heads.iter().min_by_key(|(_, head)| head.accepted)
         {
             let oldest = oldest.0.clone();
@@ -317,37 +323,39 @@
         Ok(Some(head))
     }
 
-    fn heads(&self) -> std::sync::MutexGuard<'_, HashMap<String, Arc<Head>>> {
-        self.heads.lock().unwrap_or_else(PoisonError::into_inner)
+    fn cached_heads(&self) -> std::sync::MutexGuard<'_, HashMap<String, Arc<Head>>> {
+        self.cached_heads
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How long the store is tried: a gateway that has not reached it for a
     /// while says so soon, as another gateway may reach it.
-    fn patience(&self) -> Millis {
+    fn store_timeout(&self) -> Millis {
         let now = self.clock.now();
-        let away = self.site.store_away_since();
-        match away.is_some_and(|since| now.since(since) >= AWAY_KNOWN) {
-            true => READ_AWAY,
-            false => READ_MOST,
+        let unreachable_since = self.site.store_away_since();
+        match unreachable_since.is_some_and(|since| now.since(since) >= OUTAGE_CONFIRMED_AFTER) {
+            true => STORE_TIMEOUT_IN_OUTAGE,
+            false => STORE_TIMEOUT,
         }
     }
 
     /// Repeats a read a few times while the store does not answer.
-    async fn reading<T, F>(&self, read: impl Fn() -> F) -> Result<T, StoreError>
+    async fn with_retries<T, F>(&self, read: impl Fn() -> F) -> Result<T, StoreError>
     where
         F: Future<Output = Result<T, StoreError>>,
     {
-        let patience = self.patience();
-        let until = self.clock.now() + patience;
+        let timeout = self.store_timeout();
+        let deadline = self.clock.now() + timeout;
         loop {
-            let reading = tokio::time::timeout(patience.as_duration(), read());
+            let reading = tokio::time::timeout(timeout.as_duration(), read());
             let result = reading.await.unwrap_or_else(|_| {
                 let status = StatusCode::GATEWAY_TIMEOUT.as_u16();
                 Err(StoreError::NotDone { status })
             });
             match result {
-                Err(_) if self.clock.now() + AGAIN < until => {
-                    tokio::time::sleep(AGAIN.as_duration()).await;
+                Err(_) if self.clock.now() + STORE_RETRY_DELAY < deadline => {
+                    tokio::time::sleep(STORE_RETRY_DELAY.as_duration()).await;
                 }
                 result => return result,
             }
@@ -356,9 +364,9 @@
 }
 
 /// The answer while the store can't be asked about the batch called `id`.
-pub(super) fn store_away(id: &str, error: &StoreError) -> Answer {
+pub(super) fn store_unreachable(id: &str, error: &StoreError) -> Answer {
     tracing::warn!(batch = id, %error, "refused: the store can't be asked");
-    reply::refusal(WAIT_STORE, "the store can't be asked")
+    reply::refusal(CALLER_RETRY_AFTER, "the store can't be asked")
 }
 
 fn unknown_batch(id: &str) -> Answer {
--- a/src/gateway/plain.rs
+++ b/src/gateway/buffered.rs
@@ -17,7 +17,7 @@
         CallEnd::Answered { answer, .. } => {
             let status = answer.status.as_u16();
             tracing::info!(call = id, route, status, taken, "answered");
-            reply::of_server(answer)
+            reply::from_server(answer)
         }
         CallEnd::Lost { reason, .. } => {
             tracing::warn!(call = id, route, reason, taken, "lost: it may have run");
--- a/src/gateway/front.rs
+++ b/src/gateway/frontend.rs
@@ -1,9 +1,9 @@
 //! From a caller's request to its answer.
 
 use super::{
-    batches::{Batches, Submitter, store_away},
-    door::{self, Admitted, Door, Reader},
-    plain,
+    access::{self, AccessControl, Admitted, BatchScope},
+    batches::{Batches, Submitter, store_unreachable},
+    buffered,
     reply,
     streams, //
 };
@@ -30,24 +30,24 @@
 use std::sync::Arc;
 
 /// Answers callers.
-pub(super) struct Front {
+pub(super) struct Frontend {
     pub(super) batches: Batches,
     pub(super) caller: Arc<Caller>,
     pub(super) clock: Clock,
-    pub(super) door: Door,
+    pub(super) access: AccessControl,
 }
 
-impl Front {
+impl Frontend {
     /// Answers one request. While the program drains, the caller is told to
     /// use another connection for the next.
     pub(super) async fn answer(&self, context: &Context, request: Request<Incoming>) -> Answer {
-        let began = self.clock.micros();
+        let started = self.clock.micros();
         let mut answer = self.dispatch(request).await;
         if context.phase() >= Phase::Draining {
             let close = HeaderValue::from_static("close");
             answer.headers_mut().insert(CONNECTION, close);
         }
-        let taken = self.clock.micros() - began;
+        let taken = self.clock.micros() - started;
         metrics::histogram!("redwing_request_seconds").record(taken as f64 / 1e6);
         let status = answer.status().as_u16().to_string();
         metrics::counter!("redwing_requests_total", "status" => status).increment(1);
@@ -58,22 +58,22 @@
         let arrived = self.clock.now();
         let (head, body) = request.into_parts();
         match platform::classify(&head.method, &head.uri, &head.headers) {
-            Ingress::Batch { batch, call } => self.batch_call(&head, &batch, call).await,
-            Ingress::Routed => self.routed(arrived, head, body).await,
-            Ingress::Unknown => reply::status(StatusCode::BAD_REQUEST, "no such call"),
+            Ingress::Batch { batch, call } => self.answer_batch_call(&head, &batch, call).await,
+            Ingress::Routed => self.answer_routed(arrived, head, body).await,
+            Ingress::Malformed => reply::status(StatusCode::BAD_REQUEST, "no such call"),
         }
     }
 
     /// Answers a call about a batch. Its workspace's callers alone see it; others
     /// don't learn whether it exists.
-    async fn batch_call(&self, head: &Parts, id: &str, call: BatchCall) -> Answer {
-        let reader = match self.door.reader(head).await {
-            Ok(reader) => reader,
+    async fn answer_batch_call(&self, head: &Parts, id: &str, call: BatchCall) -> Answer {
+        let scope = match self.access.batch_scope(head).await {
+            Ok(scope) => scope,
             Err(refusal) => return refusal.answer(),
         };
-        let (workspace, denial) = match &reader {
-            Reader::Anybody { denial } => (None, *denial),
-            Reader::Of(workspace) => (Some(workspace.name.as_str()), None),
+        let (workspace, denial) = match &scope {
+            BatchScope::Unowned { denial } => (None, *denial),
+            BatchScope::Workspace(workspace) => (Some(workspace.name.as_str()), None),
         };
         let name = match self.batches.find(workspace, id).await {
             Ok(Some(name)) => name,
@@ -85,11 +85,11 @@
                     "no such batch for this caller"
                 );
                 return match denial {
-                    Some(denial) => door::denied(denial),
+                    Some(denial) => access::denied(denial),
                     None => reply::status(StatusCode::NOT_FOUND, "no such batch"),
                 };
             }
-            Err(error) => return store_away(id, &error),
+            Err(error) => return store_unreachable(id, &error),
         };
         match call {
             BatchCall::End => self.batches.end(&name).await,
@@ -98,21 +98,21 @@
         }
     }
 
-    async fn routed(&self, arrived: Millis, head: Parts, body: Incoming) -> Answer {
+    async fn answer_routed(&self, arrived: Millis, head: Parts, body: Incoming) -> Answer {
         let Admitted {
             config,
             route,
             workspace,
-        } = match self.door.admit(&head).await {
+        } = match self.access.admit(&head).await {
             Ok(admitted) => admitted,
             Err(refusal) => return refusal.answer(),
         };
-        let host = door::host(&head);
+        let host = access::host(&head);
         let path = head.uri.path();
-        let until = until(arrived, &route, &head);
-        let left = until.since(self.clock.now());
+        let deadline = deadline_of(arrived, &route, &head);
+        let time_left = deadline.since(self.clock.now());
         let read = read_body(body, config.limits.body_bytes);
-        let body = match tokio::time::timeout(left.as_duration(), read).await {
+        let body = match tokio::time::timeout(time_left.as_duration(), read).await {
             Ok(Ok(body)) => body,
             Ok(Err(answer)) => return answer,
             Err(_) => return reply::status(StatusCode::REQUEST_TIMEOUT, "the body came too late"),
@@ -124,20 +124,20 @@
             return reply::status(StatusCode::BAD_REQUEST, "the request's id is not text");
         };
         if route.kind == Kind::Batch && head.method == hyper::Method::POST {
-            let from = Submitter {
+            let submitter = Submitter {
                 host,
                 path,
                 priority: workspace.as_ref().and_then(|workspace| workspace.priority),
                 workspace: workspace.as_ref().map(|workspace| workspace.name.as_str()),
             };
-            return self.batches.submit(id, from, &body, until).await;
+            return self.batches.submit(id, submitter, &body, deadline).await;
         }
 
         let target = head.uri.path_and_query();
         let target = target.map_or_else(|| path.to_owned(), ToString::to_string);
         let fingerprint = Fingerprint::of(Asked {
             body: &body,
-            credential: credential(workspace.as_deref(), &head),
+            credential: caller_identity(workspace.as_deref(), &head),
             host,
             id: "",
             method: head.method.as_str(),
@@ -146,18 +146,18 @@
         let call = Call {
             body,
             fingerprint,
-            headers: platform::forwarded(&head.headers),
+            headers: platform::forwarded_request_headers(&head.headers),
             id: id.to_owned(),
             method: head.method.clone(),
             path: target,
             route,
-            until,
+            until: deadline,
             workspace,
         };
         match call.route.kind {
             Kind::Stream { .. } => streams::answer(&self.caller, call).await,
             Kind::Batch | Kind::Safe | Kind::Unsafe => {
-                plain::answer(&self.caller, &call, arrived).await
+                buffered::answer(&self.caller, &call, arrived).await
             }
         }
     }
@@ -165,7 +165,7 @@
 
 /// What tells this caller from others that ask the same; a new key doesn't make it
 /// another one.
-fn credential<'a>(workspace: Option<&'a Workspace>, head: &'a Parts) -> &'a [u8] {
+fn caller_identity<'a>(workspace: Option<&'a Workspace>, head: &'a Parts) -> &'a [u8] {
     match workspace {
         Some(workspace) => workspace.name.as_bytes(),
         None => platform::authorization(&head.headers),
@@ -174,16 +174,16 @@
 
 /// When the request is given up: at its caller's deadline or its route's
 /// timeout, whichever comes first.
-fn until(arrived: Millis, route: &Route, head: &Parts) -> Millis {
+fn deadline_of(arrived: Millis, route: &Route, head: &Parts) -> Millis {
     let route_end = arrived + route.timeout;
-    match platform::caller_deadline(&head.headers) {
+    match platform::caller_timeout(&head.headers) {
         Some(deadline) => route_end.min(arrived + deadline),
         None => route_end,
     }
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, Answer> {
-    match Limited::new(body, most).collect().await {
+async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Answer> {
+    match Limited::new(body, limit).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -1,9 +1,9 @@
 //! A running gateway.
 
 use super::{
+    access::AccessControl,
     batches::Batches,
-    door::Door,
-    front::Front,
+    frontend::Frontend,
     readiness::is_ready, //
 };
 use crate::{
@@ -32,15 +32,15 @@
 
 /// How long a draining gateway goes on taking connections: the balancer asks
 /// every second and takes a gateway out after two misses.
-const LEAVE: Millis = Millis(3_000);
+const DRAIN_ACCEPT_TIME: Millis = Millis(3_000);
 
 /// The idle time after which a caller's connection is closed. Callers reuse
 /// connections for up to four fifths of the configured idle time; the longest
 /// that the users' pages name is 15 s.
-const IDLE: Millis = Millis(20_000);
+const CALLER_IDLE_TIMEOUT: Millis = Millis(20_000);
 
 /// The bytes of a request's head; the users' limit is 16 KiB.
-const HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 impl Gateway {
     /// Starts a gateway.
@@ -48,8 +48,8 @@
         let common = &settings.common;
         let mut handle = Handle::open(common.stop_bound())?;
         let limits = Limits {
-            head: HEAD_BYTES,
-            head_time: IDLE,
+            head: MAX_HEAD_BYTES,
+            head_time: CALLER_IDLE_TIMEOUT,
             ..Limits::default()
         };
         let callers = HttpServer::bind(settings.callers, limits)?;
@@ -85,56 +85,56 @@
             &common.data_centre,
             usage.clone(),
         );
-        let reporting = usage.zip(settings.usage);
-        let front = Arc::new(Front {
+        let usage_reporting = usage.zip(settings.usage);
+        let frontend = Arc::new(Frontend {
             batches: Batches {
                 clock,
-                heads: Mutex::new(HashMap::new()),
+                cached_heads: Mutex::new(HashMap::new()),
                 site: site.clone(),
                 store: store.clone(),
             },
             caller,
             clock,
-            door: Door { site: site.clone() },
+            access: AccessControl { site: site.clone() },
         });
 
         let supervisor = handle.supervisor().clone();
         let health = handle.health();
-        let seen = site.clone();
-        let shared = crashes.clone();
+        let shared_site = site.clone();
+        let shared_crashes = crashes.clone();
         let serve = move |context: duty::Context| async move {
-            if seen.is_bounded() {
-                tokio::spawn(confirm(seen.clone(), store.clone()));
+            if shared_site.is_bounded() {
+                tokio::spawn(confirm(shared_site.clone(), store.clone()));
             }
-            if let Some((counter, usage)) = reporting {
+            if let Some((counter, usage)) = usage_reporting {
                 tokio::spawn(counter.clone().keep());
                 let reporting = usage.reporting();
                 tokio::spawn(report(counter, reporting, store, clock));
             }
-            tokio::spawn(keep(seen.clone(), relay.clone()));
-            tokio::spawn(keep_crashes(shared, writes, relay.clone()));
-            tokio::spawn(watch_reach(seen, relay.clone()));
+            tokio::spawn(keep(shared_site.clone(), relay.clone()));
+            tokio::spawn(keep_crashes(shared_crashes, writes, relay.clone()));
+            tokio::spawn(watch_reach(shared_site, relay.clone()));
             tokio::spawn(relay.clone().serve(context.clone(), peers));
             tokio::spawn(relay.keep(context.clone()));
-            let answering = context.clone();
+            let request_context = context.clone();
             let handler = move |request| {
-                let front = front.clone();
-                let context = answering.clone();
-                async move { front.answer(&context, request).await }
+                let frontend = frontend.clone();
+                let context = request_context.clone();
+                async move { frontend.answer(&context, request).await }
             };
-            callers.serve(&context, LEAVE, handler).await;
+            callers.serve(&context, DRAIN_ACCEPT_TIME, handler).await;
             tracing::info!("callers drained");
             context.drained();
         };
         handle.add(duty::spawn("callers", &supervisor, serve)?);
 
-        let none: Route = Arc::new(|_| Box::pin(async { None }));
-        let watched = (health.clone(), none.clone());
+        let no_routes: Route = Arc::new(|_| Box::pin(async { None }));
+        let metrics_inputs = (health.clone(), no_routes.clone());
         let serve = move |context: duty::Context| async move {
-            let knows = move || is_ready(&site, &crashes, clock.now());
-            let ready = admin(context.clone(), ready, health, knows, none);
-            let (health, none) = watched;
-            let metrics = admin(context, metrics, health, || true, none);
+            let is_ready_now = move || is_ready(&site, &crashes, clock.now());
+            let ready = admin(context.clone(), ready, health, is_ready_now, no_routes);
+            let (health, no_routes) = metrics_inputs;
+            let metrics = admin(context, metrics, health, || true, no_routes);
             tokio::join!(ready, metrics);
         };
         handle.add(duty::spawn("admin", &supervisor, serve)?);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,11 +1,11 @@
 //! The program that callers and trainers talk to: it answers calls by the
 //! operators' routes, takes batches into the store and reads their results.
 
+mod access;
 mod batches;
-mod door;
-mod front;
+mod buffered;
+mod frontend;
 mod gateway_handle;
-mod plain;
 mod readiness;
 mod reply;
 mod streams;
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -8,11 +8,11 @@
 /// A gateway without the store can't take batches; others may still reach it.
 /// After this long without the store it lets the balancer choose those. When
 /// none reaches the store the balancer uses all gateways anyway.
-const STORE_PATIENCE: Millis = Millis(1_500);
+const STORE_UNREACHABLE_LIMIT: Millis = Millis(1_500);
 
 /// Whether the gateway knows enough to serve, and reaches the store.
 pub(super) fn is_ready(site: &Site, crashes: &Crashes, now: Millis) -> bool {
-    let knows = site.config().is_some() && site.servers_listed() && crashes.are_listed();
-    let away = site.store_away_since();
-    knows && away.is_none_or(|since| now.since(since) < STORE_PATIENCE)
+    let has_state = site.config().is_some() && site.servers_listed() && crashes.are_listed();
+    let unreachable_since = site.store_away_since();
+    has_state && unreachable_since.is_none_or(|since| now.since(since) < STORE_UNREACHABLE_LIMIT)
 }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -39,11 +39,11 @@
 }
 
 /// A server's whole answer, unchanged but for what concerns one connection.
-pub(super) fn of_server(answer: net::Answer) -> Answer {
+pub(super) fn from_server(answer: net::Answer) -> Answer {
     let body = Full::new(answer.body).map_err(|never| match never {});
     let mut reply = Response::new(body.boxed_unsync());
     *reply.status_mut() = answer.status;
-    *reply.headers_mut() = platform::answered(&answer.headers);
+    *reply.headers_mut() = platform::forwarded_response_headers(&answer.headers);
     reply
 }
 
--- a/src/gateway/streams.rs
+++ b/src/gateway/streams.rs
@@ -72,6 +72,6 @@
     });
     let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
     *answer.status_mut() = opened.status;
-    *answer.headers_mut() = platform::answered(&opened.headers);
+    *answer.headers_mut() = platform::forwarded_response_headers(&opened.headers);
     answer
 }
--- a/src/platform/batch_calls.rs
+++ b/src/platform/batch_calls.rs
@@ -3,8 +3,8 @@
 use crate::batch::{
     Item,
     Page,
+    SampleState,
     Scorer,
-    State,
     Submission, //
 };
 use base64::{
@@ -83,7 +83,7 @@
 const LENGTH_HINT: &str = "x-length-hint";
 
 /// Item indices are kept in 16 bits.
-const ITEMS_MOST: usize = u16::MAX as usize;
+const MAX_ITEMS: usize = u16::MAX as usize;
 
 /// Decodes a batch called `id` that came for `host` under `path`.
 ///
@@ -97,7 +97,7 @@
     body: &[u8],
 ) -> Result<Submission, SubmissionError> {
     let wire: WireBatch = serde_json::from_slice(body).context(SyntaxSnafu)?;
-    let most = ITEMS_MOST;
+    let most = MAX_ITEMS;
     ensure!((1..=most).contains(&wire.items.len()), CountSnafu { most });
     let items: Result<Vec<Item>, SubmissionError> = wire.items.into_iter().map(item).collect();
     let items = items?;
@@ -177,8 +177,8 @@
         id: &sample.id,
         score: sample.score.as_deref(),
         state: match sample.state {
-            State::Succeeded => "succeeded",
-            State::Terminated => "terminated",
+            SampleState::Succeeded => "succeeded",
+            SampleState::Terminated => "terminated",
         },
         text: &sample.text,
         versions: &sample.versions,
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -18,7 +18,7 @@
     #[snafu(display("the configuration is not understood: {source}"))]
     Syntax { source: serde_json::Error },
     #[snafu(display("route `{route}` has the unknown type `{found}`"))]
-    Type { route: String, found: String },
+    UnknownType { route: String, found: String },
 }
 
 #[derive(Deserialize)]
@@ -107,10 +107,10 @@
 
 /// A route that names no timeout gets this one: the longest that the users'
 /// pages give a caller.
-const TIMEOUT_DEFAULT: f64 = 30_000.0;
+const DEFAULT_TIMEOUT_MS: f64 = 30_000.0;
 
 /// Split weights may be fractions; this many steps make up one.
-const WEIGHT_STEPS: f64 = 1_000.0;
+const WEIGHT_SCALE: f64 = 1_000.0;
 
 /// Decodes a configuration.
 ///
@@ -156,7 +156,7 @@
         "unsafe" => Kind::Unsafe,
         found => {
             let route = wire.name;
-            return TypeSnafu { route, found }.fail();
+            return UnknownTypeSnafu { route, found }.fail();
         }
     };
     let mut targets: Vec<Target> = wire
@@ -164,7 +164,7 @@
         .into_iter()
         .map(|target| Target {
             service: target.service,
-            weight: (target.weight * WEIGHT_STEPS) as u64,
+            weight: (target.weight * WEIGHT_SCALE) as u64,
         })
         .collect();
     if let (true, Some(service)) = (targets.is_empty(), wire.service) {
@@ -182,7 +182,7 @@
         results_due: millis(wire.result_deadline_ms),
         single_version: wire.single_version,
         targets,
-        timeout: millis(wire.timeout_ms.unwrap_or(TIMEOUT_DEFAULT)),
+        timeout: millis(wire.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS)),
     })
 }
 
@@ -203,13 +203,13 @@
 
 /// A trainer's word that a weight version exists.
 #[derive(Debug, Deserialize)]
-pub struct Named {
+pub struct NamedVersion {
     pub model: String,
     pub version: u64,
 }
 
 /// Decodes the version that a trainer named.
-pub fn read_named(value: &[u8]) -> Option<Named> {
+pub fn read_named_version(value: &[u8]) -> Option<NamedVersion> {
     match serde_json::from_slice(value) {
         Ok(named) => Some(named),
         Err(error) => {
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -28,13 +28,13 @@
 };
 
 /// The weight version under which an answer began.
-const WEIGHT_VERSION: HeaderName = HeaderName::from_static("x-weight-versions");
+const INITIAL_WEIGHT_VERSION: HeaderName = HeaderName::from_static("x-weight-versions");
 
 /// The field of an event at which the weight version changes.
-const EVENT_VERSION: &str = "x-weight-versions";
+const EVENT_VERSION_FIELD: &str = "x-weight-versions";
 
 /// The last event that the caller has.
-const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
 /// What an engine says of itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +44,7 @@
     /// It is carrying out an order.
     pub busy: bool,
     /// The orders that it has accepted in this life.
-    pub orders: u64,
+    pub accepted_orders: u64,
     pub weights: Vec<Weights>,
 }
 
@@ -63,7 +63,7 @@
 
 /// Asks for an engine's report.
 pub fn report_request() -> Request<Full<Bytes>> {
-    request(Method::GET, "/redwingpond/report", Bytes::new())
+    json_request(Method::GET, "/redwingpond/report", Bytes::new())
 }
 
 /// Decodes an engine's report.
@@ -82,7 +82,7 @@
     Some(EngineReport {
         born: Millis(wire.born),
         busy: wire.busy,
-        orders: wire.sequence,
+        accepted_orders: wire.sequence,
         weights: weights(wire.models),
     })
 }
@@ -98,7 +98,7 @@
     pub model: &'a str,
     /// The orders that the engine must have accepted so far; a late copy of
     /// this order then finds another number and does nothing.
-    pub orders: u64,
+    pub expected_orders: u64,
     /// The engine's life.
     pub server: &'a str,
     pub version: u64,
@@ -133,7 +133,7 @@
 /// The call that gives `order`.
 pub fn order_request(order: &VersionOrder<'_>) -> Request<Full<Bytes>> {
     let wire = WireOrder {
-        expected_rev: order.orders,
+        expected_rev: order.expected_orders,
         fencing_token: order.fence,
         holder: order.holder,
         mode: match order.finish_runs {
@@ -148,13 +148,13 @@
         tracing::error!(%error, "an order can't be encoded");
         Vec::new()
     });
-    let mut request = request(Method::POST, "/redwingpond/order", body.into());
-    names::set_instance(request.headers_mut(), order.server);
+    let mut request = json_request(Method::POST, "/redwingpond/order", body.into());
+    names::set_expected_server(request.headers_mut(), order.server);
     request
 }
 
 /// What the engine's answer to an order says.
-pub fn order_answer(answer: &Answer) -> OrderAnswer {
+pub fn read_order_answer(answer: &Answer) -> OrderAnswer {
     match answer.status.as_u16() {
         200 => OrderAnswer::Holds,
         202 => OrderAnswer::Accepted,
@@ -170,7 +170,7 @@
     pub after: Option<u64>,
     pub host: &'a str,
     pub item: &'a Item,
-    pub left: Millis,
+    pub timeout: Millis,
     /// How urgent it is; 0 is the most urgent.
     pub priority: Option<u32>,
     /// The engine's life.
@@ -182,7 +182,7 @@
 impl EngineRequest<'_> {
     /// The call that runs the item.
     pub fn build(&self) -> Request<Full<Bytes>> {
-        let mut request = request(Method::POST, &self.item.path, self.item.body.clone());
+        let mut request = json_request(Method::POST, &self.item.path, self.item.body.clone());
         let headers = request.headers_mut();
         for (name, value) in &self.item.headers {
             set_header(headers, name, value);
@@ -190,10 +190,10 @@
         set_header(headers, "host", self.host);
         set_header(headers, ATTEMPT_ID.as_str(), &self.item.id);
         if let Some(after) = self.after {
-            headers.insert(LAST_EVENT, HeaderValue::from(after));
+            headers.insert(LAST_EVENT_ID, HeaderValue::from(after));
         }
-        names::set_instance(headers, self.server);
-        names::set_deadline(headers, self.left);
+        names::set_expected_server(headers, self.server);
+        names::set_deadline(headers, self.timeout);
         names::set_priority(headers, self.priority);
         names::set_workspace(headers, self.workspace);
         request
@@ -201,8 +201,8 @@
 }
 
 /// The version under which an answer began.
-pub fn version_of_head(headers: &HeaderMap) -> Option<u64> {
-    let value = headers.get(WEIGHT_VERSION)?.to_str().ok()?;
+pub fn initial_weight_version(headers: &HeaderMap) -> Option<u64> {
+    let value = headers.get(INITIAL_WEIGHT_VERSION)?.to_str().ok()?;
     value.trim().parse().ok()
 }
 
@@ -242,7 +242,7 @@
             match field {
                 "data" => data.push(value),
                 "id" => event.id = value.trim().parse().ok(),
-                EVENT_VERSION => event.version = value.trim().parse().ok(),
+                EVENT_VERSION_FIELD => event.version = value.trim().parse().ok(),
                 _ => {}
             }
         }
@@ -251,12 +251,12 @@
     }
 
     /// Whether bytes of an unfinished event are left.
-    pub fn is_torn(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-fn request(method: Method, path: &str, body: Bytes) -> Request<Full<Bytes>> {
+fn json_request(method: Method, path: &str, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
     match path.parse() {
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -15,7 +15,7 @@
     /// Anything else goes by the operators' routes.
     Routed,
     /// A call of ours that is malformed.
-    Unknown,
+    Malformed,
 }
 
 /// What is asked about a batch.
@@ -29,18 +29,18 @@
     Results { from: usize, wait: Millis },
 }
 
-const BATCHES: &str = "/redwingpond/lots/";
-const ITEMS: &str = "/redwingpond/items/";
-const OWN: &str = "/redwingpond/";
+const BATCHES_PREFIX: &str = "/redwingpond/lots/";
+const ITEMS_PREFIX: &str = "/redwingpond/items/";
+const PRODUCT_PREFIX: &str = "/redwingpond/";
 
 /// Which call a request is.
 pub fn classify(method: &Method, uri: &Uri, headers: &HeaderMap) -> Ingress {
     let path = uri.path();
-    if let Some(batch) = path.strip_prefix(BATCHES) {
+    if let Some(batch) = path.strip_prefix(BATCHES_PREFIX) {
         return batch_call(method, batch, uri.query().unwrap_or_default(), headers);
     }
-    if let Some(batch) = path.strip_prefix(ITEMS) {
-        let item = parameter(uri.query().unwrap_or_default(), "id");
+    if let Some(batch) = path.strip_prefix(ITEMS_PREFIX) {
+        let item = query_parameter(uri.query().unwrap_or_default(), "id");
         return match (method, item) {
             (&Method::GET, Some(item)) => Ingress::Batch {
                 batch: batch.to_owned(),
@@ -48,11 +48,11 @@
                     item: item.to_owned(),
                 },
             },
-            _ => Ingress::Unknown,
+            _ => Ingress::Malformed,
         };
     }
-    match path.starts_with(OWN) {
-        true => Ingress::Unknown,
+    match path.starts_with(PRODUCT_PREFIX) {
+        true => Ingress::Malformed,
         false => Ingress::Routed,
     }
 }
@@ -65,7 +65,7 @@
             call: BatchCall::End,
         },
         Method::GET => {
-            let from = parameter(query, "startAfter").unwrap_or("0");
+            let from = query_parameter(query, "startAfter").unwrap_or("0");
             let wait = headers.get("x-wait-ms").and_then(|v| v.to_str().ok());
             let wait = wait.and_then(|wait| wait.trim().parse().ok());
             match from.parse() {
@@ -76,14 +76,14 @@
                         wait: Millis(wait.unwrap_or(0)),
                     },
                 },
-                Err(_) => Ingress::Unknown,
+                Err(_) => Ingress::Malformed,
             }
         }
-        _ => Ingress::Unknown,
+        _ => Ingress::Malformed,
     }
 }
 
-fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -16,7 +16,7 @@
 
 pub use self::{
     batch_calls::{SubmissionError, read_submission, write_page},
-    config::{ConfigError, Named, read_config, read_named},
+    config::{ConfigError, NamedVersion, read_config, read_named_version},
     engine::{
         EngineReport,
         EngineRequest,
@@ -24,36 +24,36 @@
         EventReader,
         OrderAnswer,
         VersionOrder,
-        order_answer,
+        initial_weight_version, //
         order_request,
+        read_order_answer,
         read_report,
         report_request,
-        version_of_head, //
     },
     ingress::{BatchCall, Ingress, classify},
     names::{
         ATTEMPT_ID,
         CONFIG_KEY,
-        NAMED_VERSION,
+        NAMED_VERSION_PREFIX,
         OPERATOR_TABLE,
         SERVERS_TABLE,
         SETTINGS_VARIABLE,
-        answered,
+        answering_server,
         authorization,
-        caller_deadline,
+        caller_timeout,
         credential,
-        forwarded,
-        instance_of,
+        forwarded_request_headers,
+        forwarded_response_headers,
         not_executed,
         server_load,
         set_deadline,
+        set_expected_server,
         set_header,
-        set_instance,
         set_priority,
         set_workspace,
         signature, //
     },
     server_entry::{EntryError, read_server},
-    store::{ROWS_MOST, Store},
+    store::{MAX_READ_ROWS, Store},
     usage::UsageReport, //
 };
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -19,16 +19,16 @@
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 
 /// The life of the server that alone may run the request.
-const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
+const EXPECTED_SERVER: HeaderName = HeaderName::from_static("x-expect-instance");
 
 /// The number under which one acts for all.
-const FENCE: HeaderName = HeaderName::from_static("x-fencing-token");
+const FENCING_TOKEN: HeaderName = HeaderName::from_static("x-fencing-token");
 
 /// The instance that acts for all.
-const HOLDER: HeaderName = HeaderName::from_static("x-duty-holder");
+const LEASE_HOLDER: HeaderName = HeaderName::from_static("x-duty-holder");
 
 /// The life of the server that answers.
-const INSTANCE: HeaderName = HeaderName::from_static("x-instance-id");
+const SERVER_ID: HeaderName = HeaderName::from_static("x-instance-id");
 
 /// Present when the server says that it did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
@@ -37,7 +37,7 @@
 const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
 
 /// The least urgent priority that servers know.
-const PRIORITY_LEAST: u32 = 9;
+const LEAST_URGENT_PRIORITY: u32 = 9;
 
 /// The server's seal on its answer.
 const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
@@ -58,13 +58,13 @@
 pub const CONFIG_KEY: &str = "config";
 
 /// The rows with the version that a trainer named last, by model.
-pub const NAMED_VERSION: &str = "version/";
+pub const NAMED_VERSION_PREFIX: &str = "version/";
 
 /// The table in which backend servers announce themselves.
 pub const SERVERS_TABLE: &str = "servers";
 
 /// Headers that concern one connection only, and those that this program sets.
-const OWN: [&str; 14] = [
+const NOT_FORWARDED_REQUEST_HEADERS: [&str; 14] = [
     "connection",
     "content-length",
     "expect",
@@ -82,8 +82,8 @@
 ];
 
 /// How long the caller says it waits.
-pub fn caller_deadline(headers: &HeaderMap) -> Option<Millis> {
-    number(headers, &DEADLINE).map(Millis)
+pub fn caller_timeout(headers: &HeaderMap) -> Option<Millis> {
+    header_number(headers, &DEADLINE).map(Millis)
 }
 
 /// The key with which the caller proves who it is. Two keys are none: a proxy on the
@@ -105,7 +105,7 @@
 
 /// Headers of a server's answer that concern one connection, and its word on its
 /// load, which is for this program.
-const ANSWER_OWN: [&str; 5] = [
+const NOT_FORWARDED_RESPONSE_HEADERS: [&str; 5] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -114,35 +114,38 @@
 ];
 
 /// The headers of a server's answer that go on to the caller.
-pub fn answered(headers: &HeaderMap) -> HeaderMap {
-    passing(headers, |name| !ANSWER_OWN.contains(&name))
+pub fn forwarded_response_headers(headers: &HeaderMap) -> HeaderMap {
+    filter_headers(headers, |name| {
+        !NOT_FORWARDED_RESPONSE_HEADERS.contains(&name)
+    })
 }
 
-fn passing(headers: &HeaderMap, passes: impl Fn(&str) -> bool) -> HeaderMap {
+fn filter_headers(headers: &HeaderMap, is_kept: impl Fn(&str) -> bool) -> HeaderMap {
     headers
         .iter()
-        .filter(|(name, _)| passes(name.as_str()))
+        .filter(|(name, _)| is_kept(name.as_str()))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
 /// The headers of a request that go on to the server.
-pub fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+pub fn forwarded_request_headers(headers: &HeaderMap) -> HeaderMap {
+    let connection_headers: Vec<String> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    passing(headers, |name| {
-        !OWN.contains(&name) && !named.iter().any(|own| own == name)
+    filter_headers(headers, |name| {
+        !NOT_FORWARDED_REQUEST_HEADERS.contains(&name)
+            && !connection_headers.iter().any(|listed| listed == name)
     })
 }
 
 /// The life of the server that answered.
-pub fn instance_of(headers: &HeaderMap) -> Option<&str> {
-    headers.get(INSTANCE)?.to_str().ok()
+pub fn answering_server(headers: &HeaderMap) -> Option<&str> {
+    headers.get(SERVER_ID)?.to_str().ok()
 }
 
 /// Whether the server says that it did not run the request.
@@ -172,26 +175,29 @@
 /// Tells the server how urgent a request is, where that is known.
 pub fn set_priority(headers: &mut HeaderMap, priority: Option<u32>) {
     if let Some(priority) = priority {
-        headers.insert(PRIORITY, HeaderValue::from(priority.min(PRIORITY_LEAST)));
+        headers.insert(
+            PRIORITY,
+            HeaderValue::from(priority.min(LEAST_URGENT_PRIORITY)),
+        );
     }
 }
 
 /// Tells the platform who acts for all, and under which number.
-pub(super) fn set_holder(headers: &mut HeaderMap, holder: &str, fence: Fence) {
+pub(super) fn set_lease_holder(headers: &mut HeaderMap, holder: &str, fence: Fence) {
     match HeaderValue::from_str(holder) {
         Ok(value) => {
-            headers.insert(HOLDER, value);
+            headers.insert(LEASE_HOLDER, value);
         }
         Err(error) => tracing::error!(holder, %error, "not a name for a header"),
     }
-    headers.insert(FENCE, HeaderValue::from(fence));
+    headers.insert(FENCING_TOKEN, HeaderValue::from(fence));
 }
 
 /// Lets only the server's life called `id` run the request.
-pub fn set_instance(headers: &mut HeaderMap, id: &str) {
+pub fn set_expected_server(headers: &mut HeaderMap, id: &str) {
     match HeaderValue::from_str(id) {
         Ok(value) => {
-            headers.insert(EXPECT_INSTANCE, value);
+            headers.insert(EXPECTED_SERVER, value);
         }
         Err(error) => tracing::error!(server = id, %error, "not a name for a header"),
     }
@@ -211,7 +217,7 @@
     headers.get(SIGNATURE)
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+fn header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
@@ -222,7 +228,7 @@
     let name = HeaderName::try_from(name);
     let value = HeaderValue::try_from(value);
     match (name, value) {
-        (Ok(name), _) if OWN.contains(&name.as_str()) => {
+        (Ok(name), _) if NOT_FORWARDED_REQUEST_HEADERS.contains(&name.as_str()) => {
             tracing::warn!(%name, "a trainer's header is not its own to set");
         }
         (Ok(name), Ok(value)) => {
--- a/src/platform/server_entry.rs
+++ b/src/platform/server_entry.rs
@@ -16,7 +16,7 @@
 /// are always there: an entry that lacks one comes from another writer.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Wire {
+struct WireServer {
     address: SocketAddr,
     batch_slots: u32,
     /// When the server started; absent where servers don't tell.
@@ -60,7 +60,7 @@
 ///
 /// What of the entry was not understood.
 pub fn read_server(id: &str, value: &[u8]) -> Result<Server, EntryError> {
-    let wire: Wire = serde_json::from_slice(value).context(DecodeSnafu)?;
+    let wire: WireServer = serde_json::from_slice(value).context(DecodeSnafu)?;
     ensure!(wire.address.port() > 0, PortSnafu);
     Ok(Server {
         address: wire.address,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,7 +1,7 @@
 //! The client of the platform's table.
 
 use super::{
-    store_probe::{PROBES, ProbePace},
+    store_probe::{PROBE_TABLE, ProbeSchedule},
     store_wire::{
         WireKey,
         WireListing,
@@ -37,41 +37,44 @@
 pub struct Store {
     pub(super) clock: Clock,
     patience: Arc<Mutex<Patience>>,
-    pub(super) pace: Arc<ProbePace>,
+    pub(super) probe_schedule: Arc<ProbeSchedule>,
     pub(super) peer: Peer,
     pub(super) reach: Arc<Reach>,
     /// The store's clock as read last, and when that was.
-    time: Arc<Mutex<Option<(Millis, Millis)>>>,
+    latest_time: Arc<Mutex<Option<(Millis, Millis)>>>,
 }
 
 /// The most rows in one answer of the store.
-pub const ROWS_MOST: usize = 500;
+pub const MAX_READ_ROWS: usize = 500;
 
 /// What a call for changes may take beyond the time that the store holds it.
-const FEED_SLACK: Millis = Millis(600);
+const FEED_EXTRA_TIMEOUT: Millis = Millis(600);
 
 impl Store {
     /// A client of the store at `address`.
     pub fn open(address: SocketAddr, clock: Clock) -> Self {
         Self {
             clock,
-            pace: Arc::default(),
+            probe_schedule: Arc::default(),
             patience: Arc::default(),
             peer: Peer::open(address, clock),
             reach: Arc::default(),
-            time: Arc::default(),
+            latest_time: Arc::default(),
         }
     }
 
     /// Whether the store does not answer this process.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.reach.is_away()
     }
 
     /// The store's clock, by the last answer; the local one before any.
     pub fn now(&self) -> Millis {
         let now = self.clock.now();
-        let time = self.time.lock().unwrap_or_else(PoisonError::into_inner);
+        let time = self
+            .latest_time
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         match *time {
             Some((store, local)) => store + now.since(local),
             None => now,
@@ -101,7 +104,7 @@
             message: error.to_string(),
         })?;
         let path = "/redwingpond/rows-tx";
-        let answer = self.prompt(Method::POST, path, body).await?;
+        let answer = self.call_adaptive(Method::POST, path, body).await?;
         let wire: WireListing = self.read(&answer)?;
         match answer.status {
             StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict {
@@ -121,14 +124,14 @@
         table: &str,
         part: &str,
         from: &str,
-        most: usize,
+        limit: usize,
     ) -> Result<Listing, StoreError> {
-        let mut path = format!("/redwingpond/rows-get?table={table}&part={part}&limit={most}");
+        let mut path = format!("/redwingpond/rows-get?table={table}&part={part}&limit={limit}");
         if !from.is_empty() {
             path.push_str("&from=");
             path.push_str(from);
         }
-        let answer = self.prompt(Method::GET, &path, Vec::new()).await?;
+        let answer = self.call_adaptive(Method::GET, &path, Vec::new()).await?;
         self.listing(&answer)
     }
 
@@ -147,8 +150,8 @@
     /// # Errors
     ///
     /// As [`Store::rows`].
-    pub async fn ask(&self) -> Result<(), StoreError> {
-        self.rows(PROBES, "", "", 1).await.map(|_| ())
+    pub async fn check_reachable(&self) -> Result<(), StoreError> {
+        self.rows(PROBE_TABLE, "", "", 1).await.map(|_| ())
     }
 
     /// All rows of `part`, over as many calls as it takes. The revision is that
@@ -158,14 +161,14 @@
     ///
     /// As [`Store::rows`].
     pub async fn whole_part(&self, table: &str, part: &str) -> Result<Listing, StoreError> {
-        let mut whole = self.rows(table, part, "", ROWS_MOST).await?;
+        let mut whole = self.rows(table, part, "", MAX_READ_ROWS).await?;
         while whole.more {
             // The next answer begins with the last row of this one, which
             // takes its place.
             let Some(last) = whole.rows.pop() else {
                 break;
             };
-            let next = self.rows(table, part, &last.key, ROWS_MOST).await?;
+            let next = self.rows(table, part, &last.key, MAX_READ_ROWS).await?;
             whole.more = next.more && next.rows.len() > 1;
             whole.rows.extend(next.rows);
         }
@@ -186,7 +189,7 @@
                 path.push_str("&startAfter=");
                 path.push_str(last);
             }
-            let answer = self.prompt(Method::GET, &path, Vec::new()).await?;
+            let answer = self.call_adaptive(Method::GET, &path, Vec::new()).await?;
             let wire: WireListing = self.read(&answer)?;
             revision = revision.min(wire.ver);
             let last = wire.parts.is_empty();
@@ -215,25 +218,25 @@
             true => Millis(0),
             false => hold,
         };
-        self.wait_back(FEED_SLACK).await?;
+        self.wait_reachable(FEED_EXTRA_TIMEOUT).await?;
         let path = format!(
             "/redwingpond/rows-feed?table={table}&startAfter={after}&waitMs={}",
             hold.0
         );
-        let within = hold + FEED_SLACK;
+        let within = hold + FEED_EXTRA_TIMEOUT;
         let answer = self.call(Method::GET, &path, Vec::new(), within).await?;
         self.listing(&answer)
     }
 
     /// A call that the store answers at once, as far as it can.
-    async fn prompt(
+    async fn call_adaptive(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Answer, StoreError> {
         let within = self.patience().wait(self.clock.now());
-        self.wait_back(within).await?;
+        self.wait_reachable(within).await?;
         let began = self.clock.now();
         let result = self.call(method, path, body, within).await;
         let now = self.clock.now();
@@ -270,8 +273,8 @@
         let returns = self.reach.returns();
         let result = tokio::select! {
             answer = self.peer.call(request, within) => {
-                let result = outcome(answer);
-                self.note(&result);
+                let result = classify_answer(answer);
+                self.record_result(&result);
                 result
             }
             () = self.reach.returned_since(returns) => {
@@ -304,13 +307,16 @@
                 message: error.to_string(),
             })?;
         let local = self.clock.now();
-        let mut time = self.time.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut time = self
+            .latest_time
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         *time = Some((Millis(value.now_ms.max(0.0) as u64), local));
         Ok(value)
     }
 }
 
-fn outcome(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
+fn classify_answer(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
     let answer = answer.map_err(|source| StoreError::Unknown { source })?;
     let status = answer.status.as_u16();
     match status {
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -20,66 +20,68 @@
 use tokio::sync::Notify;
 
 /// A table that has no rows, for questions whether the store answers.
-pub(super) const PROBES: &str = "probes";
+pub(super) const PROBE_TABLE: &str = "probes";
 
 /// The question of a probe.
-const PROBE: &str = "/redwingpond/rows-get?table=probes&part=&limit=1";
+const PROBE_PATH: &str = "/redwingpond/rows-get?table=probes&part=&limit=1";
 
 /// How often a store that is away is asked whether it is back. Results that are due
 /// wait for it, and trainers read them half a second later.
-const PROBE_EVERY: Millis = Millis(120);
+const PROBE_INTERVAL: Millis = Millis(120);
 
 /// How long a probe may take: a slow store takes sixty times as long as usual.
-const PROBE_WITHIN: Millis = Millis(500);
+const PROBE_TIMEOUT: Millis = Millis(500);
 
 /// Probes under way at once.
-const PROBES_MOST: usize = 4;
+const MAX_CONCURRENT_PROBES: usize = 4;
 
 /// How often this process asks a store that is away.
 #[derive(Debug, Default)]
-pub(super) struct ProbePace {
-    now: Notify,
-    /// The time between two probes, in ms; 0 for [`PROBE_EVERY`].
-    seldom: AtomicU64,
+pub(super) struct ProbeSchedule {
+    wake: Notify,
+    /// The time between two probes, in ms; 0 for [`PROBE_INTERVAL`].
+    interval_ms: AtomicU64,
 }
 
-impl ProbePace {
+impl ProbeSchedule {
     /// Waits until a probe is due.
-    async fn due(&self) {
-        let every = match self.seldom.load(Ordering::Relaxed) {
-            0 => PROBE_EVERY,
-            seldom => Millis(seldom),
+    async fn wait_due(&self) {
+        let interval = match self.interval_ms.load(Ordering::Relaxed) {
+            0 => PROBE_INTERVAL,
+            interval_ms => Millis(interval_ms),
         };
         tokio::select! {
-            () = self.now.notified() => {}
-            () = tokio::time::sleep(every.as_duration()) => {}
+            () = self.wake.notified() => {}
+            () = tokio::time::sleep(interval.as_duration()) => {}
         }
     }
 }
 
 impl Store {
-    /// From now on a store that is away is asked once in `every`: another process tells
+    /// From now on a store that is away is asked once in `interval`: another process tells
     /// this one when it is back, and all together would ask for more than it takes.
-    pub fn probe_seldom(&self, every: Millis) {
-        self.pace.seldom.store(every.0, Ordering::Relaxed);
+    pub fn set_probe_interval(&self, interval: Millis) {
+        self.probe_schedule
+            .interval_ms
+            .store(interval.0, Ordering::Relaxed);
     }
 
     /// From now on a store that is away is asked as often as helps.
-    pub fn probe_often(&self) {
-        self.pace.seldom.store(0, Ordering::Relaxed);
+    pub fn reset_probe_interval(&self) {
+        self.probe_schedule.interval_ms.store(0, Ordering::Relaxed);
     }
 
     /// The store may be back.
     pub fn probe_now(&self) {
         if self.reach.is_away() {
-            self.pace.now.notify_one();
+            self.probe_schedule.wake.notify_one();
         }
     }
 
     /// Takes what a call showed of the store, and has it probed once it is away.
-    pub(super) fn note(&self, result: &Result<Answer, StoreError>) {
-        let silent = matches!(result, Err(StoreError::Unknown { .. }));
-        if !silent {
+    pub(super) fn record_result(&self, result: &Result<Answer, StoreError>) {
+        let unanswered = matches!(result, Err(StoreError::Unknown { .. }));
+        if !unanswered {
             self.reach.answer();
         } else if self.reach.miss() {
             tracing::warn!("the store is away: it is probed");
@@ -88,7 +90,7 @@
     }
 
     /// Waits at most `within` for a store that is away.
-    pub(super) async fn wait_back(&self, within: Millis) -> Result<(), StoreError> {
+    pub(super) async fn wait_reachable(&self, within: Millis) -> Result<(), StoreError> {
         let back = tokio::time::timeout(within.as_duration(), self.reach.back());
         back.await.map_err(|_| StoreError::Away)
     }
@@ -97,14 +99,14 @@
     async fn probe(self) {
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
-        let mut due = std::pin::pin!(self.pace.due());
+        let mut due = std::pin::pin!(self.probe_schedule.wait_due());
         while self.reach.is_away() {
             tokio::select! {
                 () = &mut due => {
-                    if probes.len() < PROBES_MOST {
+                    if probes.len() < MAX_CONCURRENT_PROBES {
                         probes.push(self.probe_once());
                     }
-                    due.set(self.pace.due());
+                    due.set(self.probe_schedule.wait_due());
                 }
                 Some(answered) = probes.next() => {
                     if answered {
@@ -120,11 +122,11 @@
     async fn probe_once(&self) -> bool {
         let peer = Peer::open(self.peer.address(), self.clock);
         let request = Request::builder()
-            .uri(PROBE)
+            .uri(PROBE_PATH)
             .header("host", self.peer.address().to_string())
             .body(Full::new(Bytes::new()));
         match request {
-            Ok(request) => peer.call(request, PROBE_WITHIN).await.is_ok(),
+            Ok(request) => peer.call(request, PROBE_TIMEOUT).await.is_ok(),
             Err(error) => {
                 tracing::error!(%error, "a probe can't be made");
                 false
--- a/src/platform/store_wire.rs
+++ b/src/platform/store_wire.rs
@@ -80,7 +80,7 @@
 
 fn row(wire: WireRow) -> Row {
     Row {
-        value: (!wire.deleted).then(|| value_of(&wire)),
+        value: (!wire.deleted).then(|| decode_value(&wire)),
         part: wire.part,
         key: wire.key,
         revision: wire.ver,
@@ -90,7 +90,7 @@
 /// The row's value; empty when it can't be read, which no reader of a row takes
 /// for one of its own. One such row by another writer must not hide all others
 /// of a listing.
-fn value_of(wire: &WireRow) -> Bytes {
+fn decode_value(wire: &WireRow) -> Bytes {
     match BASE64_STANDARD.decode(&wire.value) {
         Ok(value) => value.into(),
         Err(error) => {
--- a/src/platform/usage.rs
+++ b/src/platform/usage.rs
@@ -1,6 +1,6 @@
 //! Reports of use to the platform.
 
-use super::names::set_holder;
+use super::names::set_lease_holder;
 use crate::{
     base::Fence,
     policy::usage::Counts, //
@@ -48,7 +48,7 @@
         *request.uri_mut() = hyper::Uri::from_static("/usage");
         let headers = request.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        set_holder(headers, self.holder, self.fence);
+        set_lease_holder(headers, self.holder, self.fence);
         request
     }
 }
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -137,7 +137,7 @@
 
     fn become_root(&self) {
         tracing::info!(group = self.seat.group, "asks the store for others");
-        self.store.probe_often();
+        self.store.reset_probe_interval();
         self.serve_others();
         self.set_role(Role::Root);
         self.settled.send_replace(true);
@@ -147,10 +147,10 @@
         tracing::info!(feeder = %parent.address, "fed by another instance");
         // Others wait for the holder of a place to tell that the store is back.
         match places.has(self.seat.address) {
-            true => self.store.probe_often(),
+            true => self.store.reset_probe_interval(),
             false => {
                 let seldom = PROBE_SELDOM + self.spread(PROBE_SPREAD);
-                self.store.probe_seldom(seldom);
+                self.store.set_probe_interval(seldom);
             }
         }
         self.set_role(Role::Child(parent));
--- a/src/relay/places.rs
+++ b/src/relay/places.rs
@@ -60,7 +60,7 @@
     ///
     /// [`StoreError`] when the store did not answer, or said why it can't.
     pub(super) async fn read(&mut self, relay: &Relay) -> Result<(), StoreError> {
-        if relay.store.is_away() {
+        if relay.store.is_unreachable() {
             return Err(StoreError::Away);
         }
         let group = &relay.seat.group;
--- a/src/runner/changes.rs
+++ b/src/runner/changes.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::Millis,
-    batch::{Head, Heartbeat, Log, WorkKey, decode, has_heartbeats, part_of},
+    batch::{Head, Heartbeat, Log, WorkKey, batch_part, decode, is_heartbeat_part},
     store::{Change, Row}, //
 };
 
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn put(&mut self, part: &str, key: &str, value: &[u8], revision: u64, now: Millis) {
-        if has_heartbeats(part) {
+        if is_heartbeat_part(part) {
             if let Some(heartbeat) = decode::<Heartbeat>("heartbeat", value) {
                 self.heartbeats.take(key, heartbeat, revision, now);
             }
@@ -89,7 +89,7 @@
     /// by key: they are taken once the head is there.
     pub(super) fn orphan(&mut self, id: &str, key: &str, value: &[u8], revision: u64) {
         let row = Row {
-            part: part_of(id),
+            part: batch_part(id),
             key: key.to_owned(),
             value: Some(value.to_vec().into()),
             revision,
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     base::Millis,
-    batch::{Claim, WORK, WorkKey, decode, encode, part_of},
+    batch::{Claim, WORK, WorkKey, batch_part, decode, encode},
     policy::{
         claim_choice::{Holder, Offer, Taker, capacity, choose, is_mine_by_rule},
         pace::is_slow, //
@@ -128,7 +128,11 @@
             }
         };
         batch.mine.insert(offer.bundle, Mine::Claiming);
-        let key = Key::new(WORK, part_of(id), WorkKey::Claim(offer.bundle).to_string());
+        let key = Key::new(
+            WORK,
+            batch_part(id),
+            WorkKey::Claim(offer.bundle).to_string(),
+        );
         let transaction = Transaction {
             expect: vec![(key.clone(), revision)],
             remove: Vec::new(),
@@ -190,7 +194,7 @@
                         continue;
                     };
                     // The answer to an earlier try of the same claim was lost.
-                    ours |= held.is_same_run(&claim);
+                    ours |= held.is_same_claim(&claim);
                     batch.set_claim(bundle, held, row.revision, now);
                 }
                 if ours {
--- a/src/runner/give_back.rs
+++ b/src/runner/give_back.rs
@@ -5,7 +5,7 @@
     work::Work, //
 };
 use crate::{
-    batch::{Claim, WORK, WorkKey, encode, part_of},
+    batch::{Claim, WORK, WorkKey, batch_part, encode},
     store::{Key, Outcome, Transaction}, //
 };
 
@@ -25,11 +25,11 @@
         if !batch.is_claimed_by(bundle, &self.instance, self.token) {
             return;
         }
-        let key = Key::new(WORK, part_of(id), WorkKey::Claim(bundle).to_string());
+        let key = Key::new(WORK, batch_part(id), WorkKey::Claim(bundle).to_string());
         let transaction = Transaction {
             expect: vec![(key.clone(), held.revision)],
             remove: Vec::new(),
-            set: vec![(key, encode(&Claim::free()))],
+            set: vec![(key, encode(&Claim::released()))],
         };
         let (store, crashes) = (self.store.clone(), self.engine.crashes.clone());
         let id = id.to_owned();
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     base::Millis,
-    batch::{BODIES, Item, PARTIALS, Partial, chunk_of, decode, part_of, partial_key},
+    batch::{BODIES, Item, PARTIALS, Partial, batch_part, chunk_key, decode, partial_key},
     platform::Store,
     store::{Key, StoreError}, //
 };
@@ -94,7 +94,7 @@
                 continue;
             }
             batch.fetching.push(chunk);
-            let key = Key::new(BODIES, part_of(id), chunk_of(chunk));
+            let key = Key::new(BODIES, batch_part(id), chunk_key(chunk));
             let (store, events, batch) = (self.store.clone(), self.events.clone(), id.to_owned());
             tokio::spawn(async move {
                 let items = store.row(&key).await.map(|row| {
@@ -209,7 +209,7 @@
 /// Reads the kept texts of some items; one that can't be read begins anew.
 async fn read_partials(store: &Store, batch: &str, items: &[u16]) -> HashMap<u16, Partial> {
     let reading = items.iter().map(|index| async move {
-        let key = Key::new(PARTIALS, part_of(batch), partial_key(*index));
+        let key = Key::new(PARTIALS, batch_part(batch), partial_key(*index));
         match store.row(&key).await {
             Ok(row) => {
                 let value = row.and_then(|row| row.value)?;
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -189,7 +189,7 @@
                     batch: number,
                     beyond: batch
                         .head
-                        .is_beyond(&batch.head.bundles[usize::from(bundle)]),
+                        .is_surplus(&batch.head.bundles[usize::from(bundle)]),
                     due: batch.head.accepted + route.results_due,
                     bundle,
                     claimed: batch.is_claimed_by(bundle, &self.instance, self.token),
@@ -213,7 +213,7 @@
             return Some(Holder::Nobody);
         };
         let claim = &held.claim;
-        if claim.is_free() || claim.holder == self.instance {
+        if claim.is_released() || claim.holder == self.instance {
             return Some(Holder::Nobody);
         }
         if self.away_since.is_none() && !self.heartbeats.works(&claim.holder, held.sign, now) {
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -65,7 +65,7 @@
     /// A batch that was just seen.
     pub(super) fn new(head: Head, now: Millis) -> Self {
         let mut places = vec![0; head.bundles.len()];
-        for (place, bundle) in head.order().into_iter().enumerate() {
+        for (place, bundle) in head.bundle_order().into_iter().enumerate() {
             places[usize::from(bundle)] = place as u16;
         }
         Self {
@@ -73,7 +73,7 @@
             asked: Asked {
                 items: head.items.len(),
                 step: head.step,
-                tokens: head.tokens(),
+                tokens: head.expected_tokens(),
             },
             chunks: HashMap::new(),
             claims: BTreeMap::new(),
@@ -102,7 +102,7 @@
         let Some(bundle) = self.head.bundles.get(usize::from(bundle)) else {
             return Vec::new();
         };
-        let open = |index: &&u16| !self.log.has(**index) && !self.has_result(**index);
+        let open = |index: &&u16| !self.log.contains(**index) && !self.has_result(**index);
         bundle.items.iter().filter(open).copied().collect()
     }
 
@@ -141,10 +141,10 @@
         self.log = log;
         self.log_revision = revision;
         let log = &self.log;
-        self.results.retain(|(index, _)| !log.has(*index));
+        self.results.retain(|(index, _)| !log.contains(*index));
         let over = self.is_over();
         self.running.retain(|index, run| {
-            let needed = !over && !self.log.has(*index);
+            let needed = !over && !self.log.contains(*index);
             if !needed {
                 run.abort();
             }
@@ -225,7 +225,8 @@
         let head = &self.head;
         let log = &self.log;
         let results = &self.results;
-        let is_made = |index: &u16| log.has(*index) || results.iter().any(|(of, _)| of == index);
+        let is_made =
+            |index: &u16| log.contains(*index) || results.iter().any(|(of, _)| of == index);
         self.mine.retain(|bundle, state| {
             let waits = !matches!(state, Mine::Running);
             let items = head.bundles.get(usize::from(*bundle));
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     base::Millis,
-    platform::{OrderAnswer, VersionOrder, order_answer, order_request},
+    platform::{OrderAnswer, VersionOrder, order_request, read_order_answer},
     policy::{
         claim_choice::Place,
         version_plan::{Situation, Step, may_begin, step}, //
@@ -82,7 +82,7 @@
         };
 
         let (held, needed) = (situation.held, situation.needed);
-        let (orders, fence) = (report.orders, self.token);
+        let (orders, fence) = (report.accepted_orders, self.token);
         tracing::info!(
             model,
             version,
@@ -97,7 +97,7 @@
             finish_runs: self.runs_single(&model),
             holder: &self.instance,
             model: &model,
-            orders,
+            expected_orders: orders,
             server: &server.id,
             version,
         };
@@ -111,7 +111,7 @@
             let answer = match engine.peer.call(request, WITHIN).await {
                 Ok(answer) => {
                     engine.meet(&server.id, answer.status, &answer.headers);
-                    Some(order_answer(&answer))
+                    Some(read_order_answer(&answer))
                 }
                 Err(error) => {
                     tracing::info!(%error, "an order's answer is lost");
@@ -214,7 +214,7 @@
 
     fn is_held(&self, bundle: u16) -> bool {
         let held = self.claims.get(&bundle);
-        held.is_some_and(|held| !held.claim.is_free())
+        held.is_some_and(|held| !held.claim.is_released())
     }
 
     /// Whether an unclaimed bundle falls to the runner at `place` that it has not
--- a/src/runner/results.rs
+++ b/src/runner/results.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::Millis,
-    batch::{Log, Sample, WORK, WorkKey, append, decode, part_of},
+    batch::{Log, Sample, WORK, WorkKey, append_transaction, batch_part, decode},
     platform::Store,
     store::{Key, Outcome, StoreError, Transaction}, //
 };
@@ -28,7 +28,7 @@
         batch.running.remove(&index);
         match end {
             ItemEnd::Done(sample) => {
-                if !batch.is_over() && !batch.log.has(index) {
+                if !batch.is_over() && !batch.log.contains(index) {
                     batch.results.push((index, sample));
                 }
             }
@@ -70,7 +70,8 @@
             }
             batch.appending = true;
             let count = samples.len();
-            let (log, transaction) = append(id, &batch.log, batch.log_revision, &samples);
+            let (log, transaction) =
+                append_transaction(id, &batch.log, batch.log_revision, &samples);
             let (store, events, batch) = (self.store.clone(), self.events.clone(), id.clone());
             tokio::spawn(async move {
                 let outcome = transact_or_read(&store, &batch, &transaction).await;
@@ -138,7 +139,7 @@
         Err(error) => error,
     };
     tokio::time::sleep(WRITE_AGAIN.as_duration()).await;
-    let key = Key::new(WORK, part_of(batch), WorkKey::Log.to_string());
+    let key = Key::new(WORK, batch_part(batch), WorkKey::Log.to_string());
     match store.row(&key).await {
         Ok(Some(row)) => Ok(Outcome::Conflict { rows: vec![row] }),
         Ok(None) | Err(_) => Err(error),
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -7,9 +7,11 @@
 };
 use crate::{
     base::{Asked, Clock, Fingerprint, Millis},
-    batch::{Item, Partial, Sample, State},
+    batch::{Item, Partial, Sample, SampleState},
     net::{CallError, Opened, Peer},
-    platform::{EngineRequest, EventReader, Store, instance_of, not_executed, version_of_head},
+    platform::{
+        EngineRequest, EventReader, Store, answering_server, initial_weight_version, not_executed,
+    },
     policy::{engine_life::Met, pace::Pace, step_order::Rate},
     routing::Life,
     view::Crashes, //
@@ -98,7 +100,7 @@
         if status != StatusCode::MISDIRECTED_REQUEST {
             return;
         }
-        let Some(found) = instance_of(headers).filter(|found| *found != expected) else {
+        let Some(found) = answering_server(headers).filter(|found| *found != expected) else {
             return;
         };
         let met = Met {
@@ -295,7 +297,7 @@
     let sample = Sample {
         id: task.item.id,
         score,
-        state: State::Succeeded,
+        state: SampleState::Succeeded,
         text: text.events.join("\n"),
         versions: text.versions.into_iter().collect(),
     };
@@ -307,7 +309,7 @@
     Sample {
         id: id.to_owned(),
         score: None,
-        state: State::Terminated,
+        state: SampleState::Terminated,
         text: String::new(),
         versions: Vec::new(),
     }
@@ -318,7 +320,7 @@
         after: text.last,
         host: &task.host,
         item: &task.item,
-        left: task.until.since(engine.clock.now()),
+        timeout: task.until.since(engine.clock.now()),
         priority: task.priority,
         server: &server.id,
         workspace: task.workspace.as_deref(),
@@ -360,7 +362,7 @@
     let Opened {
         mut body, headers, ..
     } = opened;
-    let Some(mut version) = version_of_head(&headers) else {
+    let Some(mut version) = initial_weight_version(&headers) else {
         tracing::warn!(item = task.item.id, "an answer names no weight version");
         return Run::Refused;
     };
@@ -378,7 +380,7 @@
     loop {
         match body.next(PAUSE_MOST).await {
             Ok(Some(bytes)) => events.push(&bytes),
-            Ok(None) if events.is_torn() => {
+            Ok(None) if events.has_incomplete_event() => {
                 tracing::info!(item = task.item.id, "the stream ended within an event");
                 return Run::Refused;
             }
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     base::{Millis, stable_hash},
-    batch::{BODIES, PARTIALS, RESULTS, WORK, part_of},
+    batch::{BODIES, PARTIALS, RESULTS, WORK, batch_part},
     platform::Store,
     policy::batch_age::{Age, Verdict, judge},
     store::{Key, StoreError, Transaction}, //
@@ -71,7 +71,7 @@
     /// Takes every item that is not listed for given up.
     fn give_up(&mut self, id: &str) {
         let items = self.head.items.iter().enumerate();
-        let open = items.filter(|(index, _)| !self.log.has(*index as u16));
+        let open = items.filter(|(index, _)| !self.log.contains(*index as u16));
         self.results = open
             .map(|(index, item)| (index as u16, terminated(&item.id)))
             .collect();
@@ -82,7 +82,7 @@
 
 /// Removes all rows of a batch; those that make it known go last.
 async fn remove(store: &Store, id: &str) -> Result<(), StoreError> {
-    let part = part_of(id);
+    let part = batch_part(id);
     for table in [PARTIALS, RESULTS, BODIES, WORK] {
         let rows = store.whole_part(table, &part).await?.rows;
         for few in rows.chunks(ROWS_MOST) {
--- a/src/runner/text.rs
+++ b/src/runner/text.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::Millis,
-    batch::{PARTIALS, Partial, encode, part_of, partial_key},
+    batch::{PARTIALS, Partial, batch_part, encode, partial_key},
     store::{Key, Transaction}, //
 };
 use std::collections::BTreeSet;
@@ -70,7 +70,7 @@
         if value.len() > KEEP_BYTES {
             return;
         }
-        let key = Key::new(PARTIALS, part_of(&task.batch), partial_key(task.index));
+        let key = Key::new(PARTIALS, batch_part(&task.batch), partial_key(task.index));
         let transaction = Transaction {
             set: vec![(key, value)],
             ..Transaction::default()
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -18,7 +18,7 @@
     base::{Clock, Fence, Incarnation, Millis, stable_hash},
     batch::{decode, encode},
     net::Peer,
-    platform::{ROWS_MOST, Store, UsageReport},
+    platform::{MAX_READ_ROWS, Store, UsageReport},
     policy::{
         lease::{Claimant, Held, Lease, Step, Watch},
         usage::{Part, may_sum, sum}, //
@@ -263,7 +263,7 @@
         let prefix = window_prefix(window);
         let reading = count_parts().map(|part| {
             let (store, prefix) = (&self.store, &prefix);
-            async move { store.rows(USAGE, &part, prefix, ROWS_MOST).await }
+            async move { store.rows(USAGE, &part, prefix, MAX_READ_ROWS).await }
         });
         let mut counted = Vec::new();
         for listing in futures_util::future::join_all(reading).await {
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -167,7 +167,7 @@
     /// reads what the attempts before it have shown. One that its holder never ended
     /// is free after `kept`.
     pub async fn claim_attempt(&self, request: Fingerprint, kept: Millis) -> Claimed {
-        if self.store.is_away() {
+        if self.store.is_unreachable() {
             return Claimed::Unknown;
         }
         let key = attempt_key(request);
--- a/src/view/keeper.rs
+++ b/src/view/keeper.rs
@@ -6,11 +6,11 @@
     platform::{
         CONFIG_KEY,
         EntryError,
-        NAMED_VERSION,
+        NAMED_VERSION_PREFIX,
         OPERATOR_TABLE,
         SERVERS_TABLE,
         read_config,
-        read_named,
+        read_named_version,
         read_server, //
     },
     relay::{BACKOFF_MOST, Followed, Following, HOLD, Relay, follow},
@@ -97,8 +97,8 @@
             Ok(config) => site.offer(config),
             Err(error) => tracing::error!(%error, "a configuration is left out"),
         }
-    } else if key.starts_with(NAMED_VERSION)
-        && let Some(named) = read_named(&value)
+    } else if key.starts_with(NAMED_VERSION_PREFIX)
+        && let Some(named) = read_named_version(&value)
     {
         site.name(named.model, named.version);
     }
--- a/src/view/reach.rs
+++ b/src/view/reach.rs
@@ -22,7 +22,7 @@
     loop {
         // Who asks the store for changes learns it from them.
         let asked = match relay.is_fed() {
-            true => relay.store().ask().await,
+            true => relay.store().check_reachable().await,
             false => Ok(()),
         };
         site.set_reached(asked.is_ok());
--- a/standins/tests/integration/site.rs
+++ b/standins/tests/integration/site.rs
@@ -252,7 +252,7 @@
         second: None,
         token,
     };
-    let (work, part) = (batch::WORK, batch::part_of(&batch.id));
+    let (work, part) = (batch::WORK, batch::batch_part(&batch.id));
     let beats = batch::heartbeat_part("runner-x");
     let key = WorkKey::Claim(0).to_string();
     let store = &scene.store;
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -9,16 +9,16 @@
         Item,
         Log,
         Sample,
-        State,
+        SampleState,
         Submission,
         WorkKey,
-        accept,
-        append,
+        accept_transactions,
+        append_transaction,
+        batch_part, //
         decode,
-        has_heartbeats,
         heartbeat_part,
-        page_of,
-        part_of, //
+        is_heartbeat_part,
+        read_page,
     },
     routing::{Directory, Life, Server},
     store::{Change, Listing, Row, TableView}, //
@@ -77,7 +77,7 @@
         },
     ] {
         let items: Vec<Item> = (0..test.items).map(|n| item(n, "g", test.size)).collect();
-        let writes = accept(&submission(items), Millis(5));
+        let writes = accept_transactions(&submission(items), Millis(5));
         let mut rows = BTreeMap::new();
         for transaction in writes.chunks.iter().chain([&writes.head]) {
             let bytes: usize = transaction.set.iter().map(|(_, value)| value.len()).sum();
@@ -94,7 +94,7 @@
         let head: Head = decode("head", &rows["head"]).unwrap();
         assert_eq!(head.items.len(), test.items);
         for place in &head.items {
-            let chunk = &rows[&redwingpond::batch::chunk_of(place.chunk)];
+            let chunk = &rows[&redwingpond::batch::chunk_key(place.chunk)];
             let items: Vec<Item> = decode("items", chunk).unwrap();
             assert!(items.iter().any(|item| item.id == place.id), "{}", place.id);
         }
@@ -112,7 +112,7 @@
     ];
     let (head, _) = Head::of(&submission(items), Millis(0));
     assert_eq!(bundles(&head), [vec![0, 3], vec![1], vec![2]]);
-    assert_eq!(head.order(), [1, 0, 2]);
+    assert_eq!(head.bundle_order(), [1, 0, 2]);
 }
 
 /// A trainer waits for two of three groups: those that stand first in its submission,
@@ -142,7 +142,7 @@
         };
         let (head, _) = Head::of(&submission, Millis(0));
         let bundles = head.bundles.iter();
-        let beyond: Vec<bool> = bundles.map(|bundle| head.is_beyond(bundle)).collect();
+        let beyond: Vec<bool> = bundles.map(|bundle| head.is_surplus(bundle)).collect();
         assert_eq!(beyond, test.beyond, "{}", test.needed);
     }
 }
@@ -181,7 +181,7 @@
     Sample {
         id: format!("item-{number}"),
         score: Some("s".to_owned()),
-        state: State::Succeeded,
+        state: SampleState::Succeeded,
         text: "t".repeat(size),
         versions: vec![1, 2],
     }
@@ -294,7 +294,7 @@
         let mut parts: BTreeMap<String, usize> = BTreeMap::new();
         for number in 0..runners {
             let part = heartbeat_part(&format!("side-bale-hall-{number}"));
-            assert!(has_heartbeats(&part));
+            assert!(is_heartbeat_part(&part));
             *parts.entry(part).or_default() += 1;
         }
         // One a second each, and another one where something changes.
@@ -304,7 +304,7 @@
             "{runners} runners: {most} a second in one part"
         );
     }
-    assert!(!has_heartbeats(&part_of("heartbeats")));
+    assert!(!is_heartbeat_part(&batch_part("heartbeats")));
 }
 
 proptest! {
@@ -325,7 +325,7 @@
         let mut log = Log::default();
         let mut rows = BTreeMap::new();
         for few in samples.chunks(portion) {
-            let (next, transaction) = append("b", &log, 1, few);
+            let (next, transaction) = append_transaction("b", &log, 1, few);
             log = next;
             rows.extend(transaction.set.into_iter().map(|(key, value)| (key.key, value)));
         }
@@ -343,7 +343,7 @@
             })
             .collect();
         let whole = Listing { rows: listed.clone(), ..Listing::default() };
-        let page = page_of(from, &whole);
+        let page = read_page(from, &whole);
         let expected: Vec<Sample> = samples.iter().skip(from).map(|(_, s)| s.clone()).collect();
         let read = page.samples.len();
         prop_assert_eq!(&page.samples[..], &expected[..read]);
@@ -351,7 +351,7 @@
 
         // An answer of the store may end within a result.
         let rows = listed.into_iter().take(cut).collect();
-        let page = page_of(from, &Listing { rows, ..Listing::default() });
+        let page = read_page(from, &Listing { rows, ..Listing::default() });
         let read = page.samples.len();
         prop_assert_eq!(&page.samples[..], &expected[..read]);
     }
--- a/tests/integration/platform_wire.rs
+++ b/tests/integration/platform_wire.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use redwingpond::{
     base::Millis,
-    batch::name_of,
+    batch::stored_name,
     platform::{
         BatchCall,
         EngineRequest,
@@ -16,7 +16,7 @@
         Ingress,
         classify,
         credential,
-        forwarded,
+        forwarded_request_headers,
         read_config,
         read_server,
         read_submission, //
@@ -43,7 +43,7 @@
             (Some(1), "b\nc".to_owned(), None),
         ];
         assert_eq!(events, expected, "in steps of {step}");
-        assert!(reader.is_torn());
+        assert!(reader.has_incomplete_event());
     }
 }
 
@@ -77,7 +77,7 @@
             path: "/redwingpond/lots/b1",
         },
         Test {
-            call: Ingress::Unknown,
+            call: Ingress::Malformed,
             method: Method::GET,
             path: "/redwingpond/lots/b1?startAfter=x",
         },
@@ -94,7 +94,7 @@
             path: "/redwingpond/items/b1?id=i2",
         },
         Test {
-            call: Ingress::Unknown,
+            call: Ingress::Malformed,
             method: Method::GET,
             path: "/redwingpond/items/b1",
         },
@@ -133,7 +133,7 @@
     ] {
         headers.append(name, value.parse().unwrap());
     }
-    let on = forwarded(&headers);
+    let on = forwarded_request_headers(&headers);
     let mut names: Vec<&str> = on.keys().map(hyper::header::HeaderName::as_str).collect();
     names.sort_unstable();
     assert_eq!(names, ["host", "x-attempt-id", "x-model"]);
@@ -161,7 +161,7 @@
             headers.append(name("x-api-key"), HeaderValue::from_bytes(&key).unwrap());
             headers.append(name("x-tenant"), claimed.parse().unwrap());
         }
-        let on = forwarded(&headers);
+        let on = forwarded_request_headers(&headers);
         let sent: Vec<(&str, &[u8])> =
             on.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
         prop_assert_eq!(sent, vec![("x-model", &b"m"[..])]);
@@ -185,7 +185,7 @@
             after: None,
             host: "h",
             item: &batch.items[0],
-            left: Millis(5),
+            timeout: Millis(5),
             priority: Some(40),
             server: "s",
             workspace,
@@ -207,11 +207,11 @@
 /// Each workspace has ids of its own, and nobody can name another's batch.
 #[test]
 fn batches_have_names_by_workspace() {
-    let foam = name_of(Some("foam"), "b1").unwrap();
-    assert_ne!(name_of(Some("springs"), "b1"), Some(foam.clone()));
-    assert_eq!(name_of(None, "b1"), Some("b1".to_owned()));
-    assert_eq!(name_of(None, &foam), None);
-    assert_ne!(name_of(Some("springs"), &foam), Some(foam));
+    let foam = stored_name(Some("foam"), "b1").unwrap();
+    assert_ne!(stored_name(Some("springs"), "b1"), Some(foam.clone()));
+    assert_eq!(stored_name(None, "b1"), Some("b1".to_owned()));
+    assert_eq!(stored_name(None, &foam), None);
+    assert_ne!(stored_name(Some("springs"), &foam), Some(foam));
 }
 
 const CONFIG: &str = r#"{"version":7,"unknown":1,"routes":[
