--- a/src/batch/claim.rs
+++ b/src/batch/claim.rs
@@ -1,23 +1,24 @@
-//! Who runs which bundle.
+//! Claims, by which runners divide bundles among themselves, and their heartbeats.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// A runner's word that it runs a bundle. Claims are advice that keeps two
-/// runners from doing the same work; the log alone decides what is listed.
+/// A runner's announcement that it runs a bundle. Claims are advisory: they keep two
+/// runners from doing the same work. Only the log decides whose result is listed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
+    /// The runner's instance; empty for a released claim.
     pub holder: String,
-    /// A second runner that races the holder for a straggling bundle.
+    /// A second runner that runs the same bundle because it is a straggler.
     pub second: Option<String>,
-    /// The holder's life, so that a restarted holder disowns what it had.
+    /// The holder's incarnation: a claim from before the holder's restart is void.
     pub token: u64,
 }
 
 impl Claim {
-    /// The word of a former holder that nobody runs the bundle.
+    /// The claim that a former holder writes to release the bundle.
     pub fn released() -> Self {
         Self {
             holder: String::new(),
@@ -26,40 +27,41 @@
         }
     }
 
-    /// Whether nobody runs the bundle, by its former holder's word.
+    /// Whether the former holder has released the bundle.
     pub fn is_released(&self) -> bool {
         self.holder.is_empty()
     }
 
-    /// Whether `other` is the same claim, perhaps written by another try.
+    /// Whether `other` is the same claim, possibly written by another attempt.
     pub fn is_same_claim(&self, other: &Self) -> bool {
         let fields = |claim: &Self| (claim.holder.clone(), claim.token, claim.second.clone());
         fields(self) == fields(other)
     }
 }
 
-/// A runner's sign of life.
+/// A runner's periodic report to the other runners.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// The version that its engine holds of the model that it serves first.
+    /// The weight version of the home model that the engine has loaded; 0 when none.
     pub held: u64,
-    /// The model that it serves first.
+    /// The runner's home model: the one that it prefers to serve.
     pub home: Option<String>,
-    /// It takes no new bundles.
+    /// Whether the runner is shutting down and claims no new bundles.
     pub leaving: bool,
-    /// It is changing the weights of its engine.
+    /// Whether the engine is loading weights.
     pub loading: bool,
-    /// What its engine takes for an event, in ms; 0 before the first.
+    /// The engine's time per event, in ms; 0 while unknown.
     pub pace: f64,
+    /// Counts the heartbeats of this incarnation.
     pub sequence: u64,
-    /// The service of its engine.
+    /// The service that the engine belongs to.
     pub service: String,
-    /// Whether its engine counts as slower than usual.
+    /// Whether the engine is currently classified as slower than usual.
     pub slower: bool,
-    /// Whether its engine has counted as slower for a while.
+    /// The classification in `slower` that last held for several seconds.
     pub steady: bool,
-    /// Names this life of the runner.
+    /// Identifies the runner's incarnation.
     pub token: u64,
-    /// Whether its engine answers and takes work.
+    /// Whether the engine answers and accepts work.
     pub working: bool,
 }
--- a/src/batch/head.rs
+++ b/src/batch/head.rs
@@ -1,4 +1,4 @@
-//! What is fixed of a batch once it is accepted.
+//! The part of a batch that never changes once the batch is accepted.
 
 use super::{
     Item,
@@ -11,51 +11,56 @@
 };
 use std::collections::HashMap;
 
-/// Where an item is found, and what is needed to plan it.
+/// An item's location in the store, and what runners need to know to plan it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ItemRef {
-    /// The row of [`super::BODIES`] that holds it.
+    /// The number of the chunk (a row of [`super::BODIES`]) that contains the item.
     pub chunk: u16,
-    /// The trainer's estimate of its output tokens; 0 when it gave none.
+    /// The trainer's estimate of the item's output tokens; 0 when there is none.
     pub expected: u32,
     pub id: String,
 }
 
-/// Items of one group that one runner takes together, by their index in the
-/// batch.
+/// Items of one group that one runner claims and runs together.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Bundle {
-    /// The group's place in the submission.
+    /// The group's position in the submission.
     pub group: u16,
+    /// Indices into the batch's items.
     pub items: Vec<u16>,
 }
 
-/// A batch without its items' bodies.
+/// A batch without the content of its items.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
-    /// By the store's clock.
+    /// When the batch was accepted, by the store's clock.
     pub accepted: Millis,
     pub bundles: Vec<Bundle>,
+    /// The host that the submission was addressed to.
     pub host: String,
     pub items: Vec<ItemRef>,
+    /// The oldest weight version that may generate the items' tokens.
     pub least_version: u64,
     pub model: String,
-    /// The groups that its trainer waits for; 0 for all.
+    /// How many groups the trainer waits for; 0 for all.
     pub needed: u16,
+    /// The path that the submission was addressed to.
     pub path: String,
-    /// How urgent its items are; 0 is the most urgent.
+    /// How urgent the items are; 0 is the most urgent.
     pub priority: Option<u32>,
+    /// The trainer's step that the batch is for.
     pub step: u64,
-    /// The workspace that it belongs to; a key that is taken away changes nothing.
+    /// The workspace that owns the batch, also after the key used to submit it was
+    /// revoked.
     pub workspace: Option<String>,
 }
 
-/// The most bytes of items in one row: the store takes 64 KiB, and the encoding
-/// of a chunk adds a little to its items.
+/// The maximum size of the items in one row: the store accepts values of 64 KiB, and
+/// the encoding of a chunk adds a little.
 const MAX_CHUNK_BYTES: usize = 40 * 1024;
 
 impl Head {
-    /// The head of `submission`, and its items dealt into chunks in their order.
+    /// Builds the head of `submission`, and splits its items into chunks in their order.
     pub fn of(submission: &Submission, accepted: Millis) -> (Self, Vec<Vec<Item>>) {
         let mut chunks: Vec<Vec<Item>> = Vec::new();
         let mut remaining_bytes = 0;
@@ -93,9 +98,9 @@
         (head, chunks)
     }
 
-    /// The bundles' numbers, those first whose longest item is expected to be
-    /// the longest. A group counts when its last item is there, so the long ones
-    /// have to begin first.
+    /// The bundles' indices in the order in which the bundles should start: those with
+    /// the longest expected item first. A group is complete only when its last item is
+    /// done, so long items have to start early.
     pub fn bundle_order(&self) -> Vec<u16> {
         let longest = |bundle: &Bundle| {
             let items = bundle.items.iter();
@@ -107,33 +112,33 @@
         order
     }
 
-    /// Whether more groups than its trainer waits for stand before that of `bundle`.
-    /// The trainer takes any groups, but those that were left over from an earlier
-    /// step come first and are waited for.
+    /// Whether all groups that the trainer waits for precede the group of `bundle`. The
+    /// trainer would accept any groups, but it submits those left over from an earlier
+    /// step first, and these must be finished.
     pub fn is_surplus(&self, bundle: &Bundle) -> bool {
         self.needed > 0 && bundle.group >= self.needed
     }
 
-    /// The output tokens that its trainer expects; 0 when it gave no estimates.
+    /// The trainer's estimate of the batch's output tokens; 0 without estimates.
     pub fn expected_tokens(&self) -> u64 {
         let expected = self.items.iter().map(|item| u64::from(item.expected));
         expected.sum()
     }
 
-    /// The index of the item called `id`.
+    /// The index of the item with this id.
     pub fn index_of(&self, id: &str) -> Option<u16> {
         let found = self.items.iter().position(|item| item.id == id);
         found.map(|index| index as u16)
     }
 }
 
-/// The most items in a bundle. Groups of 16 on engines with 6 slots ran in
-/// three turns on one engine while others were idle; reading a shared prompt
-/// of 1,000 tokens once more takes 5 ms.
+/// The maximum number of items in a bundle. Groups of 16 items ran as three rounds on
+/// one engine with 6 slots while other engines were idle. Processing the group's shared
+/// prompt once more costs little: 5 ms for 1,000 tokens.
 const MAX_BUNDLE_ITEMS: usize = 4;
 
-/// The groups in the order of their first items, dealt into bundles of equal
-/// size.
+/// Splits each group into bundles of about equal size; groups are in the order of their
+/// first items.
 fn bundles_of(items: &[Item]) -> Vec<Bundle> {
     let groups = groups_of(items).into_iter().enumerate();
     let bundles = groups.flat_map(|(number, group)| {
@@ -148,6 +153,7 @@
     bundles.collect()
 }
 
+/// The item indices of each group; groups are in the order of their first items.
 fn groups_of(items: &[Item]) -> Vec<Vec<u16>> {
     let mut groups: Vec<Vec<u16>> = Vec::new();
     let mut places: HashMap<&str, usize> = HashMap::new();
@@ -161,6 +167,7 @@
     groups
 }
 
+/// An estimate of an item's encoded size.
 fn estimated_size(item: &Item) -> usize {
     let headers = item
         .headers
--- a/src/batch/item.rs
+++ b/src/batch/item.rs
@@ -1,4 +1,4 @@
-//! Items as they are submitted.
+//! Batches and their items as trainers submit them.
 
 use bytes::Bytes;
 use serde::{
@@ -6,45 +6,53 @@
     Serialize, //
 };
 
-/// The request that judges an item's text.
+/// The request to the scorer of an item's generated text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Scorer {
     pub body: Bytes,
     pub host: String,
+    /// The id of the request.
     pub id: String,
     pub path: String,
 }
 
-/// One generation that a trainer wants.
+/// One generation request of a batch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Item {
     pub body: Bytes,
-    /// The trainer's estimate of its output tokens; 0 when it gave none.
+    /// The trainer's estimate of the output tokens; 0 when there is none.
     pub expected: u32,
-    /// Items of one group share their prompt.
+    /// The name of the item's group; items of one group share their prompt.
     pub group: String,
+    /// The trainer's headers for the request to the engine.
     pub headers: Vec<(String, String)>,
+    /// Unique within the batch; also the id of the request to the engine.
     pub id: String,
+    /// The path of the request to the engine.
     pub path: String,
+    /// `None` for an item whose text is not scored.
     pub scorer: Option<Scorer>,
 }
 
-/// A batch as a trainer hands it in.
+/// A batch as submitted by a trainer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Submission {
+    /// The host that the submission was addressed to.
     pub host: String,
+    /// The name under which the batch is stored; see [`super::stored_name`].
     pub id: String,
     pub items: Vec<Item>,
-    /// The oldest weight version that may generate its tokens.
+    /// The oldest weight version that may generate the items' tokens.
     pub least_version: u64,
     pub model: String,
-    /// The groups that its trainer waits for; 0 for all.
+    /// How many groups the trainer waits for; 0 for all.
     pub needed: u16,
-    /// The path it was submitted under.
+    /// The path that the submission was addressed to.
     pub path: String,
-    /// How urgent its items are; 0 is the most urgent.
+    /// How urgent the items are; 0 is the most urgent.
     pub priority: Option<u32>,
+    /// The trainer's step that the batch is for.
     pub step: u64,
-    /// The workspace that it belongs to.
+    /// The workspace that owns the batch.
     pub workspace: Option<String>,
 }
--- a/src/batch/layout.rs
+++ b/src/batch/layout.rs
@@ -1,39 +1,39 @@
-//! Where a batch lies in the store.
+//! The tables, parts and keys of the store in which batches are kept.
 
 use crate::base::stable_hash;
 
-/// Heads, logs, claims and heartbeats: what every runner follows.
+/// The table of heads, logs, claims and heartbeats; every runner follows its changes.
 pub const WORK: &str = "work";
 
-/// Items with their bodies, in chunks; each row is written once.
+/// The table of items with their bodies, in chunks; each row is written once.
 pub const BODIES: &str = "bodies";
 
-/// What has been generated of long items, by item, so that another
-/// run can go on after it.
+/// The table of [`super::Partial`] outputs of long items, one row for each item.
 pub const PARTIALS: &str = "partials";
 
-/// Results, each written once.
+/// The table of results; each row is written once.
 pub const RESULTS: &str = "results";
 
-/// The parts of [`WORK`] with the runners' heartbeats begin so.
+/// The prefix of the parts of [`WORK`] that contain heartbeats.
 const HEARTBEAT_PART_PREFIX: &str = "heartbeats-";
 
-/// The heartbeats lie in so many parts: one part takes 200 transactions a second, and
-/// 3,300 runners write one each, most of them when they start together.
+/// How many parts the heartbeats are spread over: the store accepts 200 transactions a
+/// second for one part. Each of 3,300 runners writes one a second, and one more after
+/// each change, which comes to most of them when they start together.
 const HEARTBEAT_PART_COUNT: u64 = 64;
 
-/// The part of [`WORK`] with the heartbeat of the runner `instance`.
+/// The part of [`WORK`] that contains the heartbeat of the runner on `instance`.
 pub fn heartbeat_part(instance: &str) -> String {
     let number = stable_hash(&[instance.as_bytes()]) % HEARTBEAT_PART_COUNT;
     format!("{HEARTBEAT_PART_PREFIX}{number:02}")
 }
 
-/// Whether `part` holds heartbeats.
+/// Whether `part` contains heartbeats rather than a batch.
 pub fn is_heartbeat_part(part: &str) -> bool {
     part.starts_with(HEARTBEAT_PART_PREFIX)
 }
 
-/// The part of the batch called `id`.
+/// The part of the batch stored as `id`.
 pub fn batch_part(id: &str) -> String {
     format!("batch-{id}")
 }
@@ -43,16 +43,17 @@
     format!("{index:05}")
 }
 
-/// A row of [`WORK`] in a batch's part.
+/// The key of a row of [`WORK`] in a batch's part.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkKey {
+    /// The claim of the bundle with this index.
     Claim(u16),
     Head,
     Log,
 }
 
 impl WorkKey {
-    /// The row that `key` names.
+    /// Parses the key of a row; `None` for a row that this program does not write.
     pub fn parse(key: &str) -> Option<Self> {
         match key {
             "head" => Some(Self::Head),
--- a/src/batch/log.rs
+++ b/src/batch/log.rs
@@ -1,25 +1,27 @@
-//! The order in which a batch's results were listed.
+//! The log of a batch's results.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// The row that all who list results of a batch contend for.
+/// The order of a batch's results. A result is listed once the log gives it a position;
+/// trainers read results by position. Runners append with a conditional write of this
+/// row, so that one result per item is listed.
 ///
 /// # Invariants
 ///
-/// An item's index stands in `listed` at most once, and `listed` only grows.
+/// `listed` contains an item's index at most once, and only grows.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Log {
-    /// Nothing more need be listed.
+    /// Whether the trainer has ended the batch: no more results are wanted.
     pub ended: bool,
-    /// The indices of the listed items; the place is the result's position.
+    /// The indices of the listed items, by the position of their results.
     pub listed: Vec<u16>,
 }
 
 impl Log {
-    /// Whether the item at `index` is listed.
+    /// Whether a result of the item at `index` is listed.
     pub fn contains(&self, index: u16) -> bool {
         self.listed.contains(&index)
     }
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -1,10 +1,10 @@
-//! Batches of items that are submitted at once, run later, and whose results
-//! are kept in one ordered log.
+//! Batches: items that a trainer submits together, that runners execute later, and
+//! whose results are appended to one ordered log.
 //!
-//! A batch is one part of the store: its head and log in [`WORK`], with the
-//! claims of those who run its groups, its items in [`BODIES`] and its results
-//! in [`RESULTS`]. Head, items and results never change once written; the log
-//! row is the only one that all writers contend for.
+//! All rows of a batch have the same part of the store: its head, its log and the
+//! runners' claims in [`WORK`], its items in [`BODIES`] and its results in [`RESULTS`].
+//! Head, items and results never change once written. The log is the only row that
+//! all writers of a batch contend for.
 
 mod claim;
 mod head;
@@ -40,26 +40,28 @@
     writes::{AcceptTransactions, accept_transactions, append_transaction, chunk_key}, //
 };
 
-/// Encodes a value that the store keeps.
+/// Encodes a value for the store.
 ///
-/// Our own types always encode: the codec fails only on unsized sequences and
-/// on a full buffer, and neither occurs here.
+/// Encoding never fails for the types of this program: the codec fails only on
+/// sequences of unknown length and on a full buffer, and neither occurs here. If it
+/// fails nevertheless, the error is logged and the value is empty.
 pub fn encode<T: serde::Serialize>(value: &T) -> bytes::Bytes {
     match postcard::to_stdvec(value) {
         Ok(bytes) => bytes.into(),
         Err(error) => {
-            tracing::error!(%error, "a value of ours can't be encoded");
+            tracing::error!(%error, "value could not be encoded for the store");
             bytes::Bytes::new()
         }
     }
 }
 
-/// Decodes a value that the store kept; a damaged one is logged and left out.
+/// Decodes a value that was read from the store. A damaged value is logged as an
+/// error, with `what` as its description, and gives `None`.
 pub fn decode<T: serde::de::DeserializeOwned>(what: &str, bytes: &[u8]) -> Option<T> {
     match postcard::from_bytes(bytes) {
         Ok(value) => Some(value),
         Err(error) => {
-            tracing::error!(what, %error, bytes = bytes.len(), "a kept value is not understood");
+            tracing::error!(what, %error, bytes = bytes.len(), "stored value could not be decoded");
             None
         }
     }
--- a/src/batch/name.rs
+++ b/src/batch/name.rs
@@ -1,14 +1,16 @@
-//! The names under which batches lie in the store.
+//! The names under which batches are stored.
 
 use crate::base::stable_hash;
 
-/// Parts a workspace's mark from the id. Ids of batches that belong to nobody don't
-/// contain it, so that nobody can name another's.
+/// Separates the hash of a workspace's name from the batch id. The id of a batch
+/// without a workspace must not contain it, so that no id can name a workspace's batch.
 const WORKSPACE_SEPARATOR: char = '~';
 
-/// The name of the batch that the callers of `workspace` call `id`. Each workspace
-/// has ids of its own: one that uses another's id meets nothing, and learns nothing.
-/// `None` when nobody can have such a batch.
+/// The stored name of the batch that callers of `workspace` refer to as `id`.
+///
+/// Each workspace has its own namespace: a caller that guesses another workspace's id
+/// finds nothing and does not learn whether that batch exists. `None` when there is no
+/// workspace and `id` contains the separator: no such batch can exist.
 pub fn stored_name(workspace: Option<&str>, id: &str) -> Option<String> {
     match workspace {
         Some(workspace) => {
--- a/src/batch/page.rs
+++ b/src/batch/page.rs
@@ -1,4 +1,4 @@
-//! Reading results from a position on.
+//! Reassembles results from the rows of the store.
 
 use super::{
     Sample,
@@ -7,22 +7,22 @@
 use crate::store::Listing;
 use bytes::Bytes;
 
-/// Results from a position on, as whole as they were read.
+/// Consecutive results, starting at the position that was asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
     pub samples: Vec<Sample>,
 }
 
-/// The most bytes of text in one page.
-const MAX_PAGE_BYTES: usize = 700 * 1024;
+/// A page is full once its texts have this size.
+const FULL_PAGE_BYTES: usize = 700 * 1024;
 
-/// Puts the results together that `listing` holds, from `first` on. A result
-/// whose pieces were not all read ends the page.
+/// Reads the results in `listing`, whose first row belongs to the result at position
+/// `first`. The page ends before a result that is damaged or of which pieces are missing.
 pub fn read_page(first: usize, listing: &Listing) -> Page {
     let mut page = Page::default();
     let mut bytes = 0;
     let mut rows = listing.rows.iter().peekable();
-    while rows.peek().is_some() && bytes < MAX_PAGE_BYTES {
+    while rows.peek().is_some() && bytes < FULL_PAGE_BYTES {
         let position = first + page.samples.len();
         let prefix = format!("{position:06}/");
         let mut pieces: Vec<&Bytes> = Vec::new();
@@ -41,6 +41,8 @@
     page
 }
 
+/// Joins the pieces of one encoded result; `None` unless there are as many as the first
+/// byte says.
 fn join_pieces(pieces: &[&Bytes]) -> Option<Vec<u8>> {
     let count = *pieces.first()?.first()?;
     if pieces.len() != usize::from(count) {
--- a/src/batch/sample.rs
+++ b/src/batch/sample.rs
@@ -9,19 +9,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SampleState {
     Succeeded,
-    /// It was given up.
+    /// The item was given up: it has no text and no score.
     Terminated,
 }
 
-/// What a trainer reads of one item.
+/// The result of one item as trainers read it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sample {
     pub id: String,
-    /// The scorer's signature of its answer.
+    /// The signature on the scorer's answer; `None` for an item without a scorer.
     pub score: Option<String>,
     pub state: SampleState,
-    /// The data of all events, joined by line feeds.
+    /// The data of all events, joined by newlines.
     pub text: String,
-    /// All weight versions that generated an event of the text.
+    /// The weight versions that generated the events of the text.
     pub versions: Vec<u64>,
 }
--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -1,4 +1,4 @@
-//! The transactions of a batch.
+//! Builds the transactions that write batches and results.
 
 use super::{
     BODIES,
@@ -19,33 +19,33 @@
 };
 use bytes::Bytes;
 
-/// The writes that accept a batch, in their order.
+/// The transactions that store a new batch, in the order in which they must be done.
 ///
-/// Only the last one makes the batch exist. Chunks that do not fit beside the
-/// head go before it; they are the same whoever writes them, so a repeat or a
-/// race of two submissions changes nothing.
+/// Only the last one, which contains the head, makes the batch exist. Chunks that don't
+/// fit into it are written before. Every attempt writes the same chunks, so a repeated
+/// submission, or two at the same time, changes nothing.
 #[derive(Debug)]
 pub struct AcceptTransactions {
     pub chunks: Vec<Transaction>,
     pub head: Transaction,
 }
 
-/// The most bytes in one transaction: the store takes 1 MB, and the wire form
-/// is a third longer than the values.
+/// The maximum size of a transaction's values: the store accepts requests of 1 MB, and
+/// base64 makes the values a third longer.
 const MAX_TRANSACTION_BYTES: usize = 600 * 1024;
 
-/// The most rows in one transaction; the store takes 100.
+/// The maximum number of rows in a transaction; the store accepts 100.
 const MAX_TRANSACTION_ROWS: usize = 90;
 
-/// The most bytes of a result in one row.
+/// The maximum size of one piece of a result; larger results take several rows.
 const MAX_RESULT_PIECE_BYTES: usize = 44 * 1024;
 
-/// The key of a chunk of items.
+/// The key in [`BODIES`] of the chunk with this number.
 pub fn chunk_key(chunk: u16) -> String {
     format!("{chunk:05}")
 }
 
-/// How `submission` is written to the store.
+/// The transactions that store `submission`, accepted at `now` by the store's clock.
 pub fn accept_transactions(submission: &Submission, now: Millis) -> AcceptTransactions {
     let part = batch_part(&submission.id);
     let (head, items) = Head::of(submission, now);
@@ -55,7 +55,7 @@
         .map(|(index, chunk)| chunk_row(&part, index as u16, chunk))
         .collect();
 
-    // The last few ride with the head; the others go before.
+    // The last transaction takes the remaining chunks that fit beside the head.
     let mut chunks = Vec::new();
     while !fits(&rows) {
         let mut transaction = Transaction::default();
@@ -87,11 +87,11 @@
     }
 }
 
-/// Lists `samples` after what `log` holds at `revision`; returns the new log.
+/// Lists `samples`, given with their items' indices, after the results in `log`.
+/// Returns the new log and the transaction that writes it, which is conditional on the
+/// log's row still having `revision`.
 ///
-/// # Panics
-///
-/// Never: the caller has left out what is listed already.
+/// The caller leaves out items that are listed already.
 pub fn append_transaction(
     id: &str,
     log: &Log,
@@ -125,8 +125,8 @@
     rows.len() <= MAX_TRANSACTION_ROWS && bytes <= MAX_TRANSACTION_BYTES
 }
 
-/// A result's rows: `POSITION/PIECE`, the first byte of each telling how many
-/// pieces there are.
+/// The rows of a result, with keys `POSITION/PIECE`. The first byte of each value is
+/// the number of pieces.
 fn result_rows(part: &str, position: usize, sample: &Sample) -> Vec<(Key, Bytes)> {
     let whole = encode(sample);
     let pieces = whole.chunks(MAX_RESULT_PIECE_BYTES);
