--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -1,4 +1,5 @@
-//! Who is let in, and by which configuration.
+//! Authenticates callers, and finds the routes of their requests, by the operators'
+//! configuration.
 
 use super::reply;
 use crate::{
@@ -19,47 +20,52 @@
 };
 use std::sync::Arc;
 
-/// When a caller is asked to come back while no configuration is known yet:
-/// the store answers in milliseconds once it is reached.
+/// The `Retry-After` of a refusal before the first configuration was read: once the
+/// store is reachable it answers within milliseconds.
 const CONFIG_RETRY_AFTER: Millis = Millis(300);
 
-/// How long the store has to confirm the configuration by which a caller would be
-/// turned away.
+/// How long a request waits for the store to confirm the configuration.
 const CONFIRM_TIMEOUT: Millis = Millis(400);
 
-/// Lets callers in by the configuration in force.
+/// Decides on requests by the configuration in force.
 pub(super) struct AccessControl {
     pub(super) site: Arc<Site>,
 }
 
-/// A caller that is let in, and where to.
+/// An admitted request's route, and the workspace whose key it has.
 pub(super) struct Admitted {
+    /// The configuration by which the request was admitted.
     pub(super) config: Arc<Config>,
     pub(super) route: Arc<Route>,
+    /// `None` for a request that was admitted without a valid key.
     pub(super) workspace: Option<Arc<Workspace>>,
 }
 
-/// What a caller of batches is let in as.
+/// The batches that a caller may access.
 pub(super) enum BatchScope {
-    /// Callers need no key, or this one's is not held by any workspace: it may see
-    /// batches that belong to none.
+    /// Batches that belong to no workspace. `denial` says what is wrong with the
+    /// caller's key, where callers need one.
     Unowned { denial: Option<Denial> },
-    /// It may see its workspace's batches.
+    /// The batches of this workspace, and those that belong to none.
     Workspace(Arc<Workspace>),
 }
 
-/// Why a request is not let in.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Refusal {
+    /// The request has no valid key.
     Denied(Denial),
+    /// No configuration has been read since the gateway's start.
     NoConfig,
+    /// No route matches the request's host and path.
     NoRoute,
-    /// The key may have been taken away, or just have been given.
+    /// The configuration may be outdated: the key or the route may have been added or
+    /// removed since.
     Stale,
 }
 
 impl Refusal {
-    /// What the caller is told.
+    /// The response to the caller.
     pub(super) fn answer(self) -> Answer {
         match self {
             Self::Denied(denial) => denied(denial),
@@ -71,26 +77,27 @@
 }
 
 impl AccessControl {
-    /// Finds the route of a request and the workspace that asks.
+    /// Finds the route of a request and the workspace that its key belongs to.
     pub(super) async fn admit(&self, head: &Parts) -> Result<Admitted, Refusal> {
         let used_key = |admitted: &Admitted| admitted.workspace.is_some();
         let decision = self.decide(|config| resolve(config, head), used_key).await;
         if let Err(refusal @ (Refusal::Denied(_) | Refusal::NoRoute)) = &decision {
             let (host, path) = (host(head), head.uri.path());
             let version = self.site.config().map(|config| config.version);
-            tracing::info!(host, path, version, ?refusal, "turned away");
+            tracing::info!(host, path, version, ?refusal, "request refused");
         }
         decision
     }
 
-    /// Finds out whose batches a caller may see.
+    /// Finds out which batches a caller may access. A denied key is no refusal here: a
+    /// batch without a workspace is accessible with any key.
     pub(super) async fn batch_scope(&self, head: &Parts) -> Result<BatchScope, Refusal> {
         let credential = platform::credential(&head.headers);
-        let reader = |config: &Arc<Config>| {
+        let authenticate = |config: &Arc<Config>| {
             let decision = access::judge(config.workspaces.as_ref(), false, credential);
             decision.map_err(Refusal::Denied)
         };
-        match self.decide(reader, Option::is_some).await {
+        match self.decide(authenticate, Option::is_some).await {
             Ok(Some(workspace)) => Ok(BatchScope::Workspace(workspace)),
             Ok(None) => Ok(BatchScope::Unowned { denial: None }),
             Err(Refusal::Denied(denial)) => Ok(BatchScope::Unowned {
@@ -100,14 +107,15 @@
         }
     }
 
-    /// Judges a request by the configuration in force, and anew by the one that the
-    /// store confirms where that may say otherwise:
+    /// Evaluates a request by the configuration in force. Has the store confirm that the
+    /// configuration is the newest, and evaluates the request again, in two cases:
     ///
-    /// - the configuration is too old, and the caller's key may have been taken away;
-    /// - the caller would be turned away, by a gateway that has just started, woken up
-    ///   or come back from a partition and has not heard of a new key or route.
+    /// - The request would be admitted by a key, but the configuration is too old: the
+    ///   key may have been removed.
+    /// - The request would be refused: a gateway that has just started, resumed or
+    ///   returned from a partition may not know a new key or route yet.
     ///
-    /// `used_key` tells whether a request was let in by a key.
+    /// `used_key` says whether a request was admitted by a key.
     async fn decide<T>(
         &self,
         evaluate: impl Fn(&Arc<Config>) -> Result<T, Refusal>,
@@ -115,8 +123,9 @@
     ) -> Result<T, Refusal> {
         let mut confirmed = !self.site.is_bounded();
         loop {
-            // Looked at first: a configuration that is taken later is no older. A caller
-            // that was judged before a confirmation came in with a key that was gone.
+            // Freshness is read before the configuration, which can only be replaced by a
+            // newer one in between. Read afterwards, a confirmation could arrive between
+            // the two and admit a request by a key that it had removed.
             let was_fresh = self.site.is_fresh();
             let decision = evaluate(&self.current_config()?);
             let is_final = match &decision {
@@ -134,26 +143,26 @@
     fn current_config(&self) -> Result<Arc<Config>, Refusal> {
         let config = self.site.config();
         if config.is_none() {
-            tracing::info!("refused: no configuration yet");
+            tracing::info!("request refused: no configuration yet");
         }
         config.ok_or(Refusal::NoConfig)
     }
 
-    /// Has the store confirm the configuration; a caller isn't kept waiting for a
-    /// store that is known to be away.
+    /// Has the store confirm the configuration. Refuses the request at once while the
+    /// store is known to be unreachable.
     async fn confirm_config(&self) -> Result<(), Refusal> {
         let unreachable_since = self.site.store_away_since();
         if unreachable_since.is_none() && self.site.confirm_anew(CONFIRM_TIMEOUT).await {
             return Ok(());
         }
         let unreachable_ms = unreachable_since.map(|since| self.site.now().since(since).0);
-        tracing::info!(away = ?unreachable_ms, "refused: the configuration is not confirmed");
+        tracing::info!(away = ?unreachable_ms, "request refused: the configuration is not confirmed");
         metrics::counter!("redwing_stale_refusals_total").increment(1);
         Err(Refusal::Stale)
     }
 }
 
-/// The answer to a caller that no workspace knows.
+/// The response to a request without a valid key.
 pub(super) fn denied(denial: Denial) -> Answer {
     metrics::counter!("redwing_denials_total").increment(1);
     let mut answer = reply::status(StatusCode::UNAUTHORIZED, &denial.to_string());
@@ -162,12 +171,13 @@
     answer
 }
 
-/// The host that a request names.
+/// The request's `Host` header; empty when it has none.
 pub(super) fn host(head: &Parts) -> &str {
     let host = head.headers.get("host").and_then(|host| host.to_str().ok());
     host.unwrap_or_default()
 }
 
+/// Finds the route and the workspace of a request in `config`.
 fn resolve(config: &Arc<Config>, head: &Parts) -> Result<Admitted, Refusal> {
     let route = config.route(host(head), head.uri.path());
     let route = route.ok_or(Refusal::NoRoute)?.clone();
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -1,4 +1,4 @@
-//! Batches: submission, results, items' bodies, end.
+//! Answers trainers' calls about batches: submission, results, bodies of items, end.
 
 use super::reply;
 use crate::{
@@ -31,60 +31,61 @@
     sync::{Arc, Mutex, PoisonError}, //
 };
 
-/// Answers trainers from the store.
+/// Answers calls about batches by reading and writing the store.
 pub(super) struct Batches {
     pub(super) clock: Clock,
-    /// Heads that were read: they never change.
+    /// Heads that were read recently, by stored name. A head never changes.
     pub(super) cached_heads: Mutex<HashMap<String, Arc<Head>>>,
     pub(super) site: Arc<Site>,
     pub(super) store: Store,
 }
 
-/// Heads kept in memory; a head of a hundred items is about 4 KB.
+/// The maximum number of heads in memory; the head of 100 items takes about 4 KB.
 const MAX_CACHED_HEADS: usize = 256;
 
-/// How often a waiting reader's results are looked for: a trainer that keeps two
-/// steps under way has less than half a second to spare on each, and one call costs
-/// the store 4 ms of its 2,000 calls a second.
+/// How often the store is polled for results that a trainer waits for. A trainer that
+/// runs two steps at a time has less than half a second to spare on each. One call
+/// costs the store 4 ms, and it serves 2,000 calls a second.
 const RESULTS_POLL_INTERVAL: Millis = Millis(50);
 
-/// The wait before a call to the store is repeated.
+/// The delay before a failed call to the store is repeated.
 const STORE_RETRY_DELAY: Millis = Millis(40);
 
-/// How often a submission that the store turned away is tried before it is
-/// refused; the trainer's next attempt goes to another gateway.
+/// The maximum number of attempts at a write of a submission that the store refuses.
+/// After that the trainer is refused, and its next attempt goes to another gateway.
 const MAX_SUBMIT_ATTEMPTS: u32 = 3;
 
-/// When a trainer is asked to come back while the store is away.
+/// The `Retry-After` of a refusal because of the store.
 const CALLER_RETRY_AFTER: Millis = Millis(400);
 
-/// How long a trainer that names no deadline is kept waiting for its answer.
+/// How long a submission may take, if its own deadline is not earlier.
 const SUBMIT_TIMEOUT: Millis = Millis(4_000);
 
-/// The same when the store has not answered for a while: another gateway may
-/// reach it.
+/// The same during an outage: another gateway may still reach the store.
 const SUBMIT_TIMEOUT_IN_OUTAGE: Millis = Millis(800);
 
-/// How long reading and ending try the store.
+/// How long reads, and the end of a batch, are tried while the store fails.
 const STORE_TIMEOUT: Millis = Millis(1_800);
 
-/// How long they try it when it has not answered for [`OUTAGE_CONFIRMED_AFTER`].
+/// The same during an outage.
 const STORE_TIMEOUT_IN_OUTAGE: Millis = Millis(400);
+
+/// How long the store must have been unreachable for the shorter timeouts to apply.
 const OUTAGE_CONFIRMED_AFTER: Millis = Millis(300);
 
-/// Where a batch comes from.
+/// The origin of a submission.
 #[derive(Clone, Copy)]
 pub(super) struct Submitter<'a> {
     pub(super) host: &'a str,
     pub(super) path: &'a str,
-    /// The workspace's own.
+    /// The priority of the workspace, if it has one.
     pub(super) priority: Option<u32>,
     pub(super) workspace: Option<&'a str>,
 }
 
 impl Batches {
-    /// The name of the batch that the callers of `workspace` call `id`: its own, or
-    /// one that belongs to nobody; `None` when there is none.
+    /// The stored name of the batch that callers of `workspace` refer to as `id`: the
+    /// workspace's own batch, or else one that belongs to no workspace.
     pub(super) async fn find(
         &self,
         workspace: Option<&str>,
@@ -100,7 +101,8 @@
         Ok(None)
     }
 
-    /// Takes a batch: it is in the store, whole, before the answer says so.
+    /// Stores a submitted batch. The response says that it is accepted only once the
+    /// whole batch is stored.
     pub(super) async fn submit(
         &self,
         id: &str,
@@ -118,7 +120,7 @@
                 ..submission
             },
             Err(error) => {
-                tracing::warn!(batch = id, %error, "batch not understood");
+                tracing::warn!(batch = id, %error, "batch refused: invalid submission");
                 return reply::status(StatusCode::BAD_REQUEST, &error.to_string());
             }
         };
@@ -132,7 +134,8 @@
         };
         let deadline = deadline.min(self.clock.now() + limit);
 
-        // The head makes the batch exist; chunks alone are never run.
+        // Chunks alone are never run: whether they were written doesn't matter until the
+        // head makes the batch exist.
         let mut in_doubt = false;
         for chunk in &writes.chunks {
             if let Err(error) = self
@@ -153,24 +156,25 @@
                 reply::status(StatusCode::ACCEPTED, "accepted")
             }
             Ok(Outcome::Conflict { .. }) => {
-                tracing::info!(batch = id, step, model, "batch accepted before");
+                tracing::info!(batch = id, step, model, "batch was accepted before");
                 reply::status(StatusCode::ACCEPTED, "accepted before")
             }
             Err(error) if in_doubt => {
-                // The write may still be done: no refusal would be true.
-                tracing::warn!(batch = id, step, model, %error, "batch in doubt");
+                // The write may still take effect: a refusal would say that it won't.
+                tracing::warn!(batch = id, step, model, %error, "batch may have been accepted");
                 reply::status(StatusCode::GATEWAY_TIMEOUT, "it may have been accepted")
             }
             Err(error) => {
-                tracing::warn!(batch = id, step, model, %error, "batch refused");
+                tracing::warn!(batch = id, step, model, %error, "batch refused: its head was not stored");
                 reply::refusal(CALLER_RETRY_AFTER, "the store did not take the batch")
             }
         }
     }
 
-    /// Repeats a write until its outcome is known or its time is over; sets
-    /// `in_doubt` when it may yet be done. All writes here may be repeated: they
-    /// write the same, or are conditional on what they themselves change.
+    /// Repeats a write until its outcome is known or `deadline` is near. Sets `in_doubt`
+    /// when a failed attempt may have taken effect, or may still do so. All writes here
+    /// are safe to repeat: they write the same rows again, or are conditional on a row
+    /// that they change.
     async fn write_with_retries(
         &self,
         transaction: &Transaction,
@@ -193,15 +197,15 @@
         }
     }
 
-    /// The results from position `from` on; waits up to `wait` for the first.
+    /// Answers with the results from position `from` on; waits up to `wait` for the first.
     pub(super) async fn results(&self, id: &str, from: usize, wait: Millis) -> Answer {
         let deadline = self.clock.now() + wait;
         loop {
             let (total, page) = match self.read_results(id, from).await {
                 Ok(Some(found)) => found,
                 Ok(None) => return unknown_batch(id),
-                // A reader that waits anyway gets what comes with the store's return;
-                // one that is sent away asks again half a second later.
+                // A waiting trainer gets the results as soon as the store recovers; one
+                // that is refused asks again only half a second later.
                 Err(_) if self.clock.now() < deadline => continue,
                 Err(error) => return store_unreachable(id, &error),
             };
@@ -215,6 +219,8 @@
         }
     }
 
+    /// Reads the results from position `from` on, and the batch's number of items;
+    /// `None` when the batch does not exist.
     async fn read_results(
         &self,
         id: &str,
@@ -230,7 +236,7 @@
         Ok(Some((head.items.len(), page)))
     }
 
-    /// The body of one item.
+    /// Answers with the request body of one item.
     pub(super) async fn item_body(&self, id: &str, item: &str) -> Answer {
         let head = match self.read_head(id).await {
             Ok(Some(head)) => head,
@@ -238,7 +244,7 @@
             Err(error) => return store_unreachable(id, &error),
         };
         let Some(index) = head.index_of(item) else {
-            tracing::info!(batch = id, item, "no such item");
+            tracing::info!(batch = id, item, "item not found");
             return reply::status(StatusCode::NOT_FOUND, "no such item");
         };
         let key = Key::new(
@@ -256,13 +262,13 @@
         match found {
             Some(item) => reply::bytes(item.body),
             None => {
-                tracing::error!(batch = id, item, "an item of the head is not in its chunk");
+                tracing::error!(batch = id, item, "item is missing from its chunk");
                 reply::refusal(CALLER_RETRY_AFTER, "the item can't be read")
             }
         }
     }
 
-    /// Ends a batch; repeating it changes nothing.
+    /// Ends a batch: no more of its items are run. Idempotent.
     pub(super) async fn end(&self, id: &str) -> Answer {
         let key = Key::new(WORK, batch_part(id), WorkKey::Log.to_string());
         let deadline = self.clock.now() + STORE_TIMEOUT;
@@ -291,8 +297,8 @@
                     tracing::info!(batch = id, listed, "batch ended by its trainer");
                     return reply::status(StatusCode::OK, "ended");
                 }
-                // Someone listed results in between, or the answer is lost:
-                // reading again tells.
+                // A runner listed results in between, or an earlier attempt succeeded and
+                // its answer was lost: the next read shows which.
                 Ok(Outcome::Conflict { .. }) => {}
                 Err(error) if self.clock.now() >= deadline => return store_unreachable(id, &error),
                 Err(_) => tokio::time::sleep(STORE_RETRY_DELAY.as_duration()).await,
@@ -300,6 +306,8 @@
         }
     }
 
+    /// Reads a batch's head, from memory if it is there; `None` when the batch does not
+    /// exist.
     async fn read_head(&self, id: &str) -> Result<Option<Arc<Head>>, StoreError> {
         let known = self.cached_heads().get(id).cloned();
         if known.is_some() {
@@ -329,8 +337,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long the store is tried: a gateway that has not reached it for a
-    /// while says so soon, as another gateway may reach it.
+    /// How long a read is tried. A gateway that has not reached the store for a while
+    /// refuses soon, as another gateway may reach it.
     fn store_timeout(&self) -> Millis {
         let now = self.clock.now();
         let unreachable_since = self.site.store_away_since();
@@ -340,7 +348,7 @@
         }
     }
 
-    /// Repeats a read a few times while the store does not answer.
+    /// Repeats a read that fails until [`Self::store_timeout`] is over.
     async fn with_retries<T, F>(&self, read: impl Fn() -> F) -> Result<T, StoreError>
     where
         F: Future<Output = Result<T, StoreError>>,
@@ -363,13 +371,14 @@
     }
 }
 
-/// The answer while the store can't be asked about the batch called `id`.
+/// The response to a call about batch `id` that failed because of the store.
 pub(super) fn store_unreachable(id: &str, error: &StoreError) -> Answer {
-    tracing::warn!(batch = id, %error, "refused: the store can't be asked");
+    tracing::warn!(batch = id, %error, "request refused: the store can't be reached");
     reply::refusal(CALLER_RETRY_AFTER, "the store can't be asked")
 }
 
+/// The response to a call about a batch that does not exist.
 fn unknown_batch(id: &str) -> Answer {
-    tracing::info!(batch = id, "no such batch");
+    tracing::info!(batch = id, "batch not found");
     reply::status(StatusCode::NOT_FOUND, "no such batch")
 }
--- a/src/gateway/buffered.rs
+++ b/src/gateway/buffered.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is handed on whole.
+//! Calls whose response is read whole from the backend server before it is forwarded.
 
 use super::reply;
 use crate::{
@@ -8,7 +8,7 @@
 };
 use hyper::StatusCode;
 
-/// Runs `call`, which arrived at `arrived`, and answers its caller.
+/// Runs `call`, which arrived at `arrived`, and returns the response to its caller.
 pub(super) async fn answer(caller: &Caller, call: &Call, arrived: Millis) -> Answer {
     let end = caller.run(call).await;
     let taken = caller.clock().now().since(arrived).0;
@@ -16,11 +16,17 @@
     match end {
         CallEnd::Answered { answer, .. } => {
             let status = answer.status.as_u16();
-            tracing::info!(call = id, route, status, taken, "answered");
+            tracing::info!(call = id, route, status, taken, "call answered");
             reply::from_server(answer)
         }
         CallEnd::Lost { reason, .. } => {
-            tracing::warn!(call = id, route, reason, taken, "lost: it may have run");
+            tracing::warn!(
+                call = id,
+                route,
+                reason,
+                taken,
+                "answer lost: the call may have run"
+            );
             reply::status(StatusCode::BAD_GATEWAY, "the answer is lost")
         }
         CallEnd::NotRun { reason, wait } => {
@@ -30,12 +36,12 @@
                 reason,
                 taken,
                 wait = wait.0,
-                "refused: it did not run"
+                "call refused: it did not run"
             );
             reply::refusal(wait, "no server took the request")
         }
         CallEnd::TimedOut => {
-            tracing::warn!(call = id, route, taken, "timed out: it may have run");
+            tracing::warn!(call = id, route, taken, "call timed out: it may have run");
             reply::status(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
         }
     }
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Dispatches callers' requests and answers them.
 
 use super::{
     access::{self, AccessControl, Admitted, BatchScope},
@@ -29,7 +29,7 @@
 };
 use std::sync::Arc;
 
-/// Answers callers.
+/// Answers all requests that arrive at the callers' listener.
 pub(super) struct Frontend {
     pub(super) batches: Batches,
     pub(super) caller: Arc<Caller>,
@@ -38,8 +38,8 @@
 }
 
 impl Frontend {
-    /// Answers one request. While the program drains, the caller is told to
-    /// use another connection for the next.
+    /// Answers one request. While the program drains, the response asks the caller to
+    /// close the connection.
     pub(super) async fn answer(&self, context: &Context, request: Request<Incoming>) -> Answer {
         let started = self.clock.micros();
         let mut answer = self.dispatch(request).await;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Answers a call about a batch. Its workspace's callers alone see it; others
-    /// don't learn whether it exists.
+    /// Answers a call about a batch that was submitted before. Callers of other
+    /// workspaces don't learn whether it exists.
     async fn answer_batch_call(&self, head: &Parts, id: &str, call: BatchCall) -> Answer {
         let scope = match self.access.batch_scope(head).await {
             Ok(scope) => scope,
@@ -82,7 +82,7 @@
                     batch = id,
                     workspace,
                     ?denial,
-                    "no such batch for this caller"
+                    "batch not found for this caller"
                 );
                 return match denial {
                     Some(denial) => access::denied(denial),
@@ -98,6 +98,7 @@
         }
     }
 
+    /// Answers a request by its route: stores a batch, or calls a backend server.
     async fn answer_routed(&self, arrived: Millis, head: Parts, body: Incoming) -> Answer {
         let Admitted {
             config,
@@ -163,8 +164,9 @@
     }
 }
 
-/// What tells this caller from others that ask the same; a new key doesn't make it
-/// another one.
+/// The part of the request's fingerprint that distinguishes callers with the same
+/// request: the workspace's name, so that it survives a change of keys, or else the
+/// `Authorization` header.
 fn caller_identity<'a>(workspace: Option<&'a Workspace>, head: &'a Parts) -> &'a [u8] {
     match workspace {
         Some(workspace) => workspace.name.as_bytes(),
@@ -172,8 +174,7 @@
     }
 }
 
-/// When the request is given up: at its caller's deadline or its route's
-/// timeout, whichever comes first.
+/// The request's deadline: its caller's or its route's timeout, whichever ends first.
 fn deadline_of(arrived: Millis, route: &Route, head: &Parts) -> Millis {
     let route_end = arrived + route.timeout;
     match platform::caller_timeout(&head.headers) {
@@ -182,6 +183,7 @@
     }
 }
 
+/// Reads a request's body of at most `limit` bytes, or answers the caller.
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Answer> {
     match Limited::new(body, limit).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
@@ -190,7 +192,7 @@
             Err(reply::status(status, "the body is too large"))
         }
         Err(error) => {
-            tracing::debug!(%error, "a request's body was not read");
+            tracing::debug!(%error, "request body could not be read");
             Err(reply::status(StatusCode::BAD_REQUEST, "the body broke off"))
         }
     }
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -1,4 +1,4 @@
-//! A running gateway.
+//! Starts a gateway and keeps it running.
 
 use super::{
     access::AccessControl,
@@ -22,28 +22,31 @@
     sync::{Arc, Mutex}, //
 };
 
-/// A running `redwing-gateway`; dropping it ends it.
+/// A running `redwing-gateway`; dropping it stops it.
 pub struct Gateway {
+    /// The address for callers and trainers.
     pub callers: SocketAddr,
     pub handle: Handle,
+    /// The address of the metrics endpoint.
     pub metrics: SocketAddr,
+    /// The address of the readiness check.
     pub ready: SocketAddr,
 }
 
-/// How long a draining gateway goes on taking connections: the balancer asks
-/// every second and takes a gateway out after two misses.
+/// How long a draining gateway still accepts connections: the balancer checks every
+/// second and removes a gateway after two failed checks.
 const DRAIN_ACCEPT_TIME: Millis = Millis(3_000);
 
-/// The idle time after which a caller's connection is closed. Callers reuse
-/// connections for up to four fifths of the configured idle time; the longest
-/// that the users' pages name is 15 s.
+/// How long a caller's connection may stay idle, or a request's head take to arrive.
+/// Callers reuse a connection for up to four fifths of the configured idle time, which
+/// is 15 s at most according to the users' documentation.
 const CALLER_IDLE_TIMEOUT: Millis = Millis(20_000);
 
-/// The bytes of a request's head; the users' limit is 16 KiB.
+/// The maximum size of a request's head; the users' own limit is 16 KiB.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 impl Gateway {
-    /// Starts a gateway.
+    /// Binds the gateway's listeners and starts its tasks.
     pub fn open(settings: GatewaySettings) -> Result<Self, DutyError> {
         let common = &settings.common;
         let mut handle = Handle::open(common.stop_bound())?;
@@ -62,7 +65,7 @@
             version = env!("CARGO_PKG_VERSION"),
             callers = %addresses.0,
             store = %common.store,
-            "gateway up"
+            "gateway started"
         );
 
         let clock = Clock::open();
@@ -123,7 +126,7 @@
                 async move { frontend.answer(&context, request).await }
             };
             callers.serve(&context, DRAIN_ACCEPT_TIME, handler).await;
-            tracing::info!("callers drained");
+            tracing::info!("callers' requests drained");
             context.drained();
         };
         handle.add(duty::spawn("callers", &supervisor, serve)?);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,5 +1,7 @@
-//! The program that callers and trainers talk to: it answers calls by the
-//! operators' routes, takes batches into the store and reads their results.
+//! The gateway: the program that callers and trainers connect to.
+//!
+//! It forwards calls to backend servers by the operators' routes, stores the batches
+//! that trainers submit, and serves the batches' results.
 
 mod access;
 mod batches;
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -1,16 +1,17 @@
-//! Whether this gateway should get new connections.
+//! The gateway's readiness check, by which the balancer selects gateways.
 
 use crate::{
     base::Millis,
     view::{Crashes, Site}, //
 };
 
-/// A gateway without the store can't take batches; others may still reach it.
-/// After this long without the store it lets the balancer choose those. When
-/// none reaches the store the balancer uses all gateways anyway.
+/// How long the store may be unreachable before the gateway reports that it is not
+/// ready. It can't accept batches then, but other gateways may still reach the store.
+/// When no gateway is ready, the balancer uses all of them.
 const STORE_UNREACHABLE_LIMIT: Millis = Millis(1_500);
 
-/// Whether the gateway knows enough to serve, and reaches the store.
+/// Whether the gateway has read the configuration, the servers and the crashes, and
+/// the store has not been unreachable for too long.
 pub(super) fn is_ready(site: &Site, crashes: &Crashes, now: Millis) -> bool {
     let has_state = site.config().is_some() && site.servers_listed() && crashes.are_listed();
     let unreachable_since = site.store_away_since();
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Builds the responses to callers.
 
 use crate::{
     base::Millis,
@@ -17,18 +17,18 @@
     header::{HeaderValue, RETRY_AFTER}, //
 };
 
-/// A short text with a status.
+/// A response with this status and one line of plain text.
 pub(super) fn status(status: StatusCode, text: &str) -> Answer {
     crate::duty::text(status, "text/plain", format!("{text}\n"))
 }
 
-/// A body in JSON.
+/// A successful response with a JSON body.
 pub(super) fn json(body: Bytes) -> Answer {
     crate::duty::text(StatusCode::OK, "application/json", body)
 }
 
-/// A refusal: the request has not run and never will. The caller is told when
-/// it is worth asking again.
+/// The response to a request that has not run and never will: status 503, with `wait`
+/// as its `Retry-After` in fractional seconds.
 pub(super) fn refusal(wait: Millis, text: &str) -> Answer {
     let mut answer = status(StatusCode::SERVICE_UNAVAILABLE, text);
     let seconds = format!("{}.{:03}", wait.0 / 1_000, wait.0 % 1_000);
@@ -38,7 +38,7 @@
     answer
 }
 
-/// A server's whole answer, unchanged but for what concerns one connection.
+/// The response of a backend server, without the headers that are not forwarded.
 pub(super) fn from_server(answer: net::Answer) -> Answer {
     let body = Full::new(answer.body).map_err(|never| match never {});
     let mut reply = Response::new(body.boxed_unsync());
@@ -47,7 +47,7 @@
     reply
 }
 
-/// Bytes of an item.
+/// A successful response with a binary body.
 pub(super) fn bytes(body: Bytes) -> Answer {
     crate::duty::text(StatusCode::OK, "application/octet-stream", body)
 }
--- a/src/gateway/streams.rs
+++ b/src/gateway/streams.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is handed on while it arrives.
+//! Calls whose response is forwarded while it arrives from the backend server.
 
 use super::reply;
 use crate::{
@@ -19,13 +19,14 @@
 };
 use std::sync::Arc;
 
-/// Runs `call` and answers its caller with the server's events as they come.
+/// Runs `call`, and returns a response that streams the backend server's body until the
+/// call's deadline.
 pub(super) async fn answer(caller: &Arc<Caller>, call: Call) -> Answer {
     let until = call.until;
     let (opened, watched) = match caller.open_stream(&call).await {
         StreamEnd::Opened(opened, watched) => (opened, watched),
         StreamEnd::Lost { reason } => {
-            tracing::warn!(call = call.id, reason, "stream lost: it may have run");
+            tracing::warn!(call = call.id, reason, "stream lost: the call may have run");
             return reply::status(StatusCode::BAD_GATEWAY, "the answer is lost");
         }
         StreamEnd::NotRun { reason, wait } => {
@@ -33,7 +34,7 @@
                 call = call.id,
                 reason,
                 wait = wait.0,
-                "refused: it did not run"
+                "stream refused: the call did not run"
             );
             return reply::refusal(wait, "no server took the request");
         }
@@ -61,9 +62,9 @@
                     None
                 }
                 Err(error) => {
-                    // The caller's connection is cut, so that nobody takes a
-                    // part for the whole.
-                    tracing::warn!(call = id, %error, "stream broke off");
+                    // The error closes the caller's connection, so that the caller
+                    // does not take a partial body for a complete one.
+                    tracing::warn!(call = id, %error, "stream from backend server broke off");
                     watched.failed(&error).await;
                     Some((Err(std::io::Error::other(error)), None))
                 }
