--- a/src/platform/batch_calls.rs
+++ b/src/platform/batch_calls.rs
@@ -1,4 +1,5 @@
-//! Batches as trainers submit them, and pages of results as they read them.
+//! Decodes the batches that trainers submit, and encodes the pages of results that they
+//! read.
 
 use crate::batch::{
     Item,
@@ -26,7 +27,7 @@
     HashSet, //
 };
 
-/// A submission is not understood.
+/// Why a submitted batch is refused; the trainer gets the text.
 #[derive(Debug, Snafu)]
 pub enum SubmissionError {
     #[snafu(display("item `{item}`: a body is not base64: {source}"))]
@@ -79,17 +80,18 @@
     path: String,
 }
 
-/// The header with the trainer's estimate of an item's output tokens.
+/// The item's header with the trainer's estimate of the output tokens.
 const LENGTH_HINT: &str = "x-length-hint";
 
-/// Item indices are kept in 16 bits.
+/// The maximum number of items in a batch: indices of items have 16 bits.
 const MAX_ITEMS: usize = u16::MAX as usize;
 
-/// Decodes a batch called `id` that came for `host` under `path`.
+/// Decodes a batch with the stored name `id` that was sent to `host` and `path`. Its
+/// priority and workspace are left for the caller to set.
 ///
 /// # Errors
 ///
-/// [`SubmissionError`], which tells what is wrong with it.
+/// [`SubmissionError`] when the body is invalid.
 pub fn read_submission(
     id: &str,
     host: &str,
@@ -155,9 +157,10 @@
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct WirePage<'a> {
-    /// The position after the last of `results`.
+    /// The position after the last result of the page.
     next_page_token: usize,
     results: Vec<WireResult<'a>>,
+    /// The number of items in the batch.
     total_count: usize,
 }
 
@@ -171,7 +174,7 @@
     versions: &'a [u64],
 }
 
-/// Encodes the results from position `from` of a batch of `total` items.
+/// Encodes a page that starts at position `from`, of a batch of `total` items.
 pub fn write_page(from: usize, total: usize, page: &Page) -> Bytes {
     let results = page.samples.iter().map(|sample| WireResult {
         id: &sample.id,
@@ -191,7 +194,7 @@
     match serde_json::to_vec(&wire) {
         Ok(body) => body.into(),
         Err(error) => {
-            tracing::error!(%error, "a page of results can't be encoded");
+            tracing::error!(%error, "page of results could not be encoded");
             Bytes::new()
         }
     }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as the store holds it.
+//! Decodes the operators' configuration, and the weight versions that trainers name.
 
 use crate::{
     base::Millis,
@@ -12,10 +12,10 @@
     Snafu, //
 };
 
-/// A configuration is not understood.
+/// Why a configuration can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum ConfigError {
-    #[snafu(display("the configuration is not understood: {source}"))]
+    #[snafu(display("invalid configuration: {source}"))]
     Syntax { source: serde_json::Error },
     #[snafu(display("route `{route}` has the unknown type `{found}`"))]
     UnknownType { route: String, found: String },
@@ -26,7 +26,7 @@
     limits: WireLimits,
     routes: Vec<WireRoute>,
     services: Vec<WireService>,
-    /// The workspaces; left out where callers need no key.
+    /// The workspaces; absent when callers need no key.
     #[serde(default)]
     tenants: Option<Vec<WireTenant>>,
     version: u64,
@@ -57,7 +57,6 @@
     #[serde(default)]
     allow_anonymous: bool,
     host: String,
-    /// Seconds.
     #[serde(default)]
     item_ttl_s: f64,
     #[serde(default)]
@@ -105,18 +104,20 @@
     name: String,
 }
 
-/// A route that names no timeout gets this one: the longest that the users'
-/// pages give a caller.
+/// The timeout of a route that names none: the longest that the users' documentation
+/// gives a caller.
 const DEFAULT_TIMEOUT_MS: f64 = 30_000.0;
 
-/// Split weights may be fractions; this many steps make up one.
+/// Weights of a traffic split may be fractional; they are scaled by this and truncated
+/// to integers.
 const WEIGHT_SCALE: f64 = 1_000.0;
 
 /// Decodes a configuration.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] when it lacks a field or names an unknown kind of route.
+/// [`ConfigError`] when a field is missing or has the wrong type, or when a route's type
+/// is unknown.
 pub fn read_config(value: &[u8]) -> Result<Config, ConfigError> {
     let wire: WireConfig = serde_json::from_slice(value).context(SyntaxSnafu)?;
     let routes: Result<Vec<Route>, ConfigError> = wire.routes.into_iter().map(route).collect();
@@ -201,19 +202,20 @@
     Millis(value.max(0.0) as u64)
 }
 
-/// A trainer's word that a weight version exists.
+/// A trainer's announcement that a weight version of a model exists.
 #[derive(Debug, Deserialize)]
 pub struct NamedVersion {
     pub model: String,
     pub version: u64,
 }
 
-/// Decodes the version that a trainer named.
+/// Decodes a trainer's announcement of a weight version. An invalid one is logged and
+/// gives `None`.
 pub fn read_named_version(value: &[u8]) -> Option<NamedVersion> {
     match serde_json::from_slice(value) {
         Ok(named) => Some(named),
         Err(error) => {
-            tracing::warn!(%error, "a named version is not understood");
+            tracing::warn!(%error, "named weight version could not be decoded");
             None
         }
     }
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine is asked: its report, orders for weights, and generations.
+//! Requests to engines: reports, orders to load weights, and generations.
 
 use super::{
     names::{self, ATTEMPT_ID, set_header},
@@ -27,24 +27,25 @@
     Serialize, //
 };
 
-/// The weight version under which an answer began.
+/// The response header with the weight version at the start of the stream.
 const INITIAL_WEIGHT_VERSION: HeaderName = HeaderName::from_static("x-weight-versions");
 
-/// The field of an event at which the weight version changes.
+/// The field of an event with the weight version from that event on.
 const EVENT_VERSION_FIELD: &str = "x-weight-versions";
 
-/// The last event that the caller has.
+/// The id of the last event that the sender has received.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// What an engine says of itself.
+/// An engine's report of its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// When the engine's present life began; 0 where engines don't tell.
+    /// When the engine started; 0 on platforms that don't report it.
     pub born: Millis,
-    /// It is carrying out an order.
+    /// Whether the engine is carrying out an order.
     pub busy: bool,
-    /// The orders that it has accepted in this life.
+    /// How many orders the engine has accepted since it started.
     pub accepted_orders: u64,
+    /// The weight version of each loaded model.
     pub weights: Vec<Weights>,
 }
 
@@ -61,21 +62,24 @@
     sequence: u64,
 }
 
-/// Asks for an engine's report.
+/// Builds the request for an engine's report.
 pub fn report_request() -> Request<Full<Bytes>> {
     json_request(Method::GET, "/redwingpond/report", Bytes::new())
 }
 
-/// Decodes an engine's report.
+/// Decodes an engine's report; `None` for any other response.
 pub fn read_report(answer: &Answer) -> Option<EngineReport> {
     if answer.status != StatusCode::OK {
-        tracing::debug!(status = answer.status.as_u16(), "no report");
+        tracing::debug!(
+            status = answer.status.as_u16(),
+            "engine did not send a report"
+        );
         return None;
     }
     let wire: WireReport = match serde_json::from_slice(&answer.body) {
         Ok(wire) => wire,
         Err(error) => {
-            tracing::warn!(%error, "a report is not understood");
+            tracing::warn!(%error, "engine report could not be decoded");
             return None;
         }
     };
@@ -87,19 +91,20 @@
     })
 }
 
-/// An order to take a weight version.
+/// An order to load a weight version.
 #[derive(Clone, Debug)]
 pub struct VersionOrder<'a> {
-    /// The number under which the holder orders; it never falls.
+    /// The fencing token of the instance that orders; it never decreases.
     pub fence: u64,
+    /// The instance that orders.
     pub holder: &'a str,
-    /// Let runs finish under the version that they began with.
+    /// Whether running requests finish under their version before the weights change.
     pub finish_runs: bool,
     pub model: &'a str,
-    /// The orders that the engine must have accepted so far; a late copy of
-    /// this order then finds another number and does nothing.
+    /// How many orders the engine must have accepted so far. A delayed duplicate of this
+    /// order then finds another number and has no effect.
     pub expected_orders: u64,
-    /// The engine's life.
+    /// The engine's server id.
     pub server: &'a str,
     pub version: u64,
 }
@@ -107,7 +112,7 @@
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct WireOrder<'a> {
-    /// The orders that the engine must have accepted so far.
+    /// How many orders the engine must have accepted so far.
     expected_rev: u64,
     fencing_token: u64,
     holder: &'a str,
@@ -117,20 +122,20 @@
     version: u64,
 }
 
-/// What an engine made of an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The engine is carrying out the order.
     Accepted,
-    /// Another is being carried out, or others came before.
+    /// The engine is carrying out another order, or has accepted others before.
     Conflict,
-    /// It holds already.
+    /// The engine has loaded the version already.
     Holds,
-    /// It can't be carried out, or another engine has the address.
+    /// The order can't be carried out, or another engine has the address.
     Refused,
 }
 
-/// The call that gives `order`.
+/// Builds the request that sends `order`.
 pub fn order_request(order: &VersionOrder<'_>) -> Request<Full<Bytes>> {
     let wire = WireOrder {
         expected_rev: order.expected_orders,
@@ -145,7 +150,7 @@
         version: order.version,
     };
     let body = serde_json::to_vec(&wire).unwrap_or_else(|error| {
-        tracing::error!(%error, "an order can't be encoded");
+        tracing::error!(%error, "order could not be encoded");
         Vec::new()
     });
     let mut request = json_request(Method::POST, "/redwingpond/order", body.into());
@@ -153,7 +158,7 @@
     request
 }
 
-/// What the engine's answer to an order says.
+/// Decodes the engine's answer to an order.
 pub fn read_order_answer(answer: &Answer) -> OrderAnswer {
     match answer.status.as_u16() {
         200 => OrderAnswer::Holds,
@@ -163,24 +168,26 @@
     }
 }
 
-/// One run of an item at an engine.
+/// A generation request for one run of an item.
 #[derive(Clone, Debug)]
 pub struct EngineRequest<'a> {
-    /// The last event that earlier runs brought, to go on after it.
+    /// The id of the last event from earlier runs; this run resumes after it.
     pub after: Option<u64>,
     pub host: &'a str,
     pub item: &'a Item,
+    /// How long the response is waited for.
     pub timeout: Millis,
-    /// How urgent it is; 0 is the most urgent.
+    /// How urgent the item is; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// The engine's life.
+    /// The engine's server id.
     pub server: &'a str,
-    /// The workspace whose batch it belongs to.
+    /// The workspace that owns the batch.
     pub workspace: Option<&'a str>,
 }
 
 impl EngineRequest<'_> {
-    /// The call that runs the item.
+    /// Builds the HTTP request: first the item's own headers, then those that this program
+    /// sets.
     pub fn build(&self) -> Request<Full<Bytes>> {
         let mut request = json_request(Method::POST, &self.item.path, self.item.body.clone());
         let headers = request.headers_mut();
@@ -200,36 +207,38 @@
     }
 }
 
-/// The version under which an answer began.
+/// The weight version at the start of the stream; `None` if the response doesn't say.
 pub fn initial_weight_version(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(INITIAL_WEIGHT_VERSION)?.to_str().ok()?;
     value.trim().parse().ok()
 }
 
-/// One whole event of a stream.
+/// A complete event of a stream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Event {
     pub data: String,
     pub id: Option<u64>,
-    /// The weight version from this event on.
+    /// The weight version from this event on, if it changes.
     pub version: Option<u64>,
 }
 
-/// Cuts a stream into events. The weight version stands in a field of its own,
-/// which common parsers of such streams leave out. An event counts once its blank line is there, so
-/// a stream that breaks off within one leaves that event out.
+/// Parses a stream of server-sent events.
+///
+/// The weight version is in a field that is not part of the standard, which common
+/// parsers drop. An event is complete once its blank line has arrived: the last event
+/// of a stream that breaks off before that is left out.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: BytesMut,
 }
 
 impl EventReader {
-    /// Takes the next bytes of the stream.
+    /// Appends the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.buffer.windows(2).position(|two| two == b"\n\n")?;
         let block = self.buffer.split_to(end + 2);
@@ -250,18 +259,19 @@
         Some(event)
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Whether bytes of an incomplete event are left.
     pub fn has_incomplete_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
+/// A request with a JSON body.
 fn json_request(method: Method, path: &str, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
     match path.parse() {
         Ok(uri) => *request.uri_mut() = uri,
-        Err(error) => tracing::error!(path, %error, "not a path"),
+        Err(error) => tracing::error!(path, %error, "invalid request path"),
     }
     request
         .headers_mut()
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -1,4 +1,4 @@
-//! Which of the callers' calls a request is.
+//! Classifies the requests that callers and trainers send to a gateway.
 
 use crate::base::Millis;
 use hyper::{
@@ -7,33 +7,36 @@
     Uri, //
 };
 
-/// A caller's call, by method and path.
+/// The kind of an incoming request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Ingress {
-    /// It is about a batch that was submitted before.
+    /// A call about a batch that was submitted before.
     Batch { batch: String, call: BatchCall },
-    /// Anything else goes by the operators' routes.
+    /// A request that is answered by the operators' routes.
     Routed,
-    /// A call of ours that is malformed.
+    /// A request under this product's path prefix that is none of its calls.
     Malformed,
 }
 
-/// What is asked about a batch.
+/// A call about a batch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BatchCall {
-    /// To end it.
+    /// End the batch.
     End,
-    /// The body of an item that is not listed yet.
+    /// Get the body of the item with this id.
     ItemBody { item: String },
-    /// Results from a position on, waited for at most `wait`.
+    /// Get results from position `from` on; wait for the first for at most `wait`.
     Results { from: usize, wait: Millis },
 }
 
+/// The path prefix of calls about a batch, followed by its id.
 const BATCHES_PREFIX: &str = "/redwingpond/lots/";
+/// The path prefix of calls for the body of an item, followed by its batch's id.
 const ITEMS_PREFIX: &str = "/redwingpond/items/";
+/// The path prefix that the platform reserves for this product.
 const PRODUCT_PREFIX: &str = "/redwingpond/";
 
-/// Which call a request is.
+/// Classifies a request by its method, path, query and headers.
 pub fn classify(method: &Method, uri: &Uri, headers: &HeaderMap) -> Ingress {
     let path = uri.path();
     if let Some(batch) = path.strip_prefix(BATCHES_PREFIX) {
@@ -83,6 +86,7 @@
     }
 }
 
+/// The value of the query parameter `name`, not percent-decoded.
 fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,7 +1,8 @@
-//! The users' platform: its names, headers, calls and bodies.
+//! The wire formats of the users' platform: header names, calls and bodies.
 //!
-//! Only this folder knows them. Each file translates one kind of message into
-//! the product's types, or back; nothing here decides anything.
+//! Only this folder uses the platform's own terms. Each file translates one kind of
+//! message to or from the types of this program, and makes no decisions about it.
+//! [`Store`] is the client of the platform's store.
 
 mod batch_calls;
 mod config;
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,4 +1,5 @@
-//! Header names, and what they hold.
+//! The platform's header names, and functions that read and set these headers; names
+//! of tables and keys.
 
 use crate::{
     base::{Fence, Millis},
@@ -9,61 +10,64 @@
     header::{HeaderName, HeaderValue}, //
 };
 
-/// The caller's id of one attempt; servers echo it in their answers.
+/// The id that the sender gives one attempt; servers echo it in their responses.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
 
-/// The caller's key.
+/// The caller's API key.
 const API_KEY: HeaderName = HeaderName::from_static("x-api-key");
 
-/// How long the sender waits for the answer, in ms.
+/// How long the sender waits for the response, in ms from now.
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 
-/// The life of the server that alone may run the request.
+/// The id of the only server that may run the request.
 const EXPECTED_SERVER: HeaderName = HeaderName::from_static("x-expect-instance");
 
-/// The number under which one acts for all.
+/// The fencing token of the lease under which the sender acts.
 const FENCING_TOKEN: HeaderName = HeaderName::from_static("x-fencing-token");
 
-/// The instance that acts for all.
+/// The instance that holds the lease under which the sender acts.
 const LEASE_HOLDER: HeaderName = HeaderName::from_static("x-duty-holder");
 
-/// The life of the server that answers.
+/// The id of the responding server.
 const SERVER_ID: HeaderName = HeaderName::from_static("x-instance-id");
 
-/// Present when the server says that it did not run the request.
+/// Present in the response of a server that did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 
-/// How urgent a request is to a server, from 0 to 9; 5 where it is not set.
+/// How urgent a request is, from 0 (the most urgent) to 9; servers take 5 as the default.
 const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
 
-/// The least urgent priority that servers know.
+/// The least urgent priority that servers accept.
 const LEAST_URGENT_PRIORITY: u32 = 9;
 
-/// The server's seal on its answer.
+/// The server's signature on its response.
 const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
 
-/// A server's running requests, waiting requests and slots.
+/// The numbers of a server's running requests, waiting requests and slots, separated by
+/// commas.
 const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 
-/// The name of the workspace that asks.
+/// The name of the workspace that the request belongs to.
 const WORKSPACE: HeaderName = HeaderName::from_static("x-tenant");
 
-/// The table that the operators write.
+/// The table that the operators write to.
 pub const OPERATOR_TABLE: &str = "op";
 
-/// The environment variable that holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "REDWINGPOND_SETTINGS";
 
-/// The row with the newest configuration.
+/// The key of the row with the newest configuration.
 pub const CONFIG_KEY: &str = "config";
 
-/// The rows with the version that a trainer named last, by model.
+/// The key prefix of the rows with the weight version that a trainer last named for a
+/// model.
 pub const NAMED_VERSION_PREFIX: &str = "version/";
 
 /// The table in which backend servers announce themselves.
 pub const SERVERS_TABLE: &str = "servers";
 
-/// Headers that concern one connection only, and those that this program sets.
+/// Request headers that are not forwarded: those that concern one connection, and
+/// those that only this program may set.
 const NOT_FORWARDED_REQUEST_HEADERS: [&str; 14] = [
     "connection",
     "content-length",
@@ -81,13 +85,13 @@
     "x-tenant",
 ];
 
-/// How long the caller says it waits.
+/// How long the caller waits for the response; `None` if it doesn't say.
 pub fn caller_timeout(headers: &HeaderMap) -> Option<Millis> {
     header_number(headers, &DEADLINE).map(Millis)
 }
 
-/// The key with which the caller proves who it is. Two keys are none: a proxy on the
-/// way might go by the other one.
+/// The caller's API key. Several keys count as malformed: a proxy in between might use
+/// another one of them.
 pub fn credential(headers: &HeaderMap) -> Credential {
     let mut keys = headers.get_all(API_KEY).iter();
     match (keys.next(), keys.next()) {
@@ -97,14 +101,15 @@
     }
 }
 
-/// What tells callers of the same apart, beside their keys.
+/// The `Authorization` header, which distinguishes callers without a workspace; empty
+/// when there is none.
 pub fn authorization(headers: &HeaderMap) -> &[u8] {
     let value = headers.get(hyper::header::AUTHORIZATION);
     value.map_or(&[], HeaderValue::as_bytes)
 }
 
-/// Headers of a server's answer that concern one connection, and its word on its
-/// load, which is for this program.
+/// Response headers that are not forwarded: those that concern one connection, and the
+/// server's load, which is meant for this program.
 const NOT_FORWARDED_RESPONSE_HEADERS: [&str; 5] = [
     "connection",
     "content-length",
@@ -113,7 +118,7 @@
     "x-server-load",
 ];
 
-/// The headers of a server's answer that go on to the caller.
+/// The headers of a server's response that are forwarded to the caller.
 pub fn forwarded_response_headers(headers: &HeaderMap) -> HeaderMap {
     filter_headers(headers, |name| {
         !NOT_FORWARDED_RESPONSE_HEADERS.contains(&name)
@@ -128,7 +133,8 @@
         .collect()
 }
 
-/// The headers of a request that go on to the server.
+/// The headers of a request that are forwarded to the server. Headers that the request's
+/// `Connection` header names are left out as well.
 pub fn forwarded_request_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_headers: Vec<String> = headers
         .get_all(hyper::header::CONNECTION)
@@ -143,22 +149,23 @@
     })
 }
 
-/// The life of the server that answered.
+/// The id of the server that responded.
 pub fn answering_server(headers: &HeaderMap) -> Option<&str> {
     headers.get(SERVER_ID)?.to_str().ok()
 }
 
-/// Whether the server says that it did not run the request.
+/// Whether the response says that the server did not run the request.
 pub fn not_executed(headers: &HeaderMap) -> bool {
     headers.contains_key(NOT_EXECUTED)
 }
 
-/// Tells the server how long its answer is waited for.
+/// Sets how long the response is waited for.
 pub fn set_deadline(headers: &mut HeaderMap, left: Millis) {
     headers.insert(DEADLINE, HeaderValue::from(left.0));
 }
 
-/// Tells the server which workspace asks; whatever the caller said of that is gone.
+/// Sets the workspace that the request belongs to; removes the header without one, so
+/// that a caller can't choose it.
 pub fn set_workspace(headers: &mut HeaderMap, workspace: Option<&str>) {
     headers.remove(WORKSPACE);
     let Some(workspace) = workspace else {
@@ -168,11 +175,12 @@
         Ok(value) => {
             headers.insert(WORKSPACE, value);
         }
-        Err(error) => tracing::error!(workspace, %error, "not a name for a header"),
+        Err(error) => tracing::error!(workspace, %error, "workspace name is no valid header value"),
     }
 }
 
-/// Tells the server how urgent a request is, where that is known.
+/// Sets how urgent the request is, if that is known. A less urgent priority than servers
+/// accept becomes the least urgent one.
 pub fn set_priority(headers: &mut HeaderMap, priority: Option<u32>) {
     if let Some(priority) = priority {
         headers.insert(
@@ -182,28 +190,30 @@
     }
 }
 
-/// Tells the platform who acts for all, and under which number.
+/// Sets the lease holder that sends the request, and its fencing token.
 pub(super) fn set_lease_holder(headers: &mut HeaderMap, holder: &str, fence: Fence) {
     match HeaderValue::from_str(holder) {
         Ok(value) => {
             headers.insert(LEASE_HOLDER, value);
         }
-        Err(error) => tracing::error!(holder, %error, "not a name for a header"),
+        Err(error) => tracing::error!(holder, %error, "lease holder is no valid header value"),
     }
     headers.insert(FENCING_TOKEN, HeaderValue::from(fence));
 }
 
-/// Lets only the server's life called `id` run the request.
+/// Lets only the server with this id run the request. A server that restarted under
+/// another id refuses it.
 pub fn set_expected_server(headers: &mut HeaderMap, id: &str) {
     match HeaderValue::from_str(id) {
         Ok(value) => {
             headers.insert(EXPECTED_SERVER, value);
         }
-        Err(error) => tracing::error!(server = id, %error, "not a name for a header"),
+        Err(error) => tracing::error!(server = id, %error, "server id is no valid header value"),
     }
 }
 
-/// The running and waiting requests that a server tells of itself.
+/// The number of requests that are running or waiting at the responding server; `None`
+/// if it doesn't say.
 pub fn server_load(headers: &HeaderMap) -> Option<u32> {
     let value = headers.get(SERVER_LOAD)?.to_str().ok()?;
     let mut numbers = value.split(',').map(|number| number.trim().parse::<u32>());
@@ -212,7 +222,7 @@
     Some(running + waiting)
 }
 
-/// The server's seal on its answer.
+/// The server's signature on its response.
 pub fn signature(headers: &HeaderMap) -> Option<&HeaderValue> {
     headers.get(SIGNATURE)
 }
@@ -221,19 +231,19 @@
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Sets a header whose name and value come from a trainer; one that is none is
-/// logged and left out, and so is one that this program sets: a trainer could ask
-/// in another workspace's name.
+/// Sets a header whose name and value come from a trainer. An invalid header is logged
+/// and left out. So is one that only this program may set: with it a trainer could act
+/// for another workspace.
 pub fn set_header(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::try_from(name);
     let value = HeaderValue::try_from(value);
     match (name, value) {
         (Ok(name), _) if NOT_FORWARDED_REQUEST_HEADERS.contains(&name.as_str()) => {
-            tracing::warn!(%name, "a trainer's header is not its own to set");
+            tracing::warn!(%name, "trainer's header ignored: only this program may set it");
         }
         (Ok(name), Ok(value)) => {
             headers.insert(name, value);
         }
-        _ => tracing::warn!("a trainer's header is not one"),
+        _ => tracing::warn!("trainer's header ignored: invalid name or value"),
     }
 }
--- a/src/platform/server_entry.rs
+++ b/src/platform/server_entry.rs
@@ -1,4 +1,4 @@
-//! A backend server's announcement in the store.
+//! Decodes the announcements that backend servers write to the store.
 
 use crate::{
     base::Millis,
@@ -12,23 +12,23 @@
 };
 use std::net::SocketAddr;
 
-/// An announcement as it lies in the store. All fields but those with a default
-/// are always there: an entry that lacks one comes from another writer.
+/// A server's announcement. Servers always write all fields but those with a default: an
+/// entry without one of them comes from another writer.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireServer {
     address: SocketAddr,
     batch_slots: u32,
-    /// When the server started; absent where servers don't tell.
+    /// When the server started, in ms; absent on platforms that don't report it.
     #[serde(default)]
     born: u64,
-    /// How much longer the server stays slow after its start, in ms.
+    /// How much longer the server is slow after its start, in ms.
     #[serde(rename = "coldRemainingMs")]
     _cold: f64,
-    /// Absent for a service that holds no model.
+    /// The loaded models; absent for a service without models.
     #[serde(default)]
     models: Vec<WireModel>,
-    /// Counts the announcements.
+    /// Counts the server's announcements.
     #[serde(rename = "sequence")]
     _sequence: u64,
     service: String,
@@ -53,12 +53,12 @@
     pub(super) version: u64,
 }
 
-/// Decodes the announcement of the server called `id`. An entry that is not
-/// whole names no server: other writers may write there too.
+/// Decodes the announcement of the server with this id.
 ///
 /// # Errors
 ///
-/// What of the entry was not understood.
+/// [`EntryError`] for an entry that is incomplete or has a field of another type. Other
+/// programs may write to the same table: such an entry must not be taken for a server.
 pub fn read_server(id: &str, value: &[u8]) -> Result<Server, EntryError> {
     let wire: WireServer = serde_json::from_slice(value).context(DecodeSnafu)?;
     ensure!(wire.address.port() > 0, PortSnafu);
@@ -73,12 +73,12 @@
     })
 }
 
-/// Why an entry names no server.
+/// Why an entry is not a server's announcement.
 #[derive(Debug, Snafu)]
 pub enum EntryError {
-    #[snafu(display("not an announcement: {source}"))]
+    #[snafu(display("invalid announcement: {source}"))]
     Decode { source: serde_json::Error },
-    #[snafu(display("its address has no port"))]
+    #[snafu(display("the server's address has port 0"))]
     Port,
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's table.
+//! The client of the platform's store.
 
 use super::{
     store_probe::{PROBE_TABLE, ProbeSchedule},
@@ -32,43 +32,44 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError}, //
 };
 
-/// A client of the table; clones share their connections.
+/// A client of the store; clones share their connections and what they learned.
 #[derive(Clone)]
 pub struct Store {
     pub(super) clock: Clock,
-    patience: Arc<Mutex<Patience>>,
+    call_timeout: Arc<Mutex<Patience>>,
     pub(super) probe_schedule: Arc<ProbeSchedule>,
     pub(super) peer: Peer,
     pub(super) reach: Arc<Reach>,
-    /// The store's clock as read last, and when that was.
+    /// The store's clock in its latest answer, and the local time when it arrived.
     latest_time: Arc<Mutex<Option<(Millis, Millis)>>>,
 }
 
-/// The most rows in one answer of the store.
+/// The maximum number of rows that the store returns in one answer.
 pub const MAX_READ_ROWS: usize = 500;
 
-/// What a call for changes may take beyond the time that the store holds it.
+/// How much longer a call for changes may take than the store is asked to wait.
 const FEED_EXTRA_TIMEOUT: Millis = Millis(600);
 
 impl Store {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn open(address: SocketAddr, clock: Clock) -> Self {
         Self {
             clock,
             probe_schedule: Arc::default(),
-            patience: Arc::default(),
+            call_timeout: Arc::default(),
             peer: Peer::open(address, clock),
             reach: Arc::default(),
             latest_time: Arc::default(),
         }
     }
 
-    /// Whether the store does not answer this process.
+    /// Whether the store is unreachable from this process.
     pub fn is_unreachable(&self) -> bool {
         self.reach.is_away()
     }
 
-    /// The store's clock, by the last answer; the local one before any.
+    /// The present time by the store's clock, extrapolated from its latest answer; the
+    /// local time before the first answer.
     pub fn now(&self) -> Millis {
         let now = self.clock.now();
         let time = self
@@ -81,11 +82,12 @@
         }
     }
 
-    /// Does `transaction`, whose rows share one part.
+    /// Executes `transaction`, whose rows must all have the same part.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unknown`] when it may have been done, or may be done later.
+    /// Unless [`StoreError::is_not_done`], the transaction may have taken effect, or may
+    /// do so later.
     pub async fn transact(&self, transaction: &Transaction) -> Result<Outcome, StoreError> {
         let expected = transaction.expect.iter().map(|(key, revision)| WireKey {
             ver: Some(*revision),
@@ -114,11 +116,12 @@
         }
     }
 
-    /// The rows of `part` from the key `from` on, as many as one answer holds.
+    /// Reads the rows of `part` from the key `from` on, at most `limit` and as many as one
+    /// answer contains.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] when the store did not answer, or said why it can't.
+    /// [`StoreError`] when the store did not answer or refused the call.
     pub async fn rows(
         &self,
         table: &str,
@@ -135,7 +138,7 @@
         self.listing(&answer)
     }
 
-    /// The row that `key` names.
+    /// Reads the row at `key`.
     ///
     /// # Errors
     ///
@@ -145,7 +148,7 @@
         Ok(listing.rows.into_iter().find(|row| row.key == key.key))
     }
 
-    /// Asks whether the store answers this process; waits a while for one that is away.
+    /// Checks that the store answers this process; waits a while for an unreachable one.
     ///
     /// # Errors
     ///
@@ -154,8 +157,8 @@
         self.rows(PROBE_TABLE, "", "", 1).await.map(|_| ())
     }
 
-    /// All rows of `part`, over as many calls as it takes. The revision is that
-    /// of the first call, from which its changes can be followed.
+    /// Reads all rows of `part` in as many calls as needed. The listing has the revision
+    /// of the first call, so that following the changes after it misses none.
     ///
     /// # Errors
     ///
@@ -163,8 +166,7 @@
     pub async fn whole_part(&self, table: &str, part: &str) -> Result<Listing, StoreError> {
         let mut whole = self.rows(table, part, "", MAX_READ_ROWS).await?;
         while whole.more {
-            // The next answer begins with the last row of this one, which
-            // takes its place.
+            // The next answer starts with this last row again, possibly changed.
             let Some(last) = whole.rows.pop() else {
                 break;
             };
@@ -175,7 +177,7 @@
         Ok(whole)
     }
 
-    /// The parts of `table`, and the revision before they were read.
+    /// Reads the names of all parts of `table`, and the revision before they were read.
     ///
     /// # Errors
     ///
@@ -200,20 +202,20 @@
         }
     }
 
-    /// The rows of `table` that changed after the revision `after`, waited for
-    /// at most `hold`.
+    /// Reads the rows of `table` that changed after the revision `after`. Without such
+    /// rows, the store waits for a change, at most for `hold`.
     ///
     /// # Errors
     ///
-    /// [`StoreError::HistoryLost`] when the store no longer keeps them.
+    /// [`StoreError::HistoryLost`] when the store no longer keeps these changes.
     pub async fn changes(
         &self,
         table: &str,
         after: u64,
         hold: Millis,
     ) -> Result<Listing, StoreError> {
-        // The first answer after an outage tells that it is over: it must not wait for
-        // a change.
+        // The first answer after an outage shows that the outage is over, so it must not
+        // be delayed until something changes.
         let hold = match self.reach.is_away() {
             true => Millis(0),
             false => hold,
@@ -228,32 +230,38 @@
         self.listing(&answer)
     }
 
-    /// A call that the store answers at once, as far as it can.
+    /// Sends a call that the store answers without waiting. The timeout follows the
+    /// latency of earlier calls.
     async fn call_adaptive(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Answer, StoreError> {
-        let within = self.patience().wait(self.clock.now());
+        let within = self.call_timeout().wait(self.clock.now());
         self.wait_reachable(within).await?;
         let began = self.clock.now();
         let result = self.call(method, path, body, within).await;
         let now = self.clock.now();
         let taken = now.since(began);
-        // A connection that is refused or breaks at once tells nothing.
+        // A connection that is refused or breaks before the timeout says nothing about
+        // the store's latency.
         match &result {
-            Ok(_) => self.patience().note(now, taken),
-            Err(_) if taken >= within => self.patience().give_up(),
+            Ok(_) => self.call_timeout().note(now, taken),
+            Err(_) if taken >= within => self.call_timeout().give_up(),
             Err(_) => {}
         }
         result
     }
 
-    fn patience(&self) -> MutexGuard<'_, Patience> {
-        self.patience.lock().unwrap_or_else(PoisonError::into_inner)
+    fn call_timeout(&self) -> MutexGuard<'_, Patience> {
+        self.call_timeout
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Sends a call and records its result. A call that is still open when an outage ends
+    /// is given up, as its connection may be dead.
     async fn call(
         &self,
         method: Method,
@@ -292,6 +300,7 @@
         result
     }
 
+    /// Decodes an answer as a listing of rows.
     fn listing(&self, answer: &Answer) -> Result<Listing, StoreError> {
         let wire: WireListing = self.read(answer)?;
         Ok(Listing {
@@ -301,6 +310,7 @@
         })
     }
 
+    /// Decodes an answer, and records the store's clock from it.
     fn read(&self, answer: &Answer) -> Result<WireListing, StoreError> {
         let value: WireListing =
             serde_json::from_slice(&answer.body).map_err(|error| StoreError::Answer {
@@ -316,6 +326,7 @@
     }
 }
 
+/// Turns answers with an error status into errors.
 fn classify_answer(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
     let answer = answer.map_err(|source| StoreError::Unknown { source })?;
     let status = answer.status.as_u16();
@@ -326,7 +337,7 @@
         _ => {
             let body = String::from_utf8_lossy(&answer.body);
             let body: String = body.chars().take(200).collect();
-            tracing::error!(status, body, "the store refused a call");
+            tracing::error!(status, body, "store refused a call");
             Err(StoreError::Refused { status })
         }
     }
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -1,4 +1,4 @@
-//! Finds out when a store that is away answers again.
+//! Probes an unreachable store until it answers again.
 
 use super::store::Store;
 use crate::{
@@ -19,32 +19,33 @@
 };
 use tokio::sync::Notify;
 
-/// A table that has no rows, for questions whether the store answers.
+/// A table without rows, read to check whether the store answers.
 pub(super) const PROBE_TABLE: &str = "probes";
 
-/// The question of a probe.
+/// The path and query of a probe.
 const PROBE_PATH: &str = "/redwingpond/rows-get?table=probes&part=&limit=1";
 
-/// How often a store that is away is asked whether it is back. Results that are due
-/// wait for it, and trainers read them half a second later.
+/// The default time between two probes. Results that are due wait until the store is
+/// reachable again, and trainers read them up to half a second after that.
 const PROBE_INTERVAL: Millis = Millis(120);
 
-/// How long a probe may take: a slow store takes sixty times as long as usual.
+/// How long a probe may take; a slow store takes sixty times as long as usual.
 const PROBE_TIMEOUT: Millis = Millis(500);
 
-/// Probes under way at once.
+/// The maximum number of probes in flight.
 const MAX_CONCURRENT_PROBES: usize = 4;
 
-/// How often this process asks a store that is away.
+/// When this process sends the next probe to an unreachable store.
 #[derive(Debug, Default)]
 pub(super) struct ProbeSchedule {
+    /// Notified to send a probe at once.
     wake: Notify,
-    /// The time between two probes, in ms; 0 for [`PROBE_INTERVAL`].
+    /// The time between two probes, in ms; 0 for the default, [`PROBE_INTERVAL`].
     interval_ms: AtomicU64,
 }
 
 impl ProbeSchedule {
-    /// Waits until a probe is due.
+    /// Waits until the next probe is due.
     async fn wait_due(&self) {
         let interval = match self.interval_ms.load(Ordering::Relaxed) {
             0 => PROBE_INTERVAL,
@@ -58,44 +59,47 @@
 }
 
 impl Store {
-    /// From now on a store that is away is asked once in `interval`: another process tells
-    /// this one when it is back, and all together would ask for more than it takes.
+    /// Sets the time between two probes while another process will report that the store
+    /// is reachable again. All processes probing at the default interval would send more
+    /// calls than the store accepts.
     pub fn set_probe_interval(&self, interval: Millis) {
         self.probe_schedule
             .interval_ms
             .store(interval.0, Ordering::Relaxed);
     }
 
-    /// From now on a store that is away is asked as often as helps.
+    /// Returns to the default time between two probes.
     pub fn reset_probe_interval(&self) {
         self.probe_schedule.interval_ms.store(0, Ordering::Relaxed);
     }
 
-    /// The store may be back.
+    /// Probes an unreachable store at once, as it may be reachable again.
     pub fn probe_now(&self) {
         if self.reach.is_away() {
             self.probe_schedule.wake.notify_one();
         }
     }
 
-    /// Takes what a call showed of the store, and has it probed once it is away.
+    /// Records whether the store answered a call, and starts probing when it becomes
+    /// unreachable.
     pub(super) fn record_result(&self, result: &Result<Answer, StoreError>) {
         let unanswered = matches!(result, Err(StoreError::Unknown { .. }));
         if !unanswered {
             self.reach.answer();
         } else if self.reach.miss() {
-            tracing::warn!("the store is away: it is probed");
+            tracing::warn!("store is unreachable; probing it");
             tokio::spawn(self.clone().probe());
         }
     }
 
-    /// Waits at most `within` for a store that is away.
+    /// Waits until the store is reachable, at most for `within`.
     pub(super) async fn wait_reachable(&self, within: Millis) -> Result<(), StoreError> {
         let back = tokio::time::timeout(within.as_duration(), self.reach.back());
         back.await.map_err(|_| StoreError::Away)
     }
 
-    /// Asks the store over new connections, one soon after the other, until it answers.
+    /// Sends probes over new connections until the store answers one. The connections from
+    /// before the outage are dropped then.
     async fn probe(self) {
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
@@ -116,9 +120,10 @@
                 }
             }
         }
-        tracing::info!("the store answers again");
+        tracing::info!("store is reachable again");
     }
 
+    /// Sends one probe; true when the store answers it.
     async fn probe_once(&self) -> bool {
         let peer = Peer::open(self.peer.address(), self.clock);
         let request = Request::builder()
@@ -128,7 +133,7 @@
         match request {
             Ok(request) => peer.call(request, PROBE_TIMEOUT).await.is_ok(),
             Err(error) => {
-                tracing::error!(%error, "a probe can't be made");
+                tracing::error!(%error, "probe request could not be built");
                 false
             }
         }
--- a/src/platform/usage.rs
+++ b/src/platform/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of use to the platform.
+//! Reports of the workspaces' usage to the platform.
 
 use super::names::set_lease_holder;
 use crate::{
@@ -14,33 +14,35 @@
 };
 use serde::Serialize;
 
-/// What is reported of one window.
+/// The usage in one time window.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageReport<'a> {
     pub counts: &'a Counts,
-    /// The number under which the holder acts; it grows with each change of holder.
+    /// The fencing token of the holder's lease; it grows with each change of holder.
     pub fence: Fence,
+    /// The instance that holds the lease for reporting.
     pub holder: &'a str,
+    /// The number of the window.
     pub window: u64,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct WireReport<'a> {
-    /// Requests that began, by workspace.
+    /// The number of requests that started, by workspace.
     instance_counts: &'a Counts,
     window_id: u64,
 }
 
 impl UsageReport<'_> {
-    /// The call that reports it.
+    /// Builds the HTTP request that sends the report.
     pub fn build(&self) -> Request<Full<Bytes>> {
         let wire = WireReport {
             instance_counts: self.counts,
             window_id: self.window,
         };
         let body = serde_json::to_vec(&wire).unwrap_or_else(|error| {
-            tracing::error!(%error, "a report can't be encoded");
+            tracing::error!(%error, "usage report could not be encoded");
             Vec::new()
         });
         let mut request = Request::new(Full::new(body.into()));
