--- a/src/batch/head.rs
+++ b/src/batch/head.rs
@@ -156,13 +156,13 @@
 /// The item indices of each group; groups are in the order of their first items.
 fn groups_of(items: &[Item]) -> Vec<Vec<u16>> {
     let mut groups: Vec<Vec<u16>> = Vec::new();
-    let mut places: HashMap<&str, usize> = HashMap::new();
+    let mut positions: HashMap<&str, usize> = HashMap::new();
     for (index, item) in items.iter().enumerate() {
-        let place = *places.entry(&item.group).or_insert_with(|| {
+        let position = *positions.entry(&item.group).or_insert_with(|| {
             groups.push(Vec::new());
             groups.len() - 1
         });
-        groups[place].push(index as u16);
+        groups[position].push(index as u16);
     }
     groups
 }
--- a/src/batch/layout.rs
+++ b/src/batch/layout.rs
@@ -18,8 +18,8 @@
 const HEARTBEAT_PART_PREFIX: &str = "heartbeats-";
 
 /// How many parts the heartbeats are spread over: the store accepts 200 transactions a
-/// second for one part. Each of 3,300 runners writes one a second, and one more after
-/// each change, which comes to most of them when they start together.
+/// second for one part. 3,300 runners write one a second each, and one more after each
+/// change; most of them do so at once when they start together.
 const HEARTBEAT_PART_COUNT: u64 = 64;
 
 /// The part of [`WORK`] that contains the heartbeat of the runner on `instance`.
--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -10,8 +10,8 @@
     Submission,
     WORK,
     WorkKey,
-    batch_part, //
-    encode,
+    batch_part,
+    encode, //
 };
 use crate::{
     base::Millis,
--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -124,8 +124,8 @@
         let mut confirmed = !self.site.is_bounded();
         loop {
             // Freshness is read before the configuration, which can only be replaced by a
-            // newer one in between. Read afterwards, a confirmation could arrive between
-            // the two and admit a request by a key that it had removed.
+            // newer one in between. In the other order, a confirmation that arrived in
+            // between admitted a caller whose key had just been removed.
             let was_fresh = self.site.is_fresh();
             let decision = evaluate(&self.current_config()?);
             let is_final = match &decision {
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -13,12 +13,12 @@
         WORK,
         WorkKey,
         accept_transactions,
-        batch_part, //
+        batch_part,
         chunk_key,
         decode,
         encode,
         read_page,
-        stored_name,
+        stored_name, //
     },
     duty::Answer,
     platform::{MAX_READ_ROWS, Store, read_submission, write_page},
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -178,7 +178,7 @@
 fn deadline_of(arrived: Millis, route: &Route, head: &Parts) -> Millis {
     let route_end = arrived + route.timeout;
     match platform::caller_timeout(&head.headers) {
-        Some(deadline) => route_end.min(arrived + deadline),
+        Some(timeout) => route_end.min(arrived + timeout),
         None => route_end,
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -25,11 +25,11 @@
         EventReader,
         OrderAnswer,
         VersionOrder,
-        initial_weight_version, //
+        initial_weight_version,
         order_request,
         read_order_answer,
         read_report,
-        report_request,
+        report_request, //
     },
     ingress::{BatchCall, Ingress, classify},
     names::{
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -160,8 +160,8 @@
 }
 
 /// Sets how long the response is waited for.
-pub fn set_deadline(headers: &mut HeaderMap, left: Millis) {
-    headers.insert(DEADLINE, HeaderValue::from(left.0));
+pub fn set_deadline(headers: &mut HeaderMap, time_left: Millis) {
+    headers.insert(DEADLINE, HeaderValue::from(time_left.0));
 }
 
 /// Sets the workspace that the request belongs to; removes the header without one, so
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -107,7 +107,7 @@
         })?;
         let path = "/redwingpond/rows-tx";
         let answer = self.call_adaptive(Method::POST, path, body).await?;
-        let wire: WireListing = self.read(&answer)?;
+        let wire: WireListing = self.decode_answer(&answer)?;
         match answer.status {
             StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict {
                 rows: rows(wire.records),
@@ -192,7 +192,7 @@
                 path.push_str(last);
             }
             let answer = self.call_adaptive(Method::GET, &path, Vec::new()).await?;
-            let wire: WireListing = self.read(&answer)?;
+            let wire: WireListing = self.decode_answer(&answer)?;
             revision = revision.min(wire.ver);
             let last = wire.parts.is_empty();
             all.extend(wire.parts);
@@ -240,10 +240,10 @@
     ) -> Result<Answer, StoreError> {
         let within = self.call_timeout().wait(self.clock.now());
         self.wait_reachable(within).await?;
-        let began = self.clock.now();
+        let started = self.clock.now();
         let result = self.call(method, path, body, within).await;
         let now = self.clock.now();
-        let taken = now.since(began);
+        let taken = now.since(started);
         // A connection that is refused or breaks before the timeout says nothing about
         // the store's latency.
         match &result {
@@ -302,7 +302,7 @@
 
     /// Decodes an answer as a listing of rows.
     fn listing(&self, answer: &Answer) -> Result<Listing, StoreError> {
-        let wire: WireListing = self.read(answer)?;
+        let wire: WireListing = self.decode_answer(answer)?;
         Ok(Listing {
             rows: rows(wire.records),
             more: wire.has_more,
@@ -311,7 +311,7 @@
     }
 
     /// Decodes an answer, and records the store's clock from it.
-    fn read(&self, answer: &Answer) -> Result<WireListing, StoreError> {
+    fn decode_answer(&self, answer: &Answer) -> Result<WireListing, StoreError> {
         let value: WireListing =
             serde_json::from_slice(&answer.body).map_err(|error| StoreError::Answer {
                 message: error.to_string(),
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -14,11 +14,11 @@
         WorkKey,
         accept_transactions,
         append_transaction,
-        batch_part, //
+        batch_part,
         decode,
         heartbeat_part,
         is_heartbeat_part,
-        read_page,
+        read_page, //
     },
     routing::{Directory, Life, Server},
     store::{Change, Listing, Row, TableView}, //
