--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -207,7 +207,7 @@
                 // A waiting trainer gets the results as soon as the store recovers; one
                 // that is refused asks again only half a second later.
                 Err(_) if self.clock.now() < deadline => continue,
-                Err(error) => return store_unreachable(id, &error),
+                Err(error) => return store_failed(id, &error),
             };
             let out_of_time = self.clock.now() + RESULTS_POLL_INTERVAL > deadline;
             if !page.samples.is_empty() || from >= total || out_of_time {
@@ -241,7 +241,7 @@
         let head = match self.read_head(id).await {
             Ok(Some(head)) => head,
             Ok(None) => return unknown_batch(id),
-            Err(error) => return store_unreachable(id, &error),
+            Err(error) => return store_failed(id, &error),
         };
         let Some(index) = head.index_of(item) else {
             tracing::info!(batch = id, item, "item not found");
@@ -254,7 +254,7 @@
         );
         let row = match self.with_retries(|| self.store.row(&key)).await {
             Ok(row) => row,
-            Err(error) => return store_unreachable(id, &error),
+            Err(error) => return store_failed(id, &error),
         };
         let value = row.and_then(|row| row.value);
         let items: Option<Vec<Item>> = value.and_then(|value| decode("items", &value));
@@ -276,7 +276,7 @@
             let row = match self.with_retries(|| self.store.row(&key)).await {
                 Ok(Some(row)) => row,
                 Ok(None) => return unknown_batch(id),
-                Err(error) => return store_unreachable(id, &error),
+                Err(error) => return store_failed(id, &error),
             };
             let value = row.value.unwrap_or_default();
             let Some(mut log) = decode::<Log>("log", &value) else {
@@ -300,7 +300,7 @@
                 // A runner listed results in between, or an earlier attempt succeeded and
                 // its answer was lost: the next read shows which.
                 Ok(Outcome::Conflict { .. }) => {}
-                Err(error) if self.clock.now() >= deadline => return store_unreachable(id, &error),
+                Err(error) if self.clock.now() >= deadline => return store_failed(id, &error),
                 Err(_) => tokio::time::sleep(STORE_RETRY_DELAY.as_duration()).await,
             }
         }
@@ -372,8 +372,8 @@
 }
 
 /// The response to a call about batch `id` that failed because of the store.
-pub(super) fn store_unreachable(id: &str, error: &StoreError) -> Answer {
-    tracing::warn!(batch = id, %error, "request refused: the store can't be reached");
+pub(super) fn store_failed(id: &str, error: &StoreError) -> Answer {
+    tracing::warn!(batch = id, %error, "request refused: the call to the store failed");
     reply::refusal(CALLER_RETRY_AFTER, "the store can't be asked")
 }
 
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -2,7 +2,7 @@
 
 use super::{
     access::{self, AccessControl, Admitted, BatchScope},
-    batches::{Batches, Submitter, store_unreachable},
+    batches::{Batches, Submitter, store_failed},
     buffered,
     reply,
     streams, //
@@ -89,7 +89,7 @@
                     None => reply::status(StatusCode::NOT_FOUND, "no such batch"),
                 };
             }
-            Err(error) => return store_unreachable(id, &error),
+            Err(error) => return store_failed(id, &error),
         };
         match call {
             BatchCall::End => self.batches.end(&name).await,
