--- a/src/batch/page.rs
+++ b/src/batch/page.rs
@@ -1,4 +1,4 @@
-//! Reading results from a position on.
+//! Reassembles results from the rows of the store.
 
 use super::{
     Sample,
@@ -7,29 +7,29 @@
 use crate::store::Listing;
 use bytes::Bytes;
 
-/// Results from a position on, as whole as they were read.
+/// Consecutive results, starting at the position that was asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
     pub samples: Vec<Sample>,
 }
 
-/// The most bytes of text in one page.
-const PAGE_MOST: usize = 700 * 1024;
+/// A page is full once its texts have this size.
+const FULL_PAGE_BYTES: usize = 700 * 1024;
 
-/// Puts the results together that `listing` holds, from `first` on. A result
-/// whose pieces were not all read ends the page.
-pub fn page_of(first: usize, listing: &Listing) -> Page {
+/// Reads the results in `listing`, whose first row belongs to the result at position
+/// `first`. The page ends before a result that is damaged or of which pieces are missing.
+pub fn read_page(first: usize, listing: &Listing) -> Page {
     let mut page = Page::default();
     let mut bytes = 0;
     let mut rows = listing.rows.iter().peekable();
-    while rows.peek().is_some() && bytes < PAGE_MOST {
+    while rows.peek().is_some() && bytes < FULL_PAGE_BYTES {
         let position = first + page.samples.len();
         let prefix = format!("{position:06}/");
         let mut pieces: Vec<&Bytes> = Vec::new();
         while let Some(row) = rows.next_if(|row| row.key.starts_with(&prefix)) {
             pieces.extend(row.value.as_ref());
         }
-        let Some(whole) = join(&pieces) else {
+        let Some(whole) = join_pieces(&pieces) else {
             break;
         };
         let Some(sample) = decode::<Sample>("result", &whole) else {
@@ -41,7 +41,9 @@
     page
 }
 
-fn join(pieces: &[&Bytes]) -> Option<Vec<u8>> {
+/// Joins the pieces of one encoded result; `None` unless there are as many as the first
+/// byte says.
+fn join_pieces(pieces: &[&Bytes]) -> Option<Vec<u8>> {
     let count = *pieces.first()?.first()?;
     if pieces.len() != usize::from(count) {
         return None;
--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -1,4 +1,4 @@
-//! The transactions of a batch.
+//! Builds the transactions that write batches and results.
 
 use super::{
     BODIES,
@@ -10,8 +10,8 @@
     Submission,
     WORK,
     WorkKey,
-    encode,
-    part_of, //
+    batch_part,
+    encode, //
 };
 use crate::{
     base::Millis,
@@ -19,35 +19,35 @@
 };
 use bytes::Bytes;
 
-/// The writes that accept a batch, in their order.
+/// The transactions that store a new batch, in the order in which they must be done.
 ///
-/// Only the last one makes the batch exist. Chunks that do not fit beside the
-/// head go before it; they are the same whoever writes them, so a repeat or a
-/// race of two submissions changes nothing.
+/// Only the last one, which contains the head, makes the batch exist. Chunks that don't
+/// fit into it are written before. Every attempt writes the same chunks, so a repeated
+/// submission, or two at the same time, changes nothing.
 #[derive(Debug)]
-pub struct Accept {
+pub struct AcceptTransactions {
     pub chunks: Vec<Transaction>,
     pub head: Transaction,
 }
 
-/// The most bytes in one transaction: the store takes 1 MB, and the wire form
-/// is a third longer than the values.
-const TRANSACTION_BYTES: usize = 600 * 1024;
+/// The maximum size of a transaction's values: the store accepts requests of 1 MB, and
+/// base64 makes the values a third longer.
+const MAX_TRANSACTION_BYTES: usize = 600 * 1024;
 
-/// The most rows in one transaction; the store takes 100.
-const TRANSACTION_ROWS: usize = 90;
+/// The maximum number of rows in a transaction; the store accepts 100.
+const MAX_TRANSACTION_ROWS: usize = 90;
 
-/// The most bytes of a result in one row.
-const RESULT_BYTES: usize = 44 * 1024;
+/// The maximum size of one piece of a result; larger results take several rows.
+const MAX_RESULT_PIECE_BYTES: usize = 44 * 1024;
 
-/// The key of a chunk of items.
-pub fn chunk_of(chunk: u16) -> String {
+/// The key in [`BODIES`] of the chunk with this number.
+pub fn chunk_key(chunk: u16) -> String {
     format!("{chunk:05}")
 }
 
-/// How `submission` is written to the store.
-pub fn accept(submission: &Submission, now: Millis) -> Accept {
-    let part = part_of(&submission.id);
+/// The transactions that store `submission`, accepted at `now` by the store's clock.
+pub fn accept_transactions(submission: &Submission, now: Millis) -> AcceptTransactions {
+    let part = batch_part(&submission.id);
     let (head, items) = Head::of(submission, now);
     let mut rows: Vec<(Key, Bytes)> = items
         .iter()
@@ -55,20 +55,21 @@
         .map(|(index, chunk)| chunk_row(&part, index as u16, chunk))
         .collect();
 
-    // The last few ride with the head; the others go before.
+    // The last transaction takes the remaining chunks that fit beside the head.
     let mut chunks = Vec::new();
     while !fits(&rows) {
-        let mut before = Transaction::default();
+        let mut transaction = Transaction::default();
         let mut bytes = 0;
         while let Some((_, value)) = rows.first() {
             bytes += value.len();
-            let full = bytes > TRANSACTION_BYTES || before.set.len() == TRANSACTION_ROWS;
-            if full && !before.set.is_empty() {
+            let full =
+                bytes > MAX_TRANSACTION_BYTES || transaction.set.len() == MAX_TRANSACTION_ROWS;
+            if full && !transaction.set.is_empty() {
                 break;
             }
-            before.set.push(rows.remove(0));
+            transaction.set.push(rows.remove(0));
         }
-        chunks.push(before);
+        chunks.push(transaction);
     }
 
     let head_key = Key::new(WORK, &part, WorkKey::Head.to_string());
@@ -76,7 +77,7 @@
     let mut set = rows;
     set.push((head_key.clone(), encode(&head)));
     set.push((log_key, encode(&Log::default())));
-    Accept {
+    AcceptTransactions {
         chunks,
         head: Transaction {
             expect: vec![(head_key, 0)],
@@ -86,13 +87,18 @@
     }
 }
 
-/// Lists `samples` after what `log` holds at `revision`; returns the new log.
+/// Lists `samples`, given with their items' indices, after the results in `log`.
+/// Returns the new log and the transaction that writes it, which is conditional on the
+/// log's row still having `revision`.
 ///
-/// # Panics
-///
-/// Never: the caller has left out what is listed already.
-pub fn append(id: &str, log: &Log, revision: u64, samples: &[(u16, Sample)]) -> (Log, Transaction) {
-    let part = part_of(id);
+/// The caller leaves out items that are listed already.
+pub fn append_transaction(
+    id: &str,
+    log: &Log,
+    revision: u64,
+    samples: &[(u16, Sample)],
+) -> (Log, Transaction) {
+    let part = batch_part(id);
     let log_key = Key::new(WORK, &part, WorkKey::Log.to_string());
     let mut next = log.clone();
     let mut set = Vec::new();
@@ -111,19 +117,19 @@
 }
 
 fn chunk_row(part: &str, index: u16, items: &[Item]) -> (Key, Bytes) {
-    (Key::new(BODIES, part, chunk_of(index)), encode(&items))
+    (Key::new(BODIES, part, chunk_key(index)), encode(&items))
 }
 
 fn fits(rows: &[(Key, Bytes)]) -> bool {
     let bytes: usize = rows.iter().map(|(_, value)| value.len()).sum();
-    rows.len() <= TRANSACTION_ROWS && bytes <= TRANSACTION_BYTES
+    rows.len() <= MAX_TRANSACTION_ROWS && bytes <= MAX_TRANSACTION_BYTES
 }
 
-/// A result's rows: `POSITION/PIECE`, the first byte of each telling how many
-/// pieces there are.
+/// The rows of a result, with keys `POSITION/PIECE`. The first byte of each value is
+/// the number of pieces.
 fn result_rows(part: &str, position: usize, sample: &Sample) -> Vec<(Key, Bytes)> {
     let whole = encode(sample);
-    let pieces = whole.chunks(RESULT_BYTES);
+    let pieces = whole.chunks(MAX_RESULT_PIECE_BYTES);
     let count = pieces.len() as u8;
     pieces
         .enumerate()
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -1,9 +1,9 @@
-//! A running gateway.
+//! Starts a gateway and keeps it running.
 
 use super::{
+    access::AccessControl,
     batches::Batches,
-    door::Door,
-    front::Front,
+    frontend::Frontend,
     readiness::is_ready, //
 };
 use crate::{
@@ -22,34 +22,37 @@
     sync::{Arc, Mutex}, //
 };
 
-/// A running `redwing-gateway`; dropping it ends it.
+/// A running `redwing-gateway`; dropping it stops it.
 pub struct Gateway {
+    /// The address for callers and trainers.
     pub callers: SocketAddr,
     pub handle: Handle,
+    /// The address of the metrics endpoint.
     pub metrics: SocketAddr,
+    /// The address of the readiness check.
     pub ready: SocketAddr,
 }
 
-/// How long a draining gateway goes on taking connections: the balancer asks
-/// every second and takes a gateway out after two misses.
-const LEAVE: Millis = Millis(3_000);
+/// How long a draining gateway still accepts connections: the balancer checks every
+/// second and removes a gateway after two failed checks.
+const DRAIN_ACCEPT_TIME: Millis = Millis(3_000);
 
-/// The idle time after which a caller's connection is closed. Callers reuse
-/// connections for up to four fifths of the configured idle time; the longest
-/// that the users' pages name is 15 s.
-const IDLE: Millis = Millis(20_000);
+/// How long a caller's connection may stay idle, or a request's head take to arrive.
+/// Callers reuse a connection for up to four fifths of the configured idle time, which
+/// is 15 s at most according to the users' documentation.
+const CALLER_IDLE_TIMEOUT: Millis = Millis(20_000);
 
-/// The bytes of a request's head; the users' limit is 16 KiB.
-const HEAD_BYTES: usize = 64 * 1024;
+/// The maximum size of a request's head; the users' own limit is 16 KiB.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 impl Gateway {
-    /// Starts a gateway.
+    /// Binds the gateway's listeners and starts its tasks.
     pub fn open(settings: GatewaySettings) -> Result<Self, DutyError> {
         let common = &settings.common;
         let mut handle = Handle::open(common.stop_bound())?;
         let limits = Limits {
-            head: HEAD_BYTES,
-            head_time: IDLE,
+            head: MAX_HEAD_BYTES,
+            head_time: CALLER_IDLE_TIMEOUT,
             ..Limits::default()
         };
         let callers = HttpServer::bind(settings.callers, limits)?;
@@ -62,7 +65,7 @@
             version = env!("CARGO_PKG_VERSION"),
             callers = %addresses.0,
             store = %common.store,
-            "gateway up"
+            "gateway started"
         );
 
         let clock = Clock::open();
@@ -85,56 +88,56 @@
             &common.data_centre,
             usage.clone(),
         );
-        let reporting = usage.zip(settings.usage);
-        let front = Arc::new(Front {
+        let usage_reporting = usage.zip(settings.usage);
+        let frontend = Arc::new(Frontend {
             batches: Batches {
                 clock,
-                heads: Mutex::new(HashMap::new()),
+                cached_heads: Mutex::new(HashMap::new()),
                 site: site.clone(),
                 store: store.clone(),
             },
             caller,
             clock,
-            door: Door { site: site.clone() },
+            access: AccessControl { site: site.clone() },
         });
 
         let supervisor = handle.supervisor().clone();
         let health = handle.health();
-        let seen = site.clone();
-        let shared = crashes.clone();
+        let shared_site = site.clone();
+        let shared_crashes = crashes.clone();
         let serve = move |context: duty::Context| async move {
-            if seen.is_config_age_limited() {
-                tokio::spawn(confirm_config(seen.clone(), store.clone()));
+            if shared_site.is_config_age_limited() {
+                tokio::spawn(confirm_config(shared_site.clone(), store.clone()));
             }
-            if let Some((counter, usage)) = reporting {
+            if let Some((counter, usage)) = usage_reporting {
                 tokio::spawn(counter.clone().run());
                 let reporting = usage.reporting();
                 tokio::spawn(run_reporter(counter, reporting, store, clock));
             }
-            tokio::spawn(sync_site(seen.clone(), relay.clone()));
-            tokio::spawn(sync_crashes(shared, writes, relay.clone()));
-            tokio::spawn(watch_store(seen, relay.clone()));
+            tokio::spawn(sync_site(shared_site.clone(), relay.clone()));
+            tokio::spawn(sync_crashes(shared_crashes, writes, relay.clone()));
+            tokio::spawn(watch_store(shared_site, relay.clone()));
             tokio::spawn(relay.clone().serve(context.clone(), peers));
             tokio::spawn(relay.maintain_role(context.clone()));
-            let answering = context.clone();
+            let request_context = context.clone();
             let handler = move |request| {
-                let front = front.clone();
-                let context = answering.clone();
-                async move { front.answer(&context, request).await }
+                let frontend = frontend.clone();
+                let context = request_context.clone();
+                async move { frontend.answer(&context, request).await }
             };
-            callers.serve(&context, LEAVE, handler).await;
-            tracing::info!("callers drained");
+            callers.serve(&context, DRAIN_ACCEPT_TIME, handler).await;
+            tracing::info!("callers' requests drained");
             context.drained();
         };
         handle.add(duty::spawn("callers", &supervisor, serve)?);
 
-        let none: Route = Arc::new(|_| Box::pin(async { None }));
-        let watched = (health.clone(), none.clone());
+        let no_routes: Route = Arc::new(|_| Box::pin(async { None }));
+        let metrics_inputs = (health.clone(), no_routes.clone());
         let serve = move |context: duty::Context| async move {
-            let knows = move || is_ready(&site, &crashes, clock.now());
-            let ready = admin(context.clone(), ready, health, knows, none);
-            let (health, none) = watched;
-            let metrics = admin(context, metrics, health, || true, none);
+            let is_ready_now = move || is_ready(&site, &crashes, clock.now());
+            let ready = admin(context.clone(), ready, health, is_ready_now, no_routes);
+            let (health, no_routes) = metrics_inputs;
+            let metrics = admin(context, metrics, health, || true, no_routes);
             tokio::join!(ready, metrics);
         };
         handle.add(duty::spawn("admin", &supervisor, serve)?);
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,7 +1,7 @@
-//! The client of the platform's table.
+//! The client of the platform's store.
 
 use super::{
-    store_probe::{PROBES, ProbePace},
+    store_probe::{PROBE_TABLE, ProbeSchedule},
     store_wire::{
         WireKey,
         WireListing,
@@ -32,57 +32,62 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError}, //
 };
 
-/// A client of the table; clones share their connections.
+/// A client of the store; clones share their connections and what they learned.
 #[derive(Clone)]
 pub struct Store {
     pub(super) clock: Clock,
-    patience: Arc<Mutex<Patience>>,
-    pub(super) pace: Arc<ProbePace>,
+    call_timeout: Arc<Mutex<Patience>>,
+    pub(super) probe_schedule: Arc<ProbeSchedule>,
     pub(super) peer: Peer,
     pub(super) reach: Arc<Reach>,
-    /// The store's clock as read last, and when that was.
-    time: Arc<Mutex<Option<(Millis, Millis)>>>,
+    /// The store's clock in its latest answer, and the local time when it arrived.
+    latest_time: Arc<Mutex<Option<(Millis, Millis)>>>,
 }
 
-/// The most rows in one answer of the store.
-pub const ROWS_MOST: usize = 500;
+/// The maximum number of rows that the store returns in one answer.
+pub const MAX_READ_ROWS: usize = 500;
 
-/// What a call for changes may take beyond the time that the store holds it.
-const FEED_SLACK: Millis = Millis(600);
+/// How much longer a call for changes may take than the store is asked to wait.
+const FEED_EXTRA_TIMEOUT: Millis = Millis(600);
 
 impl Store {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn open(address: SocketAddr, clock: Clock) -> Self {
         Self {
             clock,
-            pace: Arc::default(),
-            patience: Arc::default(),
+            probe_schedule: Arc::default(),
+            call_timeout: Arc::default(),
             peer: Peer::open(address, clock),
             reach: Arc::default(),
-            time: Arc::default(),
+            latest_time: Arc::default(),
         }
     }
 
-    /// Whether the store does not answer this process.
-    pub fn is_away(&self) -> bool {
+    /// Whether the store is unreachable from this process.
+    pub fn is_unreachable(&self) -> bool {
         self.reach.is_away()
     }
 
-    /// The store's clock, by the last answer; the local one before any.
+    /// The present time by the store's clock, extrapolated from its latest answer; the
+    /// local time before the first answer.
     pub fn now(&self) -> Millis {
         let now = self.clock.now();
-        let time = self.time.lock().unwrap_or_else(PoisonError::into_inner);
+        let time = self
+            .latest_time
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         match *time {
             Some((store, local)) => store + now.since(local),
             None => now,
         }
     }
 
-    /// Does `transaction`, whose rows share one part.
+    /// Executes `transaction`, whose rows must all have the same part.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unknown`] when it may have been done, or may be done later.
+    /// Unless [`StoreError::is_not_done`], the transaction may have taken effect, or may
+    /// do so later.
     pub async fn transact(&self, transaction: &Transaction) -> Result<Outcome, StoreError> {
         let expected = transaction.expect.iter().map(|(key, revision)| WireKey {
             ver: Some(*revision),
@@ -101,8 +106,8 @@
             message: error.to_string(),
         })?;
         let path = "/redwingpond/rows-tx";
-        let answer = self.prompt(Method::POST, path, body).await?;
-        let wire: WireListing = self.read(&answer)?;
+        let answer = self.call_adaptive(Method::POST, path, body).await?;
+        let wire: WireListing = self.decode_answer(&answer)?;
         match answer.status {
             StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict {
                 rows: rows(wire.records),
@@ -111,28 +116,29 @@
         }
     }
 
-    /// The rows of `part` from the key `from` on, as many as one answer holds.
+    /// Reads the rows of `part` from the key `from` on, at most `limit` and as many as one
+    /// answer contains.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] when the store did not answer, or said why it can't.
+    /// [`StoreError`] when the store did not answer or refused the call.
     pub async fn rows(
         &self,
         table: &str,
         part: &str,
         from: &str,
-        most: usize,
+        limit: usize,
     ) -> Result<Listing, StoreError> {
-        let mut path = format!("/redwingpond/rows-get?table={table}&part={part}&limit={most}");
+        let mut path = format!("/redwingpond/rows-get?table={table}&part={part}&limit={limit}");
         if !from.is_empty() {
             path.push_str("&from=");
             path.push_str(from);
         }
-        let answer = self.prompt(Method::GET, &path, Vec::new()).await?;
+        let answer = self.call_adaptive(Method::GET, &path, Vec::new()).await?;
         self.listing(&answer)
     }
 
-    /// The row that `key` names.
+    /// Reads the row at `key`.
     ///
     /// # Errors
     ///
@@ -142,37 +148,36 @@
         Ok(listing.rows.into_iter().find(|row| row.key == key.key))
     }
 
-    /// Asks whether the store answers this process; waits a while for one that is away.
+    /// Checks that the store answers this process; waits a while for an unreachable one.
     ///
     /// # Errors
     ///
     /// As [`Store::rows`].
-    pub async fn ask(&self) -> Result<(), StoreError> {
-        self.rows(PROBES, "", "", 1).await.map(|_| ())
+    pub async fn check_reachable(&self) -> Result<(), StoreError> {
+        self.rows(PROBE_TABLE, "", "", 1).await.map(|_| ())
     }
 
-    /// All rows of `part`, over as many calls as it takes. The revision is that
-    /// of the first call, from which its changes can be followed.
+    /// Reads all rows of `part` in as many calls as needed. The listing has the revision
+    /// of the first call, so that following the changes after it misses none.
     ///
     /// # Errors
     ///
     /// As [`Store::rows`].
     pub async fn whole_part(&self, table: &str, part: &str) -> Result<Listing, StoreError> {
-        let mut whole = self.rows(table, part, "", ROWS_MOST).await?;
+        let mut whole = self.rows(table, part, "", MAX_READ_ROWS).await?;
         while whole.more {
-            // The next answer begins with the last row of this one, which
-            // takes its place.
+            // The next answer starts with this last row again, possibly changed.
             let Some(last) = whole.rows.pop() else {
                 break;
             };
-            let next = self.rows(table, part, &last.key, ROWS_MOST).await?;
+            let next = self.rows(table, part, &last.key, MAX_READ_ROWS).await?;
             whole.more = next.more && next.rows.len() > 1;
             whole.rows.extend(next.rows);
         }
         Ok(whole)
     }
 
-    /// The parts of `table`, and the revision before they were read.
+    /// Reads the names of all parts of `table`, and the revision before they were read.
     ///
     /// # Errors
     ///
@@ -186,8 +191,8 @@
                 path.push_str("&startAfter=");
                 path.push_str(last);
             }
-            let answer = self.prompt(Method::GET, &path, Vec::new()).await?;
-            let wire: WireListing = self.read(&answer)?;
+            let answer = self.call_adaptive(Method::GET, &path, Vec::new()).await?;
+            let wire: WireListing = self.decode_answer(&answer)?;
             revision = revision.min(wire.ver);
             let last = wire.parts.is_empty();
             all.extend(wire.parts);
@@ -197,60 +202,66 @@
         }
     }
 
-    /// The rows of `table` that changed after the revision `after`, waited for
-    /// at most `hold`.
+    /// Reads the rows of `table` that changed after the revision `after`. Without such
+    /// rows, the store waits for a change, at most for `hold`.
     ///
     /// # Errors
     ///
-    /// [`StoreError::HistoryLost`] when the store no longer keeps them.
+    /// [`StoreError::HistoryLost`] when the store no longer keeps these changes.
     pub async fn changes(
         &self,
         table: &str,
         after: u64,
         hold: Millis,
     ) -> Result<Listing, StoreError> {
-        // The first answer after an outage tells that it is over: it must not wait for
-        // a change.
+        // The first answer after an outage shows that the outage is over, so it must not
+        // be delayed until something changes.
         let hold = match self.reach.is_away() {
             true => Millis(0),
             false => hold,
         };
-        self.wait_back(FEED_SLACK).await?;
+        self.wait_reachable(FEED_EXTRA_TIMEOUT).await?;
         let path = format!(
             "/redwingpond/rows-feed?table={table}&startAfter={after}&waitMs={}",
             hold.0
         );
-        let within = hold + FEED_SLACK;
+        let within = hold + FEED_EXTRA_TIMEOUT;
         let answer = self.call(Method::GET, &path, Vec::new(), within).await?;
         self.listing(&answer)
     }
 
-    /// A call that the store answers at once, as far as it can.
-    async fn prompt(
+    /// Sends a call that the store answers without waiting. The timeout follows the
+    /// latency of earlier calls.
+    async fn call_adaptive(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Answer, StoreError> {
-        let within = self.patience().wait(self.clock.now());
-        self.wait_back(within).await?;
-        let began = self.clock.now();
+        let within = self.call_timeout().wait(self.clock.now());
+        self.wait_reachable(within).await?;
+        let started = self.clock.now();
         let result = self.call(method, path, body, within).await;
         let now = self.clock.now();
-        let taken = now.since(began);
-        // A connection that is refused or breaks at once tells nothing.
+        let taken = now.since(started);
+        // A connection that is refused or breaks before the timeout says nothing about
+        // the store's latency.
         match &result {
-            Ok(_) => self.patience().note(now, taken),
-            Err(_) if taken >= within => self.patience().give_up(),
+            Ok(_) => self.call_timeout().note(now, taken),
+            Err(_) if taken >= within => self.call_timeout().give_up(),
             Err(_) => {}
         }
         result
     }
 
-    fn patience(&self) -> MutexGuard<'_, Patience> {
-        self.patience.lock().unwrap_or_else(PoisonError::into_inner)
+    fn call_timeout(&self) -> MutexGuard<'_, Patience> {
+        self.call_timeout
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Sends a call and records its result. A call that is still open when an outage ends
+    /// is given up, as its connection may be dead.
     async fn call(
         &self,
         method: Method,
@@ -270,8 +281,8 @@
         let returns = self.reach.returns();
         let result = tokio::select! {
             answer = self.peer.call(request, within) => {
-                let result = outcome(answer);
-                self.note(&result);
+                let result = classify_answer(answer);
+                self.record_result(&result);
                 result
             }
             () = self.reach.returned_since(returns) => {
@@ -289,8 +300,9 @@
         result
     }
 
+    /// Decodes an answer as a listing of rows.
     fn listing(&self, answer: &Answer) -> Result<Listing, StoreError> {
-        let wire: WireListing = self.read(answer)?;
+        let wire: WireListing = self.decode_answer(answer)?;
         Ok(Listing {
             rows: rows(wire.records),
             more: wire.has_more,
@@ -298,19 +310,24 @@
         })
     }
 
-    fn read(&self, answer: &Answer) -> Result<WireListing, StoreError> {
+    /// Decodes an answer, and records the store's clock from it.
+    fn decode_answer(&self, answer: &Answer) -> Result<WireListing, StoreError> {
         let value: WireListing =
             serde_json::from_slice(&answer.body).map_err(|error| StoreError::InvalidMessage {
                 message: error.to_string(),
             })?;
         let local = self.clock.now();
-        let mut time = self.time.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut time = self
+            .latest_time
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         *time = Some((Millis(value.now_ms.max(0.0) as u64), local));
         Ok(value)
     }
 }
 
-fn outcome(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
+/// Turns answers with an error status into errors.
+fn classify_answer(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
     let answer = answer.map_err(|source| StoreError::Unknown { source })?;
     let status = answer.status.as_u16();
     match status {
@@ -320,7 +337,7 @@
         _ => {
             let body = String::from_utf8_lossy(&answer.body);
             let body: String = body.chars().take(200).collect();
-            tracing::error!(status, body, "the store refused a call");
+            tracing::error!(status, body, "store refused a call");
             Err(StoreError::Refused { status })
         }
     }
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -1,4 +1,4 @@
-//! Finds out when a store that is away answers again.
+//! Probes an unreachable store until it answers again.
 
 use super::store::Store;
 use crate::{
@@ -19,92 +19,98 @@
 };
 use tokio::sync::Notify;
 
-/// A table that has no rows, for questions whether the store answers.
-pub(super) const PROBES: &str = "probes";
+/// A table without rows, read to check whether the store answers.
+pub(super) const PROBE_TABLE: &str = "probes";
 
-/// The question of a probe.
-const PROBE: &str = "/redwingpond/rows-get?table=probes&part=&limit=1";
+/// The path and query of a probe.
+const PROBE_PATH: &str = "/redwingpond/rows-get?table=probes&part=&limit=1";
 
-/// How often a store that is away is asked whether it is back. Results that are due
-/// wait for it, and trainers read them half a second later.
-const PROBE_EVERY: Millis = Millis(120);
+/// The default time between two probes. Results that are due wait until the store is
+/// reachable again, and trainers read them up to half a second after that.
+const PROBE_INTERVAL: Millis = Millis(120);
 
-/// How long a probe may take: a slow store takes sixty times as long as usual.
-const PROBE_WITHIN: Millis = Millis(500);
+/// How long a probe may take; a slow store takes sixty times as long as usual.
+const PROBE_TIMEOUT: Millis = Millis(500);
 
-/// Probes under way at once.
-const PROBES_MOST: usize = 4;
+/// The maximum number of probes in flight.
+const MAX_CONCURRENT_PROBES: usize = 4;
 
-/// How often this process asks a store that is away.
+/// When this process sends the next probe to an unreachable store.
 #[derive(Debug, Default)]
-pub(super) struct ProbePace {
-    now: Notify,
-    /// The time between two probes, in ms; 0 for [`PROBE_EVERY`].
-    seldom: AtomicU64,
+pub(super) struct ProbeSchedule {
+    /// Notified to send a probe at once.
+    wake: Notify,
+    /// The time between two probes, in ms; 0 for the default, [`PROBE_INTERVAL`].
+    interval_ms: AtomicU64,
 }
 
-impl ProbePace {
-    /// Waits until a probe is due.
-    async fn due(&self) {
-        let every = match self.seldom.load(Ordering::Relaxed) {
-            0 => PROBE_EVERY,
-            seldom => Millis(seldom),
+impl ProbeSchedule {
+    /// Waits until the next probe is due.
+    async fn wait_due(&self) {
+        let interval = match self.interval_ms.load(Ordering::Relaxed) {
+            0 => PROBE_INTERVAL,
+            interval_ms => Millis(interval_ms),
         };
         tokio::select! {
-            () = self.now.notified() => {}
-            () = tokio::time::sleep(every.as_duration()) => {}
+            () = self.wake.notified() => {}
+            () = tokio::time::sleep(interval.as_duration()) => {}
         }
     }
 }
 
 impl Store {
-    /// From now on a store that is away is asked once in `every`: another process tells
-    /// this one when it is back, and all together would ask for more than it takes.
-    pub fn probe_seldom(&self, every: Millis) {
-        self.pace.seldom.store(every.0, Ordering::Relaxed);
+    /// Sets the time between two probes while another process will report that the store
+    /// is reachable again. All processes probing at the default interval would send more
+    /// calls than the store accepts.
+    pub fn set_probe_interval(&self, interval: Millis) {
+        self.probe_schedule
+            .interval_ms
+            .store(interval.0, Ordering::Relaxed);
     }
 
-    /// From now on a store that is away is asked as often as helps.
-    pub fn probe_often(&self) {
-        self.pace.seldom.store(0, Ordering::Relaxed);
+    /// Returns to the default time between two probes.
+    pub fn reset_probe_interval(&self) {
+        self.probe_schedule.interval_ms.store(0, Ordering::Relaxed);
     }
 
-    /// The store may be back.
+    /// Probes an unreachable store at once, as it may be reachable again.
     pub fn probe_now(&self) {
         if self.reach.is_away() {
-            self.pace.now.notify_one();
+            self.probe_schedule.wake.notify_one();
         }
     }
 
-    /// Takes what a call showed of the store, and has it probed once it is away.
-    pub(super) fn note(&self, result: &Result<Answer, StoreError>) {
-        let silent = matches!(result, Err(StoreError::Unknown { .. }));
-        if !silent {
+    /// Records whether the store answered a call, and starts probing when it becomes
+    /// unreachable.
+    pub(super) fn record_result(&self, result: &Result<Answer, StoreError>) {
+        let unanswered = matches!(result, Err(StoreError::Unknown { .. }));
+        if !unanswered {
             self.reach.answer();
         } else if self.reach.miss() {
-            tracing::warn!("the store is away: it is probed");
+            tracing::warn!("store is unreachable; probing it");
             tokio::spawn(self.clone().probe());
         }
     }
 
-    /// Waits at most `within` for a store that is away.
-    pub(super) async fn wait_back(&self, within: Millis) -> Result<(), StoreError> {
+    /// Waits until the store is reachable, at most for `within`.
+    pub(super) async fn wait_reachable(&self, within: Millis) -> Result<(), StoreError> {
         let back = tokio::time::timeout(within.as_duration(), self.reach.back());
         back.await.map_err(|_| StoreError::Unreachable)
     }
 
-    /// Asks the store over new connections, one soon after the other, until it answers.
+    /// Sends probes over new connections until the store answers one. The connections from
+    /// before the outage are dropped then.
     async fn probe(self) {
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
-        let mut due = std::pin::pin!(self.pace.due());
+        let mut due = std::pin::pin!(self.probe_schedule.wait_due());
         while self.reach.is_away() {
             tokio::select! {
                 () = &mut due => {
-                    if probes.len() < PROBES_MOST {
+                    if probes.len() < MAX_CONCURRENT_PROBES {
                         probes.push(self.probe_once());
                     }
-                    due.set(self.pace.due());
+                    due.set(self.probe_schedule.wait_due());
                 }
                 Some(answered) = probes.next() => {
                     if answered {
@@ -114,19 +120,20 @@
                 }
             }
         }
-        tracing::info!("the store answers again");
+        tracing::info!("store is reachable again");
     }
 
+    /// Sends one probe; true when the store answers it.
     async fn probe_once(&self) -> bool {
         let peer = Peer::open(self.peer.address(), self.clock);
         let request = Request::builder()
-            .uri(PROBE)
+            .uri(PROBE_PATH)
             .header("host", self.peer.address().to_string())
             .body(Full::new(Bytes::new()));
         match request {
-            Ok(request) => peer.call(request, PROBE_WITHIN).await.is_ok(),
+            Ok(request) => peer.call(request, PROBE_TIMEOUT).await.is_ok(),
             Err(error) => {
-                tracing::error!(%error, "a probe can't be made");
+                tracing::error!(%error, "probe request could not be built");
                 false
             }
         }
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -144,7 +144,7 @@
 
     fn become_root(&self) {
         tracing::info!(group = self.identity.group, "became a root of the group");
-        self.store.probe_often();
+        self.store.reset_probe_interval();
         self.start_retaining_rows();
         self.set_role(Role::Root);
         self.role_decided.send_replace(true);
@@ -154,10 +154,10 @@
         tracing::info!(feeder = %parent.address, "joined a parent");
         // Others learn from the holder of a root slot that the store is back.
         match slots.is_held_by(self.identity.address) {
-            true => self.store.probe_often(),
+            true => self.store.reset_probe_interval(),
             false => {
                 let interval = CHILD_PROBE_INTERVAL + self.jitter(CHILD_PROBE_JITTER);
-                self.store.probe_seldom(interval);
+                self.store.set_probe_interval(interval);
             }
         }
         self.set_role(Role::Child(parent));
--- a/src/relay/root_slots.rs
+++ b/src/relay/root_slots.rs
@@ -60,7 +60,7 @@
     ///
     /// [`StoreError`] if the store is unreachable or the call failed.
     pub(super) async fn read(&mut self, relay: &Relay) -> Result<(), StoreError> {
-        if relay.store.is_away() {
+        if relay.store.is_unreachable() {
             return Err(StoreError::Unreachable);
         }
         let group = &relay.identity.group;
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -186,7 +186,7 @@
     /// reads the crashes of earlier attempts. A claim that its holder doesn't release is
     /// free after `timeout`.
     pub async fn claim_attempt(&self, request: Fingerprint, timeout: Millis) -> ClaimResult {
-        if self.store.is_away() {
+        if self.store.is_unreachable() {
             return ClaimResult::Unknown;
         }
         let key = attempt_key(request);
--- a/src/view/reach.rs
+++ b/src/view/reach.rs
@@ -22,7 +22,7 @@
     loop {
         // A process that reads the store itself notices when its calls for changes fail.
         let result = match relay.has_parent() {
-            true => relay.store().ask().await,
+            true => relay.store().check_reachable().await,
             false => Ok(()),
         };
         site.set_store_reachable(result.is_ok());
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -6,11 +6,11 @@
     platform::{
         CONFIG_KEY,
         EntryError,
-        NAMED_VERSION,
+        NAMED_VERSION_PREFIX,
         OPERATOR_TABLE,
         SERVERS_TABLE,
         read_config,
-        read_named,
+        read_named_version,
         read_server, //
     },
     relay::{DEFAULT_HOLD, FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
@@ -99,8 +99,8 @@
             Ok(config) => site.apply_config(config),
             Err(error) => tracing::error!(%error, "invalid configuration ignored"),
         }
-    } else if key.starts_with(NAMED_VERSION)
-        && let Some(named) = read_named(&value)
+    } else if key.starts_with(NAMED_VERSION_PREFIX)
+        && let Some(named) = read_named_version(&value)
     {
         site.set_named_version(named.model, named.version);
     }
