--- a/src/agent/gate.rs
+++ b/src/agent/gate.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     base::{Failure, Millis, WeightVersion},
-    engine::Engine,
+    engine::EngineClient,
     wire::EngineState, //
 };
 use std::{
@@ -42,7 +42,7 @@
 /// agent has no order for that model under way. So an order that came from
 /// here never changes weights under a generation.
 pub(super) struct Gate {
-    pub(super) engine: Engine,
+    pub(super) engine: EngineClient,
     confirmed: watch::Sender<Confirmed>,
     locks: RefCell<HashMap<String, Rc<RwLock<()>>>>,
     /// One order at a time.
@@ -52,7 +52,7 @@
 }
 
 impl Gate {
-    pub(super) fn new(engine: Engine) -> Self {
+    pub(super) fn new(engine: EngineClient) -> Self {
         Self {
             confirmed: watch::channel(Confirmed::default()).0,
             engine,
@@ -64,7 +64,7 @@
 
     /// Asks the engine now, and tells all who watch.
     pub(super) async fn confirm(&self) -> Result<Arc<EngineState>, Failure> {
-        let answer = self.engine.state().await;
+        let answer = self.engine.fetch_state().await;
         self.confirmed.send_modify(|confirmed| match &answer {
             Ok(state) => {
                 confirmed.failures = 0;
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -108,7 +108,7 @@
         let mut watch = self.gate.watch();
         watch.mark_unchanged();
         let priority = Priority::Live as u8 - self.priority as u8;
-        let completion = Completion::of(self.generation, &self.tokens, priority);
+        let completion = Completion::from_generation(self.generation, &self.tokens, priority);
         let mut stream = self.gate.engine.generate(&completion).await?;
         let mut seen = self.tokens.len();
 
--- a/src/agent/run_order.rs
+++ b/src/agent/run_order.rs
@@ -33,7 +33,7 @@
     let guard = lock.write().await;
     gate.pausing.send_replace(None);
 
-    let answer = gate.engine.order(order).await;
+    let answer = gate.engine.send_order(order).await;
     let settled = settle(gate, order).await;
     drop(guard);
     match (answer, settled) {
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -10,7 +10,7 @@
 use crate::{
     base::{Cause, Failure, Millis, RequestId},
     duty::{Context, Phase},
-    engine::Engine,
+    engine::EngineClient,
     policy::{
         agent_queue::AgentQueue,
         claims::Claims,
@@ -130,7 +130,7 @@
             context,
             done,
             fences: Rc::default(),
-            gate: engine.then(|| Rc::new(Gate::new(Engine::open(backend.address)))),
+            gate: engine.then(|| Rc::new(Gate::new(EngineClient::open(backend.address)))),
             jobs: SlotMap::with_key(),
             leaving: None,
             ledger: Ledger::new(MAX_ACCOUNTS),
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     base::Verdict,
-    net::{Answer, CallError},
+    net::{CallError, FullResponse},
     platform, //
 };
 use hyper::{
@@ -12,13 +12,13 @@
 
 /// What became of one attempt.
 #[derive(Debug)]
-pub(super) enum Attempt {
+pub(super) enum AttemptOutcome {
     /// The server's own whole answer, good or bad.
-    Answered(Answer),
+    Answered(FullResponse),
     /// Nothing that may be handed on.
     Failed {
         /// Whether it tells of the server's end.
-        end: End,
+        server_status: ServerStatus,
         reason: &'static str,
         /// Whether the failure speaks against the server.
         server_fault: bool,
@@ -26,7 +26,7 @@
     },
 }
 
-impl Attempt {
+impl AttemptOutcome {
     /// Whether its server has begun to run the request, or may have.
     pub(super) fn may_have_run(&self) -> bool {
         match self {
@@ -38,21 +38,21 @@
 
 /// What a failed attempt tells of its server's end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum End {
+pub(super) enum ServerStatus {
     /// Its connection broke amid the request: it may have ended.
-    Broke,
+    ConnectionLost,
     /// Nothing listens at its address, or another life does: it has ended.
     Gone,
     /// It answered.
-    Lives,
+    Alive,
     /// There is no telling.
     Unknown,
 }
 
-impl End {
+impl ServerStatus {
     pub(super) fn of(error: &CallError) -> Self {
         match error {
-            CallError::Broken { .. } => Self::Broke,
+            CallError::Broken { .. } => Self::ConnectionLost,
             _ if error.is_refused() => Self::Gone,
             _ => Self::Unknown,
         }
@@ -60,7 +60,7 @@
 }
 
 /// Judges what came back for the attempt of the request `id`.
-pub(super) fn judge(id: &str, outcome: Result<Answer, CallError>) -> Attempt {
+pub(super) fn classify(id: &str, outcome: Result<FullResponse, CallError>) -> AttemptOutcome {
     let answer = match outcome {
         Ok(answer) => answer,
         Err(error) => {
@@ -70,8 +70,8 @@
                 CallError::Timeout { .. } => "silence",
                 CallError::TooLarge { .. } => "too-large",
             };
-            return Attempt::Failed {
-                end: End::of(&error),
+            return AttemptOutcome::Failed {
+                server_status: ServerStatus::of(&error),
                 reason,
                 server_fault: true,
                 verdict: error.verdict(),
@@ -85,16 +85,20 @@
     let echoed = answer.headers.get(platform::ATTEMPT_ID);
     if is_refusal(answer.status, &answer.headers) {
         if matches!(answer.status.as_u16(), 429 | 503) {
-            return Attempt::Failed {
-                end: End::Lives,
+            return AttemptOutcome::Failed {
+                server_status: ServerStatus::Alive,
                 reason: "server-full",
                 server_fault: false,
                 verdict: Verdict::NotRun,
             };
         }
         let misdirected = answer.status == StatusCode::MISDIRECTED_REQUEST;
-        return Attempt::Failed {
-            end: if misdirected { End::Gone } else { End::Lives },
+        return AttemptOutcome::Failed {
+            server_status: if misdirected {
+                ServerStatus::Gone
+            } else {
+                ServerStatus::Alive
+            },
             reason: "misdirected",
             server_fault: true,
             verdict: Verdict::NotRun,
@@ -108,7 +112,7 @@
     if !sealed || encoded {
         return failed("unsealed-answer", true, Verdict::MayHaveRun);
     }
-    Attempt::Answered(answer)
+    AttemptOutcome::Answered(answer)
 }
 
 /// Whether a server's answer says that it did not run the request.
@@ -116,9 +120,9 @@
     platform::not_executed(headers) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-fn failed(reason: &'static str, server_fault: bool, verdict: Verdict) -> Attempt {
-    Attempt::Failed {
-        end: End::Unknown,
+fn failed(reason: &'static str, server_fault: bool, verdict: Verdict) -> AttemptOutcome {
+    AttemptOutcome::Failed {
+        server_status: ServerStatus::Unknown,
         reason,
         server_fault,
         verdict,
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -1,9 +1,9 @@
 //! A call, and how it ended.
 
-use super::Watched;
+use super::StreamAttempt;
 use crate::{
     base::{Fingerprint, Millis},
-    net::{Answer, Opened},
+    net::{FullResponse, StreamingResponse},
     routing::{Route, Workspace}, //
 };
 use bytes::Bytes;
@@ -27,7 +27,7 @@
     pub path: String,
     pub route: Arc<Route>,
     /// When its caller or its route gives it up.
-    pub until: Millis,
+    pub deadline: Millis,
     /// The workspace that asks; it goes by the key that the caller showed.
     pub workspace: Option<Arc<Workspace>>,
 }
@@ -43,10 +43,10 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// A server's whole answer, to be handed on unchanged. `failures` servers
     /// answered that they failed, this one included if it did.
-    Answered { answer: Answer, failures: u32 },
+    Answered { answer: FullResponse, failures: u32 },
     /// It may have run, and its answer is lost; `failures` servers answered
     /// that they failed.
     Lost { failures: u32, reason: String },
@@ -57,9 +57,9 @@
 }
 
 /// How the opening of a stream ended.
-pub enum StreamEnd {
+pub enum StreamOutcome {
     /// A server answers; its body is still to be read.
-    Opened(Box<Opened>, Watched),
+    Opened(Box<StreamingResponse>, StreamAttempt),
     /// It may have run, and its answer is lost.
     Lost { reason: String },
     /// It did not run and will not; it is worth asking again after the wait.
--- a/src/calls/caller.rs
+++ b/src/calls/caller.rs
@@ -2,17 +2,17 @@
 
 use super::{
     Call,
-    CallEnd,
-    StreamEnd,
-    Watched,
-    attempt::{Attempt, is_refusal},
-    book::Book,
-    look::{QUARANTINE, WAIT_QUARANTINE},
-    run::Run, //
+    CallOutcome,
+    StreamAttempt,
+    StreamOutcome,
+    attempt::{AttemptOutcome, is_refusal},
+    call_run::CallRun, //
+    crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE},
+    server_records::ServerRecords,
 };
 use crate::{
     base::{Clock, Millis, stable_hash},
-    net::{Answer, CallError, Peer},
+    net::{CallError, FullResponse, Peer},
     platform,
     policy::{
         freshness::WAIT_STALE,
@@ -20,7 +20,7 @@
         server_choice::{Candidate, choose},
         typical::Typical, //
     },
-    routing::{Kind, Life, Server},
+    routing::{RouteKind, Server, ServerIncarnation},
     usage::Counter,
     view::{Crashes, Site}, //
 };
@@ -36,10 +36,10 @@
 /// Sends calls to backend servers and keeps what it learns of them.
 pub struct Caller {
     /// The caller's data centre.
-    home: String,
+    data_centre: String,
     pub(crate) crashes: Arc<Crashes>,
     /// For the looks that outlast their call.
-    pub(super) me: Weak<Self>,
+    pub(super) weak_self: Weak<Self>,
     pub(super) site: Arc<Site>,
     state: Mutex<State>,
     /// Counts what callers' requests begin; `None` where nobody asks for that.
@@ -47,68 +47,68 @@
 }
 
 pub(super) struct State {
-    pub(super) book: Book,
+    pub(super) servers: ServerRecords,
     pub(super) budget: RetryBudget,
     peers: HashMap<SocketAddr, Peer>,
     /// What a service's answers take.
-    services: HashMap<String, Typical>,
+    typical_latency: HashMap<String, Typical>,
 }
 
 impl State {
-    fn typical(&self, service: &str) -> f64 {
-        let known = self.services.get(service).copied();
+    fn typical_latency(&self, service: &str) -> f64 {
+        let known = self.typical_latency.get(service).copied();
         known.unwrap_or_default().value()
     }
 }
 
 /// An attempt's server and when it was sent.
 #[derive(Clone)]
-pub(super) struct Sent {
-    pub(super) at: Millis,
+pub(super) struct SentAttempt {
+    pub(super) sent_at: Millis,
     pub(super) server: Arc<Server>,
 }
 
 /// Refusals by full servers don't count as attempts, but a call that was
 /// refused this often isn't sent on: all servers are full.
-pub(super) const REFUSALS_MOST: u32 = 3;
+pub(super) const MAX_REFUSALS: u32 = 3;
 
 /// The share of successes that pays for second attempts beside slow first
 /// ones. Second attempts after a failure are bounded by the route.
-const HEDGE_SHARE: f64 = 0.3;
+const HEDGES_PER_SUCCESS: f64 = 0.3;
 
 /// How much longer than a call its attempts may last. The call's own end comes
 /// first then: it is no failure of a server that was given too little time.
-const AFTER_END: Millis = Millis(250);
+const ATTEMPT_GRACE: Millis = Millis(250);
 
 /// Why a call is refused whose key may have been taken away.
-pub(super) const STALE: &str = "configuration-not-confirmed";
+pub(super) const STALE_REASON: &str = "configuration-not-confirmed";
 
 /// When a call that no server took is worth asking again: about what one call
 /// takes, so that a slot is likely to be free.
-pub(super) const WAIT_FULL: Millis = Millis(60);
+pub(super) const RETRY_AFTER_FULL: Millis = Millis(60);
 
 /// When a call for which no server is known is worth asking again: servers
 /// announce themselves within a second or two.
-pub(super) const WAIT_NO_SERVER: Millis = Millis(300);
+pub(super) const RETRY_AFTER_NO_SERVER: Millis = Millis(300);
 
 impl Caller {
     /// A caller in the data centre `home`.
     pub fn new(
         site: Arc<Site>,
         crashes: Arc<Crashes>,
-        home: &str,
+        data_centre: &str,
         usage: Option<Arc<Counter>>,
     ) -> Arc<Self> {
-        Arc::new_cyclic(|me| Self {
+        Arc::new_cyclic(|weak_self| Self {
             crashes,
-            home: home.to_owned(),
-            me: me.clone(),
+            data_centre: data_centre.to_owned(),
+            weak_self: weak_self.clone(),
             site,
             state: Mutex::new(State {
-                book: Book::default(),
-                budget: RetryBudget::new(HEDGE_SHARE),
+                servers: ServerRecords::default(),
+                budget: RetryBudget::new(HEDGES_PER_SUCCESS),
                 peers: HashMap::new(),
-                services: HashMap::new(),
+                typical_latency: HashMap::new(),
             }),
             usage,
         })
@@ -116,87 +116,87 @@
 
     /// Runs `call` to its end. Dropping the future closes the connections of
     /// its attempts, which tells their servers to stop.
-    pub async fn run(&self, call: &Call) -> CallEnd {
+    pub async fn run(&self, call: &Call) -> CallOutcome {
         let now = self.site.now();
-        if call.until <= now {
-            return CallEnd::TimedOut;
+        if call.deadline <= now {
+            return CallOutcome::TimedOut;
         }
-        let left = call.until - now;
-        let run = Run::new(self, call);
+        let left = call.deadline - now;
+        let run = CallRun::new(self, call);
         match tokio::time::timeout(left.as_duration(), run.run()).await {
             Ok(end) => end,
-            Err(_) => CallEnd::TimedOut,
+            Err(_) => CallOutcome::TimedOut,
         }
     }
 
     /// Runs `call` until a server begins to answer. It is sent on to another
     /// server only when one says that it did not run it.
-    pub async fn open_stream(self: &Arc<Self>, call: &Call) -> StreamEnd {
+    pub async fn open_stream(self: &Arc<Self>, call: &Call) -> StreamOutcome {
         let mut tried = Vec::new();
         let mut reason = "no-server";
         let trial = self.take_trial(call).await;
-        for _ in 0..=REFUSALS_MOST {
+        for _ in 0..=MAX_REFUSALS {
             // Its caller opens a stream anew after each end of a server.
             if self.is_barred(call, trial.is_some() && tried.is_empty()) {
-                return StreamEnd::NotRun {
-                    reason: QUARANTINE.to_owned(),
-                    wait: WAIT_QUARANTINE,
+                return StreamOutcome::NotRun {
+                    reason: QUARANTINE_REASON.to_owned(),
+                    wait: RETRY_AFTER_QUARANTINE,
                 };
             }
-            if self.is_stale(call) {
-                return StreamEnd::NotRun {
-                    reason: STALE.to_owned(),
+            if self.is_config_stale(call) {
+                return StreamOutcome::NotRun {
+                    reason: STALE_REASON.to_owned(),
                     wait: WAIT_STALE,
                 };
             }
-            let Some(server) = self.pick(call, &tried) else {
+            let Some(server) = self.choose_server(call, &tried) else {
                 break;
             };
-            tried.push(server.life.clone());
-            let at = self.site.now();
-            let left = call.until.since(at);
+            tried.push(server.incarnation.clone());
+            let sent_at = self.site.now();
+            let left = call.deadline.since(sent_at);
             let peer = self.peer(server.address);
             let request = Self::request(call, &server, left);
-            let sent = Sent {
-                at,
+            let sent = SentAttempt {
+                sent_at,
                 server: server.clone(),
             };
-            let watched = Watched::open(self, call.fingerprint, sent);
+            let watched = StreamAttempt::open(self, call.fingerprint, sent);
             let opened = peer.open_stream(request, left).await;
             let error = match opened {
                 Ok(opened) if is_refusal(opened.status, &opened.headers) => {
-                    watched.replied();
+                    watched.record_reply();
                     reason = "server-full";
                     continue;
                 }
                 Ok(opened) => {
-                    self.count(call, at);
-                    return StreamEnd::Opened(Box::new(opened), watched);
+                    self.count_usage(call, sent_at);
+                    return StreamOutcome::Opened(Box::new(opened), watched);
                 }
                 Err(error) => error,
             };
-            watched.failed(&error).await;
-            let (request, server) = (call.fingerprint, &server.life.id);
+            watched.fail(&error).await;
+            let (request, server) = (call.fingerprint, &server.incarnation.id);
             tracing::info!(call = call.id, %request, server, %error, "stream not opened");
             reason = "no-connection";
             if error.verdict().may_have_run() {
-                self.count(call, at);
+                self.count_usage(call, sent_at);
                 let reason = "connection-broke".to_owned();
-                return StreamEnd::Lost { reason };
+                return StreamOutcome::Lost { reason };
             }
         }
         let wait = match tried.is_empty() {
-            true => WAIT_NO_SERVER,
-            false => WAIT_FULL,
+            true => RETRY_AFTER_NO_SERVER,
+            false => RETRY_AFTER_FULL,
         };
         let reason = reason.to_owned();
-        StreamEnd::NotRun { reason, wait }
+        StreamOutcome::NotRun { reason, wait }
     }
 
     /// Whether `call` shows a key of which the store has not told for too long
     /// whether it still holds. Looked at before each attempt: the call may have
     /// waited, or this process have been frozen, since it came.
-    pub(super) fn is_stale(&self, call: &Call) -> bool {
+    pub(super) fn is_config_stale(&self, call: &Call) -> bool {
         call.workspace.is_some() && !self.site.is_fresh()
     }
 
@@ -214,7 +214,7 @@
         }
         *request.headers_mut() = call.headers.clone();
         platform::set_deadline(request.headers_mut(), left);
-        platform::set_instance(request.headers_mut(), &server.life.id);
+        platform::set_instance(request.headers_mut(), &server.incarnation.id);
         platform::set_priority(request.headers_mut(), call.priority());
         let workspace = call.workspace.as_ref();
         let workspace = workspace.map(|workspace| workspace.name.as_str());
@@ -226,22 +226,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn pick(&self, call: &Call, tried: &[Life]) -> Option<Arc<Server>> {
+    pub(super) fn choose_server(
+        &self,
+        call: &Call,
+        tried: &[ServerIncarnation],
+    ) -> Option<Arc<Server>> {
         let service = call.route.service_of(&call.id)?;
         let now = self.site.now();
         let mut servers: Vec<Arc<Server>> =
             self.site.directory().serving(service).cloned().collect();
-        servers.sort_by(|a, b| a.life.id.cmp(&b.life.id));
-        let usual = self.typical(service);
+        servers.sort_by(|a, b| a.incarnation.id.cmp(&b.incarnation.id));
+        let usual = self.typical_latency(service);
         let state = self.state();
         let candidates: Vec<_> = servers
             .iter()
             .map(|server| {
-                let tried = tried.contains(&server.life);
+                let tried = tried.contains(&server.incarnation);
                 let peer = state.peers.get(&server.address);
                 Candidate {
                     connected: peer.is_some_and(Peer::is_connected),
-                    ..state.book.candidate(server, &self.home, tried, usual, now)
+                    ..state
+                        .servers
+                        .candidate(server, &self.data_centre, tried, usual, now)
                 }
             })
             .collect();
@@ -255,7 +261,7 @@
             trusted,
             ..
         } = candidates[chosen];
-        let (id, latency, of) = (&server.life.id, latency as u64, candidates.len());
+        let (id, latency, of) = (&server.incarnation.id, latency as u64, candidates.len());
         tracing::info!(
             call = call.id,
             request = %call.fingerprint,
@@ -278,76 +284,85 @@
         peer.or_insert_with(|| Peer::open(address, clock)).clone()
     }
 
-    pub(super) async fn send(&self, call: &Call, sent: Sent) -> (Sent, Result<Answer, CallError>) {
-        let left = call.until.since(self.site.now());
+    pub(super) async fn send(
+        &self,
+        call: &Call,
+        sent: SentAttempt,
+    ) -> (SentAttempt, Result<FullResponse, CallError>) {
+        let left = call.deadline.since(self.site.now());
         let request = Self::request(call, &sent.server, left);
         {
             let mut state = self.state();
-            state.book.begin(&sent.server.life, sent.at);
-            state.book.ask(&sent.server.life, call.fingerprint);
+            state
+                .servers
+                .begin_call(&sent.server.incarnation, sent.sent_at);
+            state
+                .servers
+                .add_pending(&sent.server.incarnation, call.fingerprint);
         }
-        let mut running = Running {
+        let mut running = InFlightGuard {
             call,
             caller: self,
-            done: false,
+            completed: false,
             sent: &sent,
         };
-        let within = left + AFTER_END;
+        let within = left + ATTEMPT_GRACE;
         let peer = self.peer(sent.server.address);
         let answer = match call.route.kind {
-            Kind::Safe => peer.call(request, within).await,
-            Kind::Batch | Kind::Stream { .. } | Kind::Unsafe => {
+            RouteKind::Safe => peer.call(request, within).await,
+            RouteKind::Batch | RouteKind::Stream { .. } | RouteKind::Unsafe => {
                 peer.call_once(request, within).await
             }
         };
-        running.done = true;
+        running.completed = true;
         drop(running);
         (sent, answer)
     }
 
     /// Counts an attempt that a server has begun, or may have.
-    pub(super) fn count(&self, call: &Call, sent: Millis) {
+    pub(super) fn count_usage(&self, call: &Call, sent_at: Millis) {
         if let (Some(usage), Some(workspace)) = (&self.usage, &call.workspace) {
-            usage.note(&workspace.name, sent);
+            usage.note(&workspace.name, sent_at);
         }
     }
 
     /// Notes what an attempt showed of its server.
-    pub(super) fn learn(&self, call: &Call, sent: &Sent, attempt: &Attempt) {
+    pub(super) fn record_outcome(&self, call: &Call, sent: &SentAttempt, attempt: &AttemptOutcome) {
         if attempt.may_have_run() {
-            self.count(call, sent.at);
+            self.count_usage(call, sent.sent_at);
         }
         let now = self.site.now();
-        let taken = now.since(sent.at).0 as f64;
-        let server = &sent.server.life;
+        let taken = now.since(sent.sent_at).0 as f64;
+        let server = &sent.server.incarnation;
         let mut state = self.state();
-        let open = state
-            .book
-            .settle(server, call.fingerprint, sent.at, attempt, now);
+        let open =
+            state
+                .servers
+                .record_outcome(server, call.fingerprint, sent.sent_at, attempt, now);
         if open {
-            self.look_later(&sent.server, call.fingerprint);
+            self.check_later(&sent.server, call.fingerprint);
         }
         match attempt {
-            Attempt::Answered(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 if let Some(load) = platform::server_load(&answer.headers) {
-                    state.book.report(server, now, load);
+                    state.servers.record_load(server, now, load);
                 }
                 if answer.status.is_server_error() {
                     return;
                 }
                 state.budget.succeed();
-                let service = state.services.entry(sent.server.service.clone());
+                let service = state.typical_latency.entry(sent.server.service.clone());
                 let typical = service.or_default();
                 let usual = typical.value();
                 typical.note(taken);
-                state.book.succeed(server, now, usual, taken);
+                state.servers.record_success(server, now, usual, taken);
             }
-            Attempt::Failed {
+            AttemptOutcome::Failed {
                 reason,
                 server_fault,
                 ..
             } => {
-                let out = *server_fault && state.book.fail(server, now);
+                let out = *server_fault && state.servers.record_failure(server, now);
                 drop(state);
                 let (request, call) = (call.fingerprint, &call.id);
                 let (server, taken) = (&server.id, taken as u64);
@@ -360,36 +375,36 @@
     }
 
     /// What calls to `service` usually take, in ms.
-    pub(super) fn typical(&self, service: &str) -> f64 {
-        self.state().typical(service)
+    pub(super) fn typical_latency(&self, service: &str) -> f64 {
+        self.state().typical_latency(service)
     }
 }
 
 /// Counts an attempt as under way until it is dropped.
-struct Running<'a> {
+struct InFlightGuard<'a> {
     call: &'a Call,
     caller: &'a Caller,
     /// Whether it ended by itself.
-    done: bool,
-    sent: &'a Sent,
+    completed: bool,
+    sent: &'a SentAttempt,
 }
 
-impl Drop for Running<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let now = self.caller.site.now();
-        let server = &self.sent.server.life;
+        let server = &self.sent.server.incarnation;
         let mut state = self.caller.state();
-        state.book.end(server);
-        if !self.done {
-            self.caller.count(self.call, self.sent.at);
+        state.servers.end_call(server);
+        if !self.completed {
+            self.caller.count_usage(self.call, self.sent.sent_at);
             // Another server was faster, or the caller left: the time waited
             // says how slow this one is at least.
-            let waited = now.since(self.sent.at).0 as f64;
-            let usual = state.typical(&self.sent.server.service);
-            state.book.lag(server, now, usual, waited);
-            if state.book.leave(server, self.call.fingerprint, now) {
+            let waited = now.since(self.sent.sent_at).0 as f64;
+            let usual = state.typical_latency(&self.sent.server.service);
+            state.servers.record_min_latency(server, now, usual, waited);
+            if state.servers.abandon(server, self.call.fingerprint, now) {
                 self.caller
-                    .look_later(&self.sent.server, self.call.fingerprint);
+                    .check_later(&self.sent.server, self.call.fingerprint);
             }
         }
     }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,15 +1,15 @@
 //! Calls to backend servers: choice, attempts, what may be repeated, answers.
 
 mod attempt;
-mod book;
 mod call;
+mod call_run;
 mod caller;
-mod look;
-mod run;
-mod watched;
+mod crash_check;
+mod server_records;
+mod stream_attempt;
 
 pub use self::{
-    call::{Call, CallEnd, StreamEnd},
+    call::{Call, CallOutcome, StreamOutcome},
     caller::Caller,
-    watched::Watched, //
+    stream_attempt::StreamAttempt, //
 };
--- /dev/null
+++ b/src/calls/stream_attempt.rs
@@ -0,0 +1,84 @@
+//! An attempt whose answer is read while it arrives.
+
+use super::{
+    attempt::ServerStatus,
+    caller::{Caller, SentAttempt}, //
+    server_records::LostRequest,
+};
+use crate::{
+    base::{Fingerprint, Millis},
+    net::CallError, //
+};
+use std::sync::Arc;
+
+/// Counts a request as under way at its server until its answer has come or is
+/// given up, which is when this is dropped.
+pub struct StreamAttempt {
+    caller: Arc<Caller>,
+    request: Fingerprint,
+    sent: SentAttempt,
+}
+
+impl StreamAttempt {
+    /// `request` is about to be sent.
+    pub(super) fn open(caller: &Arc<Caller>, request: Fingerprint, sent: SentAttempt) -> Self {
+        let caller = caller.clone();
+        caller
+            .state()
+            .servers
+            .add_pending(&sent.server.incarnation, request);
+        Self {
+            caller,
+            request,
+            sent,
+        }
+    }
+
+    /// The server answered, or said that it won't.
+    pub fn record_reply(&self) {
+        let (server, sent_at) = (&self.sent.server.incarnation, self.sent.sent_at);
+        self.caller
+            .state()
+            .servers
+            .record_reply(server, self.request, sent_at);
+    }
+
+    /// The whole answer came.
+    pub fn complete(&self) {
+        self.record_reply();
+        self.caller.crashes.survived(self.request);
+    }
+
+    /// The request failed with `error`: finds out whether its server has ended.
+    pub async fn fail(&self, error: &CallError) {
+        let status = ServerStatus::of(error);
+        let now = self.caller.site.now();
+        let lost = LostRequest {
+            sent_at: self.sent.sent_at,
+            verdict: error.verdict(),
+        };
+        self.record_loss(lost, now);
+        self.caller.check_server(&self.sent.server, status).await;
+    }
+
+    fn record_loss(&self, lost: LostRequest, now: Millis) {
+        let server = &self.sent.server.incarnation;
+        let mut state = self.caller.state();
+        state.servers.record_loss(server, self.request, lost, now);
+    }
+}
+
+impl Drop for StreamAttempt {
+    fn drop(&mut self) {
+        let now = self.caller.site.now();
+        let server = &self.sent.server.incarnation;
+        let is_pending = self
+            .caller
+            .state()
+            .servers
+            .abandon(server, self.request, now);
+        if is_pending {
+            self.caller.check_later(&self.sent.server, self.request);
+        }
+    }
+}
--- a/src/engine/client.rs
+++ b/src/engine/client.rs
@@ -25,11 +25,11 @@
 
 /// A client of one engine.
 #[derive(Clone, Debug)]
-pub struct Engine {
+pub struct EngineClient {
     address: SocketAddr,
-    orders: JsonClient,
-    states: JsonClient,
-    streams: Client<HttpConnector, Full<Bytes>>,
+    order_client: JsonClient,
+    state_client: JsonClient,
+    stream_client: Client<HttpConnector, Full<Bytes>>,
 }
 
 /// How long the engine may take to tell its state.
@@ -38,16 +38,16 @@
 /// How long the engine may take to load weights.
 const ORDER_TIMEOUT: Millis = Millis(30_000);
 
-impl Engine {
+impl EngineClient {
     /// A client of the engine at `address`.
     pub fn open(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Self {
             address,
-            orders: JsonClient::open(address, ORDER_TIMEOUT),
-            states: JsonClient::open(address, STATE_TIMEOUT),
-            streams: Client::builder(TokioExecutor::new())
+            order_client: JsonClient::open(address, ORDER_TIMEOUT),
+            state_client: JsonClient::open(address, STATE_TIMEOUT),
+            stream_client: Client::builder(TokioExecutor::new())
                 .pool_timer(TokioTimer::new())
                 .build(connector),
         }
@@ -64,7 +64,7 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))?;
-        let answer = self.streams.request(request).await.map_err(|error| {
+        let answer = self.stream_client.request(request).await.map_err(|error| {
             let verdict = match error.is_connect() {
                 true => Verdict::NotRun,
                 false => Verdict::MayHaveRun,
@@ -89,11 +89,14 @@
     }
 
     /// Gives an order; the engine answers when it has done it or failed.
-    pub async fn order(&self, order: &Order) -> Result<(), Failure> {
+    pub async fn send_order(&self, order: &Order) -> Result<(), Failure> {
         let body = serde_json::to_vec(order)
             .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))?;
-        let answer = self.orders.call(Method::POST, "/v1/orders", body).await;
-        match answer.map_err(unreachable)? {
+        let answer = self
+            .order_client
+            .call(Method::POST, "/v1/orders", body)
+            .await;
+        match answer.map_err(transport_failure)? {
             (StatusCode::OK, _) => Ok(()),
             (StatusCode::CONFLICT, _) => {
                 let detail = "the engine has seen a newer fencing number";
@@ -107,9 +110,12 @@
     }
 
     /// Asks for the engine's state.
-    pub async fn state(&self) -> Result<EngineState, Failure> {
-        let answer = self.states.call(Method::GET, "/v1/state", Vec::new()).await;
-        let (status, body) = answer.map_err(unreachable)?;
+    pub async fn fetch_state(&self) -> Result<EngineState, Failure> {
+        let answer = self
+            .state_client
+            .call(Method::GET, "/v1/state", Vec::new())
+            .await;
+        let (status, body) = answer.map_err(transport_failure)?;
         if status != StatusCode::OK {
             let detail = format!("the engine answered with status {status}");
             return Err(Failure::may_have_run(Cause::BackendBroken, detail));
@@ -119,6 +125,6 @@
     }
 }
 
-fn unreachable(error: HttpError) -> Failure {
+fn transport_failure(error: HttpError) -> Failure {
     Failure::new(error.verdict, Cause::BackendUnreachable, error.to_string())
 }
--- a/src/engine/completion.rs
+++ b/src/engine/completion.rs
@@ -27,7 +27,11 @@
 
 impl Completion {
     /// The request that goes on behind `done`.
-    pub fn of(generation: &crate::wire::Generation, done: &Tokens, priority: u8) -> Self {
+    pub fn from_generation(
+        generation: &crate::wire::Generation,
+        done: &Tokens,
+        priority: u8,
+    ) -> Self {
         Self {
             done: done.iter().map(str::to_owned).collect(),
             max_tokens: generation.sampling.max_tokens,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -5,7 +5,7 @@
 mod stream;
 
 pub use self::{
-    client::Engine,
+    client::EngineClient,
     completion::{Choice, Chunk, Completion, Delta, Message},
     stream::{EngineEvent, TokenStream}, //
 };
--- a/src/engine/stream.rs
+++ b/src/engine/stream.rs
@@ -29,7 +29,7 @@
 }
 
 /// The data of the event that ends a whole answer.
-const DONE: &str = "[DONE]";
+const DONE_MARKER: &str = "[DONE]";
 
 impl TokenStream {
     pub(super) fn new(body: Incoming) -> Self {
@@ -45,24 +45,26 @@
         loop {
             let event = self.events.next().await;
             let Some(Ok(event)) = event else {
-                return Err(broken("the engine's stream was cut"));
+                return Err(protocol_failure("the engine's stream was cut"));
             };
             let Some(data) = event.data else {
                 continue;
             };
-            if data == DONE {
-                let finish = self.finish.ok_or_else(|| broken("no finish reason"))?;
+            if data == DONE_MARKER {
+                let finish = self
+                    .finish
+                    .ok_or_else(|| protocol_failure("no finish reason"))?;
                 return Ok(EngineEvent::Finished(finish));
             }
-            if let Some(token) = self.take(&data)? {
+            if let Some(token) = self.parse_chunk(&data)? {
                 return Ok(EngineEvent::Token(token));
             }
         }
     }
 
-    fn take(&mut self, data: &str) -> Result<Option<String>, Failure> {
-        let chunk: Chunk =
-            serde_json::from_str(data).map_err(|_| broken("an event is not understood"))?;
+    fn parse_chunk(&mut self, data: &str) -> Result<Option<String>, Failure> {
+        let chunk: Chunk = serde_json::from_str(data)
+            .map_err(|_| protocol_failure("an event is not understood"))?;
         let Some(choice) = chunk.choices.into_iter().next() else {
             return Ok(None);
         };
@@ -75,6 +77,6 @@
     }
 }
 
-fn broken(detail: &str) -> Failure {
+fn protocol_failure(detail: &str) -> Failure {
     Failure::may_have_run(Cause::BackendBroken, detail)
 }
--- a/src/gateway/door.rs
+++ b/src/gateway/door.rs
@@ -172,8 +172,12 @@
     let route = config.route(host(head), head.uri.path());
     let route = route.ok_or(Refusal::NoRoute)?.clone();
     let credential = platform::credential(&head.headers);
-    let workspace = access::judge(config.workspaces.as_ref(), route.open, credential)
-        .map_err(Refusal::Denied)?;
+    let workspace = access::judge(
+        config.workspaces.as_ref(),
+        route.allow_anonymous,
+        credential,
+    )
+    .map_err(Refusal::Denied)?;
     Ok(Admitted {
         config: config.clone(),
         route,
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -12,7 +12,7 @@
     calls::{Call, Caller},
     duty::{Answer, Context, Phase},
     platform::{self, BatchCall, Ingress},
-    routing::{Kind, Route, Workspace}, //
+    routing::{Route, RouteKind, Workspace}, //
 };
 use bytes::Bytes;
 use http_body_util::{
@@ -109,8 +109,8 @@
         };
         let host = door::host(&head);
         let path = head.uri.path();
-        let until = until(arrived, &route, &head);
-        let left = until.since(self.clock.now());
+        let deadline = deadline(arrived, &route, &head);
+        let left = deadline.since(self.clock.now());
         let read = read_body(body, config.limits.body_bytes);
         let body = match tokio::time::timeout(left.as_duration(), read).await {
             Ok(Ok(body)) => body,
@@ -123,14 +123,14 @@
         let Ok(id) = id.to_str() else {
             return reply::status(StatusCode::BAD_REQUEST, "the request's id is not text");
         };
-        if route.kind == Kind::Batch && head.method == hyper::Method::POST {
+        if route.kind == RouteKind::Batch && head.method == hyper::Method::POST {
             let from = Submitter {
                 host,
                 path,
                 priority: workspace.as_ref().and_then(|workspace| workspace.priority),
                 workspace: workspace.as_ref().map(|workspace| workspace.name.as_str()),
             };
-            return self.batches.submit(id, from, &body, until).await;
+            return self.batches.submit(id, from, &body, deadline).await;
         }
 
         let target = head.uri.path_and_query();
@@ -151,12 +151,12 @@
             method: head.method.clone(),
             path: target,
             route,
-            until,
+            deadline,
             workspace,
         };
         match call.route.kind {
-            Kind::Stream { .. } => streams::answer(&self.caller, call).await,
-            Kind::Batch | Kind::Safe | Kind::Unsafe => {
+            RouteKind::Stream { .. } => streams::answer(&self.caller, call).await,
+            RouteKind::Batch | RouteKind::Safe | RouteKind::Unsafe => {
                 plain::answer(&self.caller, &call, arrived).await
             }
         }
@@ -174,7 +174,7 @@
 
 /// When the request is given up: at its caller's deadline or its route's
 /// timeout, whichever comes first.
-fn until(arrived: Millis, route: &Route, head: &Parts) -> Millis {
+fn deadline(arrived: Millis, route: &Route, head: &Parts) -> Millis {
     let route_end = arrived + route.timeout;
     match platform::caller_deadline(&head.headers) {
         Some(deadline) => route_end.min(arrived + deadline),
--- a/src/gateway/plain.rs
+++ b/src/gateway/plain.rs
@@ -3,7 +3,7 @@
 use super::reply;
 use crate::{
     base::Millis,
-    calls::{Call, CallEnd, Caller},
+    calls::{Call, CallOutcome, Caller},
     duty::Answer, //
 };
 use hyper::StatusCode;
@@ -14,16 +14,16 @@
     let taken = caller.clock().now().since(arrived).0;
     let (id, route) = (&call.id, &call.route.name);
     match end {
-        CallEnd::Answered { answer, .. } => {
+        CallOutcome::Answered { answer, .. } => {
             let status = answer.status.as_u16();
             tracing::info!(call = id, route, status, taken, "answered");
             reply::of_server(answer)
         }
-        CallEnd::Lost { reason, .. } => {
+        CallOutcome::Lost { reason, .. } => {
             tracing::warn!(call = id, route, reason, taken, "lost: it may have run");
             reply::status(StatusCode::BAD_GATEWAY, "the answer is lost")
         }
-        CallEnd::NotRun { reason, wait } => {
+        CallOutcome::NotRun { reason, wait } => {
             tracing::warn!(
                 call = id,
                 route,
@@ -34,7 +34,7 @@
             );
             reply::refusal(wait, "no server took the request")
         }
-        CallEnd::TimedOut => {
+        CallOutcome::TimedOut => {
             tracing::warn!(call = id, route, taken, "timed out: it may have run");
             reply::status(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
         }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -39,7 +39,7 @@
 }
 
 /// A server's whole answer, unchanged but for what concerns one connection.
-pub(super) fn of_server(answer: net::Answer) -> Answer {
+pub(super) fn of_server(answer: net::FullResponse) -> Answer {
     let body = Full::new(answer.body).map_err(|never| match never {});
     let mut reply = Response::new(body.boxed_unsync());
     *reply.status_mut() = answer.status;
--- a/src/gateway/streams.rs
+++ b/src/gateway/streams.rs
@@ -2,7 +2,7 @@
 
 use super::reply;
 use crate::{
-    calls::{Call, Caller, StreamEnd},
+    calls::{Call, Caller, StreamOutcome},
     duty::Answer,
     platform, //
 };
@@ -21,14 +21,14 @@
 
 /// Runs `call` and answers its caller with the server's events as they come.
 pub(super) async fn answer(caller: &Arc<Caller>, call: Call) -> Answer {
-    let until = call.until;
+    let deadline = call.deadline;
     let (opened, watched) = match caller.open_stream(&call).await {
-        StreamEnd::Opened(opened, watched) => (opened, watched),
-        StreamEnd::Lost { reason } => {
+        StreamOutcome::Opened(opened, watched) => (opened, watched),
+        StreamOutcome::Lost { reason } => {
             tracing::warn!(call = call.id, reason, "stream lost: it may have run");
             return reply::status(StatusCode::BAD_GATEWAY, "the answer is lost");
         }
-        StreamEnd::NotRun { reason, wait } => {
+        StreamOutcome::NotRun { reason, wait } => {
             tracing::warn!(
                 call = call.id,
                 reason,
@@ -50,21 +50,21 @@
         let id = id.clone();
         async move {
             let (mut body, watched) = open?;
-            let left = until.since(clock.now());
+            let left = deadline.since(clock.now());
             match body.next(left).await {
                 Ok(Some(bytes)) => {
                     let frame = Frame::<Bytes>::data(bytes);
                     Some((Ok(frame), Some((body, watched))))
                 }
                 Ok(None) => {
-                    watched.whole();
+                    watched.complete();
                     None
                 }
                 Err(error) => {
                     // The caller's connection is cut, so that nobody takes a
                     // part for the whole.
                     tracing::warn!(call = id, %error, "stream broke off");
-                    watched.failed(&error).await;
+                    watched.fail(&error).await;
                     Some((Err(std::io::Error::other(error)), None))
                 }
             }
--- a/src/net/call_error.rs
+++ b/src/net/call_error.rs
@@ -29,8 +29,11 @@
     #[snafu(display("{address}: the answer exceeds {limit} bytes"))]
     TooLarge { address: SocketAddr, limit: usize },
     /// The peer stayed silent.
-    #[snafu(display("{address}: no answer within {within}"))]
-    Timeout { address: SocketAddr, within: Millis },
+    #[snafu(display("{address}: no answer within {timeout}"))]
+    Timeout {
+        address: SocketAddr,
+        timeout: Millis,
+    },
 }
 
 impl CallError {
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -4,7 +4,7 @@
     CallError,
     StreamBody,
     call_error::{BrokenSnafu, ConnectSnafu, TimeoutSnafu, TooLargeSnafu},
-    idle_line::{FRESH, IdleLine, closes, usable_until}, //
+    idle_connection::{FRESH_MAX_IDLE, IdleConnection, closes_connection, usable_until}, //
 };
 use crate::base::{
     Clock,
@@ -36,14 +36,14 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct FullResponse {
     pub body: Bytes,
     pub headers: HeaderMap,
     pub status: StatusCode,
 }
 
 /// An answer whose body is still to be read.
-pub struct Opened {
+pub struct StreamingResponse {
     pub body: StreamBody,
     pub headers: HeaderMap,
     pub status: StatusCode,
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct Peer {
     address: SocketAddr,
-    lines: Arc<Lines>,
+    pool: Arc<IdlePool>,
 }
 
 /// How long a connection may take to come about. A peer in another data centre
@@ -63,47 +63,49 @@
 
 /// How long sent bytes may stay unacknowledged before the system gives the
 /// connection up. A peer behind a partition sends nothing, not even a reset.
-const USER_TIMEOUT: Millis = Millis(3_000);
+const TCP_USER_TIMEOUT: Millis = Millis(3_000);
 
 /// How long a process that ends takes to close all that it has open.
-const CLOSING: Millis = Millis(10);
+const PROCESS_EXIT_TIME: Millis = Millis(10);
 
 /// Silence after which the system probes a kept connection, and between probes.
-const KEEPALIVE: std::time::Duration = std::time::Duration::from_secs(2);
+const TCP_KEEPALIVE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// The most connections kept idle to one address.
-const IDLE_MOST: usize = 32;
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 /// The largest answer that is taken whole.
-const ANSWER_MOST: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// The idle connections of one peer, newest last.
-pub(super) struct Lines {
+pub(super) struct IdlePool {
     clock: Clock,
-    idle: Mutex<Vec<IdleLine>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-impl Lines {
+impl IdlePool {
     pub(super) fn put(&self, sender: SendRequest<Full<Bytes>>, usable_until: Millis) {
-        let line = IdleLine {
+        let connection = IdleConnection {
             sender,
-            since: self.clock.now(),
+            idle_since: self.clock.now(),
             usable_until,
         };
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|line| !line.sender.is_closed());
-        if idle.len() < IDLE_MOST {
-            idle.push(line);
+        idle.retain(|connection| !connection.sender.is_closed());
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
     }
 
     /// The connection used last, which is the one least likely to be closed;
     /// with `fresh`, only one that was used a moment ago.
-    fn take(&self, fresh: bool) -> Option<IdleLine> {
+    fn take(&self, fresh_only: bool) -> Option<IdleConnection> {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|line| !line.sender.is_closed() && line.usable_until > now);
-        let stale = |line: &IdleLine| fresh && now.since(line.since) > FRESH;
+        idle.retain(|connection| !connection.sender.is_closed() && connection.usable_until > now);
+        let stale = |connection: &IdleConnection| {
+            fresh_only && now.since(connection.idle_since) > FRESH_MAX_IDLE
+        };
         match idle.last().is_some_and(stale) {
             true => None,
             false => idle.pop(),
@@ -120,13 +122,13 @@
     /// A peer at `address`, to which nothing is open yet.
     pub fn open(address: SocketAddr, clock: Clock) -> Self {
         let idle = Mutex::default();
-        let lines = Arc::new(Lines { clock, idle });
-        Self { address, lines }
+        let pool = Arc::new(IdlePool { clock, idle });
+        Self { address, pool }
     }
 
     /// Drops the kept connections: the peer was away, and they may be dead.
     pub fn forget_connections(&self) {
-        self.lines.clear();
+        self.pool.clear();
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -135,13 +137,15 @@
 
     /// Whether a connection is kept over which a request can go at once.
     pub fn is_connected(&self) -> bool {
-        let now = self.lines.clock.now();
+        let now = self.pool.clock.now();
         let idle = self
-            .lines
+            .pool
             .idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let usable = |line: &IdleLine| !line.sender.is_closed() && line.usable_until > now;
+        let usable = |connection: &IdleConnection| {
+            !connection.sender.is_closed() && connection.usable_until > now
+        };
         idle.iter().any(usable)
     }
 
@@ -153,9 +157,9 @@
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-    ) -> Result<Answer, CallError> {
-        self.whole(request, within, false).await
+        timeout: Millis,
+    ) -> Result<FullResponse, CallError> {
+        self.exchange(request, timeout, false).await
     }
 
     /// As [`Peer::call`], for a request that must run at most once: it goes
@@ -167,9 +171,9 @@
     pub async fn call_once(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-    ) -> Result<Answer, CallError> {
-        self.whole(request, within, true).await
+        timeout: Millis,
+    ) -> Result<FullResponse, CallError> {
+        self.exchange(request, timeout, true).await
     }
 
     /// Sends `request` and waits at most `within` for the head of the answer.
@@ -180,9 +184,9 @@
     pub async fn open_stream(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-    ) -> Result<Opened, CallError> {
-        self.bounded(self.start(request, false), within).await
+        timeout: Millis,
+    ) -> Result<StreamingResponse, CallError> {
+        self.with_timeout(self.send(request, false), timeout).await
     }
 
     /// Whether nothing listens at the peer's address any more, found out within
@@ -191,67 +195,71 @@
     /// A process that ends closes its connections and its listener one after the
     /// other. A connection that comes about in between is closed at once, or fails
     /// while it is set up: then it is looked at again a moment later.
-    pub async fn is_gone(&self, within: Millis) -> bool {
+    pub async fn refuses_connections(&self, timeout: Millis) -> bool {
         let look = async {
             loop {
-                let line = match self.connect().await {
-                    Ok(line) => Some(line),
+                let connection = match self.connect().await {
+                    Ok(connection) => Some(connection),
                     Err(error) if error.is_refused() => return true,
                     Err(_) => None,
                 };
-                tokio::time::sleep(CLOSING.as_duration()).await;
-                if let Some(line) = line.filter(|line| !line.is_closed()) {
-                    let until = usable_until(self.lines.clock.now(), &HeaderMap::new());
-                    self.lines.put(line, until);
+                tokio::time::sleep(PROCESS_EXIT_TIME.as_duration()).await;
+                if let Some(connection) = connection.filter(|connection| !connection.is_closed()) {
+                    let until = usable_until(self.pool.clock.now(), &HeaderMap::new());
+                    self.pool.put(connection, until);
                     return false;
                 }
             }
         };
-        let looked = tokio::time::timeout(within.as_duration(), look);
+        let looked = tokio::time::timeout(timeout.as_duration(), look);
         looked.await.unwrap_or(false)
     }
 
-    async fn whole(
+    async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-        fresh: bool,
-    ) -> Result<Answer, CallError> {
+        timeout: Millis,
+        fresh_only: bool,
+    ) -> Result<FullResponse, CallError> {
         let whole = async {
-            let opened = self.start(request, fresh).await?;
-            self.collect(opened, within).await
+            let opened = self.send(request, fresh_only).await?;
+            self.read_body(opened, timeout).await
         };
-        self.bounded(whole, within).await
+        self.with_timeout(whole, timeout).await
     }
 
-    async fn bounded<T>(
+    async fn with_timeout<T>(
         &self,
         work: impl Future<Output = Result<T, CallError>>,
-        within: Millis,
+        timeout: Millis,
     ) -> Result<T, CallError> {
-        match tokio::time::timeout(within.as_duration(), work).await {
+        match tokio::time::timeout(timeout.as_duration(), work).await {
             Ok(result) => result,
             Err(_) => {
                 // Open connections can go silent for good while new ones work:
                 // after a silence none of the kept ones is trusted.
-                self.lines.clear();
+                self.pool.clear();
                 let address = self.address;
-                TimeoutSnafu { address, within }.fail()
+                TimeoutSnafu { address, timeout }.fail()
             }
         }
     }
 
-    async fn collect(&self, mut opened: Opened, within: Millis) -> Result<Answer, CallError> {
+    async fn read_body(
+        &self,
+        mut opened: StreamingResponse,
+        timeout: Millis,
+    ) -> Result<FullResponse, CallError> {
         let mut body = BytesMut::new();
-        while let Some(part) = opened.body.next(within).await? {
+        while let Some(part) = opened.body.next(timeout).await? {
             let address = self.address;
-            let limit = ANSWER_MOST;
+            let limit = MAX_RESPONSE_BYTES;
             (body.len() + part.len() <= limit)
                 .then_some(())
                 .context(TooLargeSnafu { address, limit })?;
             body.extend_from_slice(&part);
         }
-        Ok(Answer {
+        Ok(FullResponse {
             body: body.freeze(),
             headers: opened.headers,
             status: opened.status,
@@ -260,7 +268,11 @@
 
     /// Sends over a kept connection, or over a new one when the kept one turns
     /// out to be closed before any byte of the request was written.
-    async fn start(&self, request: Request<Full<Bytes>>, fresh: bool) -> Result<Opened, CallError> {
+    async fn send(
+        &self,
+        request: Request<Full<Bytes>>,
+        fresh_only: bool,
+    ) -> Result<StreamingResponse, CallError> {
         let address = self.address;
         let mut request = request;
         if !request.headers().contains_key(HOST) {
@@ -270,13 +282,13 @@
                 .extend(host.ok().map(|host| (HOST, host)));
         }
 
-        while let Some(line) = self.lines.take(fresh) {
-            let mut sender = line.sender;
+        while let Some(connection) = self.pool.take(fresh_only) {
+            let mut sender = connection.sender;
             if sender.ready().await.is_err() {
                 continue;
             }
             match sender.try_send_request(request).await {
-                Ok(answer) => return Ok(self.opened(sender, answer)),
+                Ok(answer) => return Ok(self.streaming_response(sender, answer)),
                 Err(mut failed) => match failed.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(failed.into_error()).context(BrokenSnafu { address }),
@@ -287,23 +299,23 @@
         let mut sender = self.connect().await?;
         let answer = sender.send_request(request).await;
         let answer = answer.context(BrokenSnafu { address })?;
-        Ok(self.opened(sender, answer))
+        Ok(self.streaming_response(sender, answer))
     }
 
-    fn opened(
+    fn streaming_response(
         &self,
         sender: SendRequest<Full<Bytes>>,
         answer: hyper::Response<hyper::body::Incoming>,
-    ) -> Opened {
+    ) -> StreamingResponse {
         let (head, body) = answer.into_parts();
-        let sender = (!closes(&head.headers)).then_some(sender);
-        Opened {
+        let sender = (!closes_connection(&head.headers)).then_some(sender);
+        StreamingResponse {
             body: StreamBody {
                 address: self.address,
                 body,
-                lines: self.lines.clone(),
+                pool: self.pool.clone(),
                 sender,
-                usable_until: usable_until(self.lines.clock.now(), &head.headers),
+                usable_until: usable_until(self.pool.clock.now(), &head.headers),
             },
             headers: head.headers,
             status: head.status,
@@ -329,7 +341,7 @@
                 let refused = error.kind() == io::ErrorKind::ConnectionRefused;
                 failed(&error, refused)
             })?;
-        guard_against_silence(&stream).map_err(|error| failed(&error, false))?;
+        configure_socket(&stream).map_err(|error| failed(&error, false))?;
 
         let (sender, connection) = Builder::new()
             .max_buf_size(64 * 1024)
@@ -348,12 +360,12 @@
 
 /// Lets the system notice a peer that falls silent without a reset: unsent
 /// bytes time out, and idle connections are probed.
-fn guard_against_silence(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT.as_duration()))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT.as_duration()))?;
     let probes = socket2::TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE);
+        .with_time(TCP_KEEPALIVE_INTERVAL)
+        .with_interval(TCP_KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)
 }
--- a/src/net/stream_body.rs
+++ b/src/net/stream_body.rs
@@ -4,7 +4,7 @@
     CallError,
     call_error::BrokenSnafu,
     call_error::TimeoutSnafu,
-    peer::Lines, //
+    peer::IdlePool, //
 };
 use crate::base::Millis;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
     pub(super) address: SocketAddr,
     pub(super) body: Incoming,
     /// Where the connection goes back to once the body has ended.
-    pub(super) lines: Arc<Lines>,
+    pub(super) pool: Arc<IdlePool>,
     /// `None` once it was given back, or when the peer closes it.
     pub(super) sender: Option<SendRequest<Full<Bytes>>>,
     pub(super) usable_until: Millis,
@@ -41,15 +41,15 @@
     ///
     /// [`CallError::Broken`] when the body was cut off, [`CallError::Timeout`]
     /// when nothing came.
-    pub async fn next(&mut self, within: Millis) -> Result<Option<Bytes>, CallError> {
+    pub async fn next(&mut self, timeout: Millis) -> Result<Option<Bytes>, CallError> {
         let address = self.address;
         loop {
-            let frame = tokio::time::timeout(within.as_duration(), self.body.frame()).await;
+            let frame = tokio::time::timeout(timeout.as_duration(), self.body.frame()).await;
             let Ok(frame) = frame else {
-                return TimeoutSnafu { address, within }.fail();
+                return TimeoutSnafu { address, timeout }.fail();
             };
             let Some(frame) = frame else {
-                self.give_back();
+                self.release_connection();
                 return Ok(None);
             };
             let frame = frame.context(BrokenSnafu { address })?;
@@ -59,9 +59,9 @@
         }
     }
 
-    fn give_back(&mut self) {
+    fn release_connection(&mut self) {
         if let Some(sender) = self.sender.take() {
-            self.lines.put(sender, self.usable_until);
+            self.pool.put(sender, self.usable_until);
         }
     }
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -3,7 +3,8 @@
 use crate::{
     base::Millis,
     routing::{
-        Config, EngineModel, KeyDigest, Kind, Limits, Route, Service, Target, Workspace, Workspaces,
+        Config, EngineModel, KeyDigest, Limits, Route, RouteKind, Service, Target, Workspace,
+        Workspaces,
     }, //
 };
 use serde::Deserialize;
@@ -124,8 +125,8 @@
     let limits = Limits {
         body_bytes: wire.limits.max_body_bytes,
         head_bytes: wire.limits.max_header_bytes,
-        head_time: millis(wire.limits.header_timeout_ms),
-        idle_time: millis(wire.limits.idle_timeout_ms),
+        head_timeout: millis(wire.limits.header_timeout_ms),
+        idle_timeout: millis(wire.limits.idle_timeout_ms),
     };
     let mut config = Config::new(wire.version, routes?, services, limits);
     config.workspaces = wire.tenants.map(workspaces);
@@ -148,12 +149,12 @@
 
 fn route(wire: WireRoute) -> Result<Route, ConfigError> {
     let kind = match wire.route_type.as_str() {
-        "rollout" => Kind::Batch,
-        "safe" => Kind::Safe,
-        "streaming" => Kind::Stream {
+        "rollout" => RouteKind::Batch,
+        "safe" => RouteKind::Safe,
+        "streaming" => RouteKind::Stream {
             resumable: wire.resumable,
         },
-        "unsafe" => Kind::Unsafe,
+        "unsafe" => RouteKind::Unsafe,
         found => {
             let route = wire.name;
             return TypeSnafu { route, found }.fail();
@@ -171,15 +172,15 @@
         targets.push(Target { service, weight: 1 });
     }
     Ok(Route {
-        attempts: wire.max_attempts.unwrap_or(1).max(1),
+        max_attempts: wire.max_attempts.unwrap_or(1).max(1),
         host: wire.host,
         item_ttl: millis(wire.item_ttl_s * 1_000.0),
         kind,
         name: wire.name,
-        open: wire.allow_anonymous,
+        allow_anonymous: wire.allow_anonymous,
         prefix: wire.path_prefix,
         priority: wire.priority,
-        results_due: millis(wire.result_deadline_ms),
+        result_deadline: millis(wire.result_deadline_ms),
         single_version: wire.single_version,
         targets,
         timeout: millis(wire.timeout_ms.unwrap_or(TIMEOUT_DEFAULT)),
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -7,8 +7,8 @@
 use crate::{
     base::Millis,
     batch::Item,
-    net::Answer,
-    routing::Weights, //
+    net::FullResponse,
+    routing::LoadedModel, //
 };
 use bytes::{
     Bytes,
@@ -45,7 +45,7 @@
     pub busy: bool,
     /// The orders that it has accepted in this life.
     pub orders: u64,
-    pub weights: Vec<Weights>,
+    pub weights: Vec<LoadedModel>,
 }
 
 #[derive(Deserialize)]
@@ -67,7 +67,7 @@
 }
 
 /// Decodes an engine's report.
-pub fn read_report(answer: &Answer) -> Option<EngineReport> {
+pub fn read_report(answer: &FullResponse) -> Option<EngineReport> {
     if answer.status != StatusCode::OK {
         tracing::debug!(status = answer.status.as_u16(), "no report");
         return None;
@@ -154,7 +154,7 @@
 }
 
 /// What the engine's answer to an order says.
-pub fn order_answer(answer: &Answer) -> OrderAnswer {
+pub fn order_answer(answer: &FullResponse) -> OrderAnswer {
     match answer.status.as_u16() {
         200 => OrderAnswer::Holds,
         202 => OrderAnswer::Accepted,
--- a/src/platform/server_entry.rs
+++ b/src/platform/server_entry.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     base::Millis,
-    routing::{Life, Server, Weights}, //
+    routing::{LoadedModel, Server, ServerIncarnation}, //
 };
 use serde::Deserialize;
 use snafu::{
@@ -66,7 +66,7 @@
         address: wire.address,
         data_centre: wire.zone,
         draining: wire.state == WireState::Draining,
-        life: Life::new(id, Millis(wire.born)),
+        incarnation: ServerIncarnation::new(id, Millis(wire.born)),
         models: weights(wire.models),
         service: wire.service,
         slots: wire.batch_slots,
@@ -82,10 +82,10 @@
     Port,
 }
 
-pub(super) fn weights(models: Vec<WireModel>) -> Vec<Weights> {
+pub(super) fn weights(models: Vec<WireModel>) -> Vec<LoadedModel> {
     models
         .into_iter()
-        .map(|model| Weights {
+        .map(|model| LoadedModel {
             model: model.name,
             version: model.version,
         })
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     base::{Clock, Millis},
-    net::{Answer, CallError, Peer, Reach},
+    net::{CallError, FullResponse, Peer, Reachability},
     policy::patience::Patience,
     store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
 };
@@ -39,7 +39,7 @@
     patience: Arc<Mutex<Patience>>,
     pub(super) pace: Arc<ProbePace>,
     pub(super) peer: Peer,
-    pub(super) reach: Arc<Reach>,
+    pub(super) reach: Arc<Reachability>,
     /// The store's clock as read last, and when that was.
     time: Arc<Mutex<Option<(Millis, Millis)>>>,
 }
@@ -65,7 +65,7 @@
 
     /// Whether the store does not answer this process.
     pub fn is_away(&self) -> bool {
-        self.reach.is_away()
+        self.reach.is_unreachable()
     }
 
     /// The store's clock, by the last answer; the local one before any.
@@ -211,7 +211,7 @@
     ) -> Result<Listing, StoreError> {
         // The first answer after an outage tells that it is over: it must not wait for
         // a change.
-        let hold = match self.reach.is_away() {
+        let hold = match self.reach.is_unreachable() {
             true => Millis(0),
             false => hold,
         };
@@ -231,7 +231,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         let within = self.patience().wait(self.clock.now());
         self.wait_back(within).await?;
         let began = self.clock.now();
@@ -257,7 +257,7 @@
         path: &str,
         body: Vec<u8>,
         within: Millis,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -267,19 +267,20 @@
             .map_err(|error| StoreError::Answer {
                 message: error.to_string(),
             })?;
-        let returns = self.reach.returns();
+        let returns = self.reach.recoveries();
         let result = tokio::select! {
-            answer = self.peer.call(request, within) => {
-                let result = outcome(answer);
-                self.note(&result);
-                result
-            }
-            () = self.reach.returned_since(returns) => {
-                let address = self.peer.address();
-                let source = CallError::Timeout { address, within };
-                Err(StoreError::Unknown { source })
-            }
-        };
+                   answer = self.peer.call(request, within) => {
+                       let result = outcome(answer);
+                       self.note(&result);
+                       result
+                   }
+                   () = self.reach.wait_recovery_after(returns) => {
+                       let address = self.peer.address();
+                       let source = CallError::Timeout {
+        address, timeout: within };
+                       Err(StoreError::Unknown { source })
+                   }
+               };
         let outcome = match &result {
             Ok(_) => "done",
             Err(StoreError::Unknown { .. }) => "unknown",
@@ -289,7 +290,7 @@
         result
     }
 
-    fn listing(&self, answer: &Answer) -> Result<Listing, StoreError> {
+    fn listing(&self, answer: &FullResponse) -> Result<Listing, StoreError> {
         let wire: WireListing = self.read(answer)?;
         Ok(Listing {
             rows: rows(wire.records),
@@ -298,7 +299,7 @@
         })
     }
 
-    fn read(&self, answer: &Answer) -> Result<WireListing, StoreError> {
+    fn read(&self, answer: &FullResponse) -> Result<WireListing, StoreError> {
         let value: WireListing =
             serde_json::from_slice(&answer.body).map_err(|error| StoreError::Answer {
                 message: error.to_string(),
@@ -310,7 +311,7 @@
     }
 }
 
-fn outcome(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
+fn outcome(answer: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
     let answer = answer.map_err(|source| StoreError::Unknown { source })?;
     let status = answer.status.as_u16();
     match status {
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -3,7 +3,7 @@
 use super::store::Store;
 use crate::{
     base::Millis,
-    net::{Answer, Peer},
+    net::{FullResponse, Peer},
     store::StoreError, //
 };
 use bytes::Bytes;
@@ -71,17 +71,17 @@
 
     /// The store may be back.
     pub fn probe_now(&self) {
-        if self.reach.is_away() {
+        if self.reach.is_unreachable() {
             self.pace.now.notify_one();
         }
     }
 
     /// Takes what a call showed of the store, and has it probed once it is away.
-    pub(super) fn note(&self, result: &Result<Answer, StoreError>) {
+    pub(super) fn note(&self, result: &Result<FullResponse, StoreError>) {
         let silent = matches!(result, Err(StoreError::Unknown { .. }));
         if !silent {
-            self.reach.answer();
-        } else if self.reach.miss() {
+            self.reach.record_answer();
+        } else if self.reach.record_miss() {
             tracing::warn!("the store is away: it is probed");
             tokio::spawn(self.clone().probe());
         }
@@ -89,7 +89,7 @@
 
     /// Waits at most `within` for a store that is away.
     pub(super) async fn wait_back(&self, within: Millis) -> Result<(), StoreError> {
-        let back = tokio::time::timeout(within.as_duration(), self.reach.back());
+        let back = tokio::time::timeout(within.as_duration(), self.reach.wait_reachable());
         back.await.map_err(|_| StoreError::Away)
     }
 
@@ -98,7 +98,7 @@
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
         let mut due = std::pin::pin!(self.pace.due());
-        while self.reach.is_away() {
+        while self.reach.is_unreachable() {
             tokio::select! {
                 () = &mut due => {
                     if probes.len() < PROBES_MOST {
@@ -109,7 +109,7 @@
                 Some(answered) = probes.next() => {
                     if answered {
                         self.peer.forget_connections();
-                        self.reach.answer();
+                        self.reach.record_answer();
                     }
                 }
             }
--- a/src/policy/access.rs
+++ b/src/policy/access.rs
@@ -37,7 +37,7 @@
     };
     let found = match credential {
         Credential::Absent => Err(Denial::Missing),
-        Credential::Key(key) => workspaces.holder(&key).ok_or(Denial::Unknown),
+        Credential::Key(key) => workspaces.by_key(&key).ok_or(Denial::Unknown),
         Credential::Malformed => Err(Denial::Malformed),
     };
     match found {
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     base::{Fingerprint, Millis},
-    routing::Life, //
+    routing::ServerIncarnation, //
 };
 use std::collections::{
     BTreeMap,
@@ -52,13 +52,13 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     answered: Answered,
-    requests: HashMap<Fingerprint, BTreeMap<Life, Millis>>,
+    requests: HashMap<Fingerprint, BTreeMap<ServerIncarnation, Millis>>,
 }
 
 impl Quarantine {
     /// The server `life` ended under `request`, `at` by the store's clock; false
     /// when that was known, or can't be remembered.
-    pub fn note(&mut self, request: Fingerprint, life: Life, at: Millis) -> bool {
+    pub fn note(&mut self, request: Fingerprint, life: ServerIncarnation, at: Millis) -> bool {
         if self.requests.len() >= REQUESTS_MOST && !self.requests.contains_key(&request) {
             return false;
         }
@@ -67,7 +67,7 @@
     }
 
     /// The crash counts no more.
-    pub fn forget(&mut self, request: Fingerprint, life: &Life) {
+    pub fn forget(&mut self, request: Fingerprint, life: &ServerIncarnation) {
         let Some(ended) = self.requests.get_mut(&request) else {
             return;
         };
@@ -79,7 +79,7 @@
 
     /// A server answered `request` at `now` and lives: what ended servers was
     /// another. Returns the lives that counted against it.
-    pub fn acquit(&mut self, request: Fingerprint, now: Millis) -> Vec<Life> {
+    pub fn acquit(&mut self, request: Fingerprint, now: Millis) -> Vec<ServerIncarnation> {
         self.answered.note(request, now);
         let ended = self.requests.remove(&request).unwrap_or_default();
         ended.into_keys().collect()
@@ -119,7 +119,7 @@
     }
 
     /// Crashes that are older than [`RETENTION`] at `now`, at most `most` of them.
-    pub fn expired(&self, now: Millis, most: usize) -> Vec<(Fingerprint, Life)> {
+    pub fn expired(&self, now: Millis, most: usize) -> Vec<(Fingerprint, ServerIncarnation)> {
         let all = self.requests.iter().flat_map(|(request, ended)| {
             let lives = ended.iter();
             lives.map(move |(life, at)| (*request, life, *at))
--- a/src/routing/config.rs
+++ b/src/routing/config.rs
@@ -29,8 +29,8 @@
 pub struct Limits {
     pub body_bytes: usize,
     pub head_bytes: usize,
-    pub head_time: Millis,
-    pub idle_time: Millis,
+    pub head_timeout: Millis,
+    pub idle_timeout: Millis,
 }
 
 /// One version of the configuration.
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     /// Counts the lives that were ever announced.
-    announced: u64,
+    last_sequence: u64,
     /// When the store was last found away, and since when it is back.
     outage: Option<Outage>,
     servers: HashMap<String, Entry>,
@@ -35,32 +35,33 @@
     /// When its announcement went while the store was away or just back.
     lapsed: bool,
     /// Its life's place in the order of first announcements.
-    order: u64,
+    sequence: u64,
     server: Arc<Server>,
 }
 
 /// How long after the store's return a living server's announcement may still
 /// be missing: the users' pages say about two seconds.
-pub const RETURN_GRACE: Millis = Millis(2_200);
+pub const RECOVERY_GRACE: Millis = Millis(2_200);
 
 impl Directory {
     /// A server announced itself or changed what it says.
     pub fn put(&mut self, server: Server) {
-        let known = self.servers.get(&server.life.id);
-        let known = known.filter(|entry| entry.server.life == server.life);
-        let order = match known {
-            Some(entry) => entry.order,
+        let known = self.servers.get(&server.incarnation.id);
+        let known = known.filter(|entry| entry.server.incarnation == server.incarnation);
+        let sequence = match known {
+            Some(entry) => entry.sequence,
             None => {
-                self.announced += 1;
-                self.announced
+                self.last_sequence += 1;
+                self.last_sequence
             }
         };
         let entry = Entry {
             lapsed: false,
-            order,
+            sequence,
             server: Arc::new(server),
         };
-        self.servers.insert(entry.server.life.id.clone(), entry);
+        self.servers
+            .insert(entry.server.incarnation.id.clone(), entry);
     }
 
     /// The announcement of `id` is gone.
@@ -90,26 +91,26 @@
     }
 
     /// Since when the store is away; `None` while it answers.
-    pub fn away_since(&self) -> Option<Millis> {
+    pub fn outage_start(&self) -> Option<Millis> {
         let outage = self.outage?;
         outage.ended.is_none().then_some(outage.began)
     }
 
     /// Drops lapsed servers whose grace is over; returns their ids.
-    pub fn settle(&mut self, now: Millis) -> Vec<String> {
+    pub fn remove_lapsed(&mut self, now: Millis) -> Vec<String> {
         if self.in_grace(now) {
             return Vec::new();
         }
-        let gone: Vec<String> = self
+        let expired: Vec<String> = self
             .servers
             .iter()
             .filter(|(_, entry)| entry.lapsed)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
+        for id in &expired {
             self.servers.remove(id);
         }
-        gone
+        expired
     }
 
     /// The server called `id`.
@@ -122,13 +123,14 @@
     /// crashed stays announced for some seconds beside its next life, which
     /// refused what was meant for the first. An entry of another service at the
     /// same address may be a stranger's, and would hide the server.
-    pub fn at(&self, address: SocketAddr, service: &str) -> Option<&Arc<Server>> {
-        let meant =
+    pub fn server_at(&self, address: SocketAddr, service: &str) -> Option<&Arc<Server>> {
+        let matches =
             |server: &Server| (server.address, server.service.as_str()) == (address, service);
         let entries = self.servers.values();
-        let there = entries.filter(|entry| meant(&entry.server));
-        let meant = there.max_by_key(|entry| (!entry.lapsed, !entry.server.draining, entry.order));
-        meant.map(|entry| &entry.server)
+        let candidates = entries.filter(|entry| matches(&entry.server));
+        let newest =
+            candidates.max_by_key(|entry| (!entry.lapsed, !entry.server.draining, entry.sequence));
+        newest.map(|entry| &entry.server)
     }
 
     /// The servers of `service` that take new requests.
@@ -145,7 +147,7 @@
             Some(Outage { ended: None, .. }) => true,
             Some(Outage {
                 ended: Some(ended), ..
-            }) => now.since(ended) < RETURN_GRACE,
+            }) => now.since(ended) < RECOVERY_GRACE,
         }
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -10,7 +10,7 @@
 pub use self::{
     config::{Config, EngineModel, Limits, Service},
     directory::Directory,
-    route::{Kind, Route, Target},
-    server::{Life, Server, Weights},
+    route::{Route, RouteKind, Target},
+    server::{LoadedModel, Server, ServerIncarnation},
     workspace::{Credential, KeyDigest, Workspace, Workspaces}, //
 };
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -7,7 +7,7 @@
 
 /// What may be done with a route's requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Submissions of batches, whose items run later.
     Batch,
     /// Requests that are idempotent.
@@ -29,19 +29,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The most backend servers that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     pub host: String,
     /// How long after its submission an item may be given up.
     pub item_ttl: Millis,
-    pub kind: Kind,
+    pub kind: RouteKind,
     pub name: String,
     /// Whether its requests need no key.
-    pub open: bool,
+    pub allow_anonymous: bool,
     pub prefix: String,
     /// How urgent its requests are; 0 is the most urgent.
     pub priority: Option<u32>,
     /// How long after its submission a batch's results are due.
-    pub results_due: Millis,
+    pub result_deadline: Millis,
     /// Whether a sample's tokens must all come from one weight version.
     pub single_version: bool,
     pub targets: Vec<Target>,
--- a/src/routing/server.rs
+++ b/src/routing/server.rs
@@ -5,7 +5,7 @@
 
 /// The weight version that a server holds of one model.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Weights {
+pub struct LoadedModel {
     pub model: String,
     pub version: u64,
 }
@@ -15,17 +15,17 @@
 /// A server may start again under its id. It then holds nothing of before, so
 /// what is remembered of a server is kept under its life, never under its id.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Life {
+pub struct ServerIncarnation {
     /// When it started, by the server's wall clock; 0 where servers don't tell.
-    pub born: Millis,
+    pub started_at: Millis,
     pub id: String,
 }
 
-impl Life {
-    /// The life of the server called `id` that began at `born`.
-    pub fn new(id: &str, born: Millis) -> Self {
+impl ServerIncarnation {
+    /// The life of the server called `id` that began at `started_at`.
+    pub fn new(id: &str, started_at: Millis) -> Self {
         Self {
-            born,
+            started_at,
             id: id.to_owned(),
         }
     }
@@ -38,8 +38,8 @@
     pub data_centre: String,
     /// It finishes what it has and takes nothing new.
     pub draining: bool,
-    pub life: Life,
-    pub models: Vec<Weights>,
+    pub incarnation: ServerIncarnation,
+    pub models: Vec<LoadedModel>,
     pub service: String,
     /// Requests that it works on at once.
     pub slots: u32,
--- a/src/routing/workspace.rs
+++ b/src/routing/workspace.rs
@@ -58,7 +58,7 @@
     }
 
     /// The workspace that holds `key`.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
+    pub fn by_key(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
         self.0.get(key)
     }
 }
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -7,7 +7,7 @@
         engine_life::{is_settled, present},
         pace::{Kind, Pace}, //
     },
-    routing::Life, //
+    routing::ServerIncarnation, //
 };
 
 /// A report this old says nothing of the engine any more.
@@ -25,14 +25,16 @@
         if let Some(server) = &announced {
             self.slots = server.slots.max(1);
         }
-        let announced_id = announced.as_ref().map(|server| server.life.id.as_str());
+        let announced_id = announced
+            .as_ref()
+            .map(|server| server.incarnation.id.as_str());
         let met = self.engine.met.borrow().clone();
         let confirmed = met.as_ref().is_some_and(|met| self.is_ours_since(met.at));
         let present = present(announced_id, met.as_ref(), confirmed);
 
         let started = announced
             .as_ref()
-            .map_or(Millis(0), |server| server.life.born);
+            .map_or(Millis(0), |server| server.incarnation.started_at);
         let fresh = self.report.as_ref().is_some_and(|(report, at)| {
             // A report from before the announced start is of the life before. With
             // the new id it made up a life that never was, and whose end counted
@@ -49,7 +51,7 @@
             .as_ref()
             .map_or(Millis(0), |(report, _)| report.born);
         let id = present.filter(|id| fresh && !draining(id));
-        let life = id.map(|id| Life::new(id, born));
+        let life = id.map(|id| ServerIncarnation::new(id, born));
         if met.is_some_and(|met| is_settled(announced_id, &met)) {
             self.engine.met.send_replace(None);
         }
@@ -63,7 +65,8 @@
         self.server.send_if_modified(|current| {
             let changed = *current != life;
             if changed {
-                let name = |life: &Option<Life>| life.as_ref().map(|life| life.id.clone());
+                let name =
+                    |life: &Option<ServerIncarnation>| life.as_ref().map(|life| life.id.clone());
                 let (engine, before) = (name(&life), name(current));
                 let born = born.0;
                 tracing::info!(?engine, born, ?before, fresh, "engine takes work or not");
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -175,7 +175,7 @@
                 index,
                 item,
                 least_version: head.least_version,
-                most_failures: route.attempts,
+                most_failures: route.max_attempts,
                 priority: head.priority.or(route.priority),
                 reclaimed: batch.reclaimed.contains(&bundle),
                 single_version: route.single_version,
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -190,7 +190,7 @@
                     beyond: batch
                         .head
                         .is_beyond(&batch.head.bundles[usize::from(bundle)]),
-                    due: batch.head.accepted + route.results_due,
+                    due: batch.head.accepted + route.result_deadline,
                     bundle,
                     claimed: batch.is_claimed_by(bundle, &self.instance, self.token),
                     order: batch.order_of(bundle),
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -8,10 +8,10 @@
 use crate::{
     base::{Asked, Clock, Fingerprint, Millis},
     batch::{Item, Partial, Sample, State},
-    net::{CallError, Opened, Peer},
+    net::{CallError, Peer, StreamingResponse},
     platform::{EngineRequest, EventReader, Store, instance_of, not_executed, version_of_head},
     policy::{engine_life::Met, pace::Pace, step_order::Rate},
-    routing::Life,
+    routing::ServerIncarnation,
     view::Crashes, //
 };
 use hyper::{
@@ -51,7 +51,7 @@
     pub(super) clock: Clock,
     pub(super) crashes: Arc<Crashes>,
     /// The life whose end a run saw last.
-    pub(super) lost: watch::Sender<Option<Life>>,
+    pub(super) lost: watch::Sender<Option<ServerIncarnation>>,
     /// A life of the engine that refused what was meant for another.
     pub(super) met: watch::Sender<Option<Met>>,
     /// What all runs tell of its pace.
@@ -62,7 +62,7 @@
     /// What its places take for an expected token.
     pub(super) rate: Arc<Mutex<Rate>>,
     /// The engine's present life while it takes work.
-    pub(super) server: watch::Receiver<Option<Life>>,
+    pub(super) server: watch::Receiver<Option<ServerIncarnation>>,
     pub(super) scorers: Arc<Scorers>,
     pub(super) store: Store,
     /// Items that wait here in quarantine.
@@ -83,9 +83,9 @@
     /// Waits until the engine has another life than `life`. A connection to an
     /// engine that lost power hangs: its runs began again only 2.5 s later, when
     /// their streams had paused too long.
-    async fn next_life(&self, life: &Life) {
+    async fn next_life(&self, life: &ServerIncarnation) {
         let mut server = self.server.clone();
-        let other = |now: &Option<Life>| now.as_ref().is_some_and(|now| now != life);
+        let other = |now: &Option<ServerIncarnation>| now.as_ref().is_some_and(|now| now != life);
         if server.wait_for(other).await.is_err() {
             // The work loop has ended, and with it all runs.
             std::future::pending::<()>().await;
@@ -313,7 +313,12 @@
     }
 }
 
-async fn run_once(engine: &Engine, task: &Task, server: &Life, text: &mut Text) -> Run {
+async fn run_once(
+    engine: &Engine,
+    task: &Task,
+    server: &ServerIncarnation,
+    text: &mut Text,
+) -> Run {
     let request = EngineRequest {
         after: text.last,
         host: &task.host,
@@ -350,14 +355,14 @@
 }
 
 /// Reads the rest of an answer that is not needed.
-async fn read_away(mut opened: Opened) {
+async fn read_away(mut opened: StreamingResponse) {
     while let Ok(Some(_)) = opened.body.next(REFUSAL_WITHIN).await {}
 }
 
 /// Reads events until the stream ends. Only whole events count: a stream that
 /// breaks off goes on after the last of them.
-async fn read(engine: &Engine, opened: Opened, task: &Task, text: &mut Text) -> Run {
-    let Opened {
+async fn read(engine: &Engine, opened: StreamingResponse, task: &Task, text: &mut Text) -> Run {
+    let StreamingResponse {
         mut body, headers, ..
     } = opened;
     let Some(mut version) = version_of_head(&headers) else {
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::{Asked, Fingerprint, Millis},
     batch::Scorer,
-    calls::{Call, CallEnd, Caller},
+    calls::{Call, CallOutcome, Caller},
     platform::{self, ATTEMPT_ID},
     policy::quarantine::Verdict,
     view::Site, //
@@ -61,7 +61,7 @@
                 tokio::time::sleep(AGAIN.as_duration()).await;
                 continue;
             };
-            let most_failures = route.attempts;
+            let most_failures = route.max_attempts;
             let call = Call {
                 body: scorer.body.clone(),
                 fingerprint,
@@ -69,18 +69,18 @@
                 id: scorer.id.clone(),
                 method: Method::POST,
                 path: scorer.path.clone(),
-                until: until.min(now + route.timeout),
+                deadline: until.min(now + route.timeout),
                 route,
                 workspace: None,
             };
             match self.caller.run(&call).await {
-                CallEnd::Answered { answer, .. } if answer.status.is_success() => {
+                CallOutcome::Answered { answer, .. } if answer.status.is_success() => {
                     let signature = platform::signature(&answer.headers);
                     if let Some(score) = signature.and_then(|value| value.to_str().ok()) {
                         return Score::Given(score.to_owned());
                     }
                 }
-                CallEnd::Answered {
+                CallOutcome::Answered {
                     answer,
                     failures: more,
                 } => {
@@ -88,11 +88,11 @@
                     let status = answer.status.as_u16();
                     tracing::info!(call = scorer.id, status, failures, "the scorer failed");
                 }
-                CallEnd::NotRun { wait, .. } => {
+                CallOutcome::NotRun { wait, .. } => {
                     tokio::time::sleep(wait.min(AGAIN_SUSPECT).as_duration()).await;
                 }
-                CallEnd::Lost { failures: more, .. } => failures += more,
-                CallEnd::TimedOut => {}
+                CallOutcome::Lost { failures: more, .. } => failures += more,
+                CallOutcome::TimedOut => {}
             }
             if failures >= most_failures {
                 return Score::GivenUp;
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -9,7 +9,7 @@
     base::{Fingerprint, Millis},
     net::CallError,
     policy::quarantine::Verdict,
-    routing::Life,
+    routing::ServerIncarnation,
     view::{Attempt, Claimed}, //
 };
 use std::sync::{
@@ -112,7 +112,7 @@
 pub(super) struct BrokenRun {
     at: Millis,
     attempt: Option<Attempt>,
-    life: Life,
+    life: ServerIncarnation,
     request: Fingerprint,
 }
 
@@ -124,9 +124,9 @@
 
 /// Whether `next` began after `life`. Where engines don't tell when they started, ids
 /// tell lives apart.
-fn is_later(next: &Life, life: &Life) -> bool {
-    let untold = next.born == Millis(0) && next.id != life.id;
-    next.born > life.born || untold
+fn is_later(next: &ServerIncarnation, life: &ServerIncarnation) -> bool {
+    let untold = next.started_at == Millis(0) && next.id != life.id;
+    next.started_at > life.started_at || untold
 }
 
 /// What becomes of an item after a run.
@@ -247,7 +247,7 @@
 
     /// Counts the end of the life `server` against `task` if it was not planned;
     /// true if so.
-    async fn look_after(&self, server: &Life, task: &Task, run: &Run) -> bool {
+    async fn look_after(&self, server: &ServerIncarnation, task: &Task, run: &Run) -> bool {
         let has_ended = match run {
             Run::Outlived => self.is_outlived(server),
             Run::Broken(CallError::Broken { .. }) => self.has_ended(server).await,
@@ -261,16 +261,18 @@
     }
 
     /// Whether the life `server`, whose connection broke, has ended and was not to.
-    async fn has_ended(&self, server: &Life) -> bool {
+    async fn has_ended(&self, server: &ServerIncarnation) -> bool {
         // Several runs lose their engine at once: what one of them found, and the work
         // loop by it, holds for all.
         let found = self.lost.borrow().as_ref() == Some(server);
         let present = self.server.borrow().clone();
         match present {
-            Some(present) if present == *server => found || self.peer.is_gone(LOOK_WITHIN).await,
+            Some(present) if present == *server => {
+                found || self.peer.refuses_connections(LOOK_WITHIN).await
+            }
             Some(_) => self.is_outlived(server),
             None if self.is_leaving(server) != Some(false) => false,
-            None => found || self.peer.is_gone(LOOK_WITHIN).await,
+            None => found || self.peer.refuses_connections(LOOK_WITHIN).await,
         }
     }
 
@@ -279,7 +281,7 @@
     ///
     /// An engine that is back at once looks as if it had not ended. Another attempt of
     /// the item before that is known would end another engine.
-    pub(super) fn settle_broken(&self, present: &Life, seen: Millis) {
+    pub(super) fn settle_broken(&self, present: &ServerIncarnation, seen: Millis) {
         self.broken().retain(|run| {
             let lives = run.life == *present && seen > run.at + REPORT_LATE;
             let ended = is_later(present, &run.life);
@@ -306,20 +308,20 @@
     }
 
     /// Whether a later life has taken the place of `server`, which was not to end.
-    fn is_outlived(&self, server: &Life) -> bool {
+    fn is_outlived(&self, server: &ServerIncarnation) -> bool {
         let next = self.server.borrow().clone();
         let is_later = next.is_some_and(|next| is_later(&next, server));
         is_later && self.is_leaving(server) != Some(true)
     }
 
     /// Whether a server called as `server` leaves; `None` where none is announced.
-    fn is_leaving(&self, server: &Life) -> Option<bool> {
+    fn is_leaving(&self, server: &ServerIncarnation) -> Option<bool> {
         let directory = self.scorers.site.directory();
         directory.get(&server.id).map(|known| known.draining)
     }
 
     /// Waits until the end of the life `server` is known to the work loop.
-    pub(super) async fn noticed(&self, server: &Life) {
+    pub(super) async fn noticed(&self, server: &ServerIncarnation) {
         let mut known = self.server.clone();
         let other = known.wait_for(|known| known.as_ref() != Some(server));
         // The work loop looks at the engine's reports; past this they are stale.
@@ -337,7 +339,7 @@
     /// Takes what a run tells of its item; `admitted` may have given its place back.
     pub(super) async fn settle(
         &self,
-        server: &Life,
+        server: &ServerIncarnation,
         task: &Task,
         run: &Run,
         admitted: (Option<Attempt>, Option<Place<'_>>),
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -14,7 +14,7 @@
     platform::{EngineReport, Store},
     policy::pace::Kind,
     relay::{BACKOFF_MOST, Followed, Following, HOLD, Relay, follow},
-    routing::Life,
+    routing::ServerIncarnation,
     store::Row,
     view::Site, //
 };
@@ -49,7 +49,7 @@
     pub(super) kind: Kind,
     pub(super) leaving: bool,
     /// The engine's newest life that took work; `None` before the first.
-    pub(super) life: Option<Life>,
+    pub(super) life: Option<ServerIncarnation>,
     /// The model whose weights the engine was ordered to take last.
     pub(super) changed: Option<String>,
     pub(super) order: Option<super::orders::Pending>,
@@ -62,7 +62,7 @@
     pub(super) report: Option<(EngineReport, Millis)>,
     pub(super) retention: Millis,
     /// The engine's present life while it takes work.
-    pub(super) server: watch::Sender<Option<Life>>,
+    pub(super) server: watch::Sender<Option<ServerIncarnation>>,
     pub(super) service: String,
     pub(super) site: Arc<Site>,
     pub(super) slots: u32,
@@ -88,7 +88,7 @@
     pub(super) instance: String,
     pub(super) relay: Arc<Relay>,
     pub(super) retention: Millis,
-    pub(super) server: watch::Sender<Option<Life>>,
+    pub(super) server: watch::Sender<Option<ServerIncarnation>>,
     pub(super) service: String,
     pub(super) site: Arc<Site>,
     pub(super) store: Store,
--- a/src/view/crash_row.rs
+++ b/src/view/crash_row.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::{Fingerprint, Millis},
     batch::{decode, encode},
-    routing::Life,
+    routing::ServerIncarnation,
     store::Key, //
 };
 use bytes::Bytes;
@@ -19,7 +19,7 @@
 /// One server's end under one request.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Crash {
-    pub(super) life: Life,
+    pub(super) life: ServerIncarnation,
     pub(super) request: Fingerprint,
 }
 
@@ -42,8 +42,8 @@
 impl Crash {
     /// The row's key: request, start of the server's life, its id.
     pub(super) fn key(&self) -> Key {
-        let Life { born, id } = &self.life;
-        let key = format!("{}/{}/{id}", self.request, born.0);
+        let ServerIncarnation { started_at, id } = &self.life;
+        let key = format!("{}/{}/{id}", self.request, started_at.0);
         Key::new(CRASHES, "", key)
     }
 
@@ -52,7 +52,7 @@
         let mut parts = key.splitn(3, '/');
         let request = Fingerprint::parse(parts.next()?)?;
         let born = Millis(parts.next()?.parse().ok()?);
-        let life = Life::new(parts.next()?, born);
+        let life = ServerIncarnation::new(parts.next()?, born);
         Some(Self { life, request })
     }
 }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -12,7 +12,7 @@
     platform::Store,
     policy::quarantine::{ENDED_MOST, Quarantine, Verdict},
     relay::{BACKOFF_MOST, Followed, Following, Relay, follow},
-    routing::Life,
+    routing::ServerIncarnation,
     store::{Change, Key, Outcome, Transaction}, //
 };
 use std::{
@@ -120,7 +120,7 @@
     }
 
     /// The server `life` has ended, and `requests` were under way there.
-    pub fn note(&self, life: &Life, requests: &[Fingerprint]) {
+    pub fn note(&self, life: &ServerIncarnation, requests: &[Fingerprint]) {
         let now = self.store.now();
         for request in requests {
             let (request, life) = (*request, life.clone());
--- a/src/view/keeper.rs
+++ b/src/view/keeper.rs
@@ -78,7 +78,7 @@
             }
             Some(followed) = server_feed.recv() => server_news(&site, &mut strangers, followed),
             _ = settle.tick() => {
-                let gone = site.directory().settle(site.now());
+                let gone = site.directory().remove_lapsed(site.now());
                 for server in gone {
                     tracing::info!(server, "server gone: still missing after the store's return");
                 }
@@ -149,10 +149,12 @@
             };
             strangers.0.remove(&key);
             let mut directory = site.directory();
-            let (life, draining) = (&server.life, server.draining);
+            let (life, draining) = (&server.incarnation, server.draining);
             let before = directory.get(&key);
-            if before.is_none_or(|before| (&before.life, before.draining) != (life, draining)) {
-                let (service, born) = (&server.service, life.born.0);
+            if before
+                .is_none_or(|before| (&before.incarnation, before.draining) != (life, draining))
+            {
+                let (service, born) = (&server.service, life.started_at.0);
                 tracing::info!(server = key, service, born, draining, "server seen");
             }
             directory.put(server);
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -151,7 +151,7 @@
 
     /// Since when the store does not answer, or not this process; `None` while it does.
     pub fn store_away_since(&self) -> Option<Millis> {
-        let away = self.directory().away_since();
+        let away = self.directory().outage_start();
         let cut = *self.cut.lock().unwrap_or_else(PoisonError::into_inner);
         away.into_iter().chain(cut).min()
     }
@@ -171,7 +171,7 @@
 
     /// The server of `service` at `address`.
     pub fn server_at(&self, address: SocketAddr, service: &str) -> Option<Arc<Server>> {
-        self.directory().at(address, service).cloned()
+        self.directory().server_at(address, service).cloned()
     }
 
     /// The version that was named last for `model`, and when that was seen;
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -20,7 +20,7 @@
         page_of,
         part_of, //
     },
-    routing::{Directory, Life, Server},
+    routing::{Directory, Server, ServerIncarnation},
     store::{Change, Listing, Row, TableView}, //
 };
 use std::collections::BTreeMap;
@@ -413,7 +413,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         data_centre: "north".to_owned(),
         draining,
-        life: Life::new(id, Millis(0)),
+        incarnation: ServerIncarnation::new(id, Millis(0)),
         models: Vec::new(),
         service: "s".to_owned(),
         slots: 4,
@@ -426,7 +426,10 @@
 #[test]
 fn lapsed_servers_have_time_to_come_back() {
     let ids = |directory: &Directory| {
-        let mut ids: Vec<String> = directory.serving("s").map(|s| s.life.id.clone()).collect();
+        let mut ids: Vec<String> = directory
+            .serving("s")
+            .map(|s| s.incarnation.id.clone())
+            .collect();
         ids.sort();
         ids
     };
@@ -438,24 +441,24 @@
     assert_eq!(ids(&directory), ["a", "b", "c"]);
 
     directory.store_lost(Millis(2_000));
-    assert_eq!(directory.away_since(), Some(Millis(2_000)));
+    assert_eq!(directory.outage_start(), Some(Millis(2_000)));
     directory.remove("a", Millis(3_000));
     directory.remove("b", Millis(3_000));
     directory.store_regained(Millis(6_000));
-    assert_eq!(directory.away_since(), None);
-    assert!(directory.settle(Millis(7_000)).is_empty());
+    assert_eq!(directory.outage_start(), None);
+    assert!(directory.remove_lapsed(Millis(7_000)).is_empty());
     assert_eq!(ids(&directory), ["a", "b", "c"]);
 
     directory.put(server("a", false));
     directory.put(server("c", true));
-    assert_eq!(directory.settle(Millis(8_300)), ["b"]);
+    assert_eq!(directory.remove_lapsed(Millis(8_300)), ["b"]);
     assert_eq!(ids(&directory), ["a"]);
 }
 
 /// The id of the server that the tests' address means.
 fn meant(directory: &Directory) -> Option<&str> {
-    let found = directory.at("127.0.0.1:1".parse().unwrap(), "s");
-    found.map(|server| server.life.id.as_str())
+    let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
+    found.map(|server| server.incarnation.id.as_str())
 }
 
 /// An address is given to another server while the entry of the one before is
@@ -484,8 +487,8 @@
 #[test]
 fn the_newest_life_at_an_address_counts() {
     let mut directory = Directory::default();
-    for life in 0..20 {
-        let id = format!("life-{life}");
+    for incarnation in 0..20 {
+        let id = format!("life-{incarnation}");
         directory.put(server(&id, false));
         directory.put(server("life-0", false));
         assert_eq!(meant(&directory), Some(id.as_str()));
@@ -514,12 +517,12 @@
     directory.put(server("a", false));
     directory.put(server("b", false));
     directory.put(Server {
-        life: Life::new("a", Millis(7)),
+        incarnation: ServerIncarnation::new("a", Millis(7)),
         ..server("a", false)
     });
-    let found = directory.at("127.0.0.1:1".parse().unwrap(), "s");
+    let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
     assert_eq!(
-        found.map(|server| &server.life),
-        Some(&Life::new("a", Millis(7)))
+        found.map(|server| &server.incarnation),
+        Some(&ServerIncarnation::new("a", Millis(7)))
     );
 }
--- a/tests/integration/platform_wire.rs
+++ b/tests/integration/platform_wire.rs
@@ -21,7 +21,7 @@
         read_server,
         read_submission, //
     },
-    routing::{Credential, KeyDigest, Kind}, //
+    routing::{Credential, KeyDigest, RouteKind}, //
 };
 
 /// Events are cut out of a stream however its bytes arrive; a torn one at the
@@ -235,20 +235,20 @@
     assert_eq!(config.route("other", "/a/x").map(|r| r.name.clone()), None);
 
     let batch = config.route("h", "/c/1").unwrap();
-    assert_eq!(batch.kind, Kind::Batch);
+    assert_eq!(batch.kind, RouteKind::Batch);
     assert_eq!(
-        (batch.item_ttl, batch.results_due),
+        (batch.item_ttl, batch.result_deadline),
         (Millis(40_000), Millis(7_500))
     );
     assert!(batch.single_version);
     assert_eq!(config.service("x").unwrap().models.len(), 1);
 
     let workspaces = config.workspaces.as_ref().unwrap();
-    let holder = |key: &str| workspaces.holder(&KeyDigest::of(key.as_bytes()));
+    let holder = |key: &str| workspaces.by_key(&KeyDigest::of(key.as_bytes()));
     assert_eq!(holder("f-2").unwrap().name, "foam");
     assert_eq!(holder("f-2").unwrap().priority, Some(3));
     assert!(holder("empty").is_none());
-    assert!(!batch.open);
+    assert!(!batch.allow_anonymous);
 
     // A split gives each service its share, and one request always the same.
     let split = config.route("h", "/a/x").unwrap();
@@ -295,8 +295,8 @@
         "sequence":4,"born":1764720000123}"#;
     let server = read_server("i-1", entry).unwrap();
     assert!(server.draining);
-    assert_eq!(server.life.id, "i-1");
-    assert_eq!(server.life.born, Millis(1_764_720_000_123));
+    assert_eq!(server.incarnation.id, "i-1");
+    assert_eq!(server.incarnation.started_at, Millis(1_764_720_000_123));
     assert_eq!((server.slots, server.data_centre.as_str()), (12, "n"));
     assert_eq!(server.models[0].version, 3);
 }
@@ -406,7 +406,7 @@
         prop_assert!(!cut || read_server("i-1", &entry).is_err());
         prop_assert!(read_server("i-1", &noise).is_err());
         if let Ok(server) = read_server("i-1", &entry) {
-            prop_assert_eq!(server.life.id, "i-1");
+            prop_assert_eq!(server.incarnation.id, "i-1");
             prop_assert!(server.address.port() > 0);
         }
     }
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -3,7 +3,7 @@
 use redwingpond::{
     base::{Asked, Fingerprint, Millis},
     policy::quarantine::{Quarantine, RETENTION, Verdict},
-    routing::Life, //
+    routing::ServerIncarnation, //
 };
 
 /// What happened to a request.
@@ -33,8 +33,8 @@
 }
 
 /// A server that starts again under its id is another one.
-fn life(number: u64) -> Life {
-    Life::new("server", Millis(number))
+fn life(number: u64) -> ServerIncarnation {
+    ServerIncarnation::new("server", Millis(number))
 }
 
 #[test]
--- a/tests/integration/reach.rs
+++ b/tests/integration/reach.rs
@@ -1,6 +1,6 @@
 //! Whether a peer counts as away, by what calls to it showed.
 
-use redwingpond::net::Reach;
+use redwingpond::net::Reachability;
 use std::time::Duration;
 
 /// What a call showed.
@@ -57,15 +57,15 @@
     .into_iter()
     .enumerate()
     {
-        let reach = Reach::default();
+        let reach = Reachability::default();
         let mut probes = 0;
         for call in test.calls {
             match call {
-                Answered => reach.answer(),
-                Missed => probes += usize::from(reach.miss()),
+                Answered => reach.record_answer(),
+                Missed => probes += usize::from(reach.record_miss()),
             }
         }
-        let seen = (reach.is_away(), probes, reach.returns());
+        let seen = (reach.is_unreachable(), probes, reach.recoveries());
         assert_eq!(
             seen,
             (test.away, test.probes, test.returns),
@@ -78,27 +78,31 @@
 /// back before they asked; those from after it are not.
 #[tokio::test]
 async fn a_return_is_told_to_calls_from_before() {
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let soon = Duration::from_millis(20);
-    let before = reach.returns();
+    let before = reach.recoveries();
     assert!(
-        tokio::time::timeout(soon, reach.returned_since(before))
+        tokio::time::timeout(soon, reach.wait_recovery_after(before))
+            .await
+            .is_err()
+    );
+    reach.record_miss();
+    reach.record_miss();
+    assert!(
+        tokio::time::timeout(soon, reach.wait_reachable())
             .await
             .is_err()
     );
-    reach.miss();
-    reach.miss();
-    assert!(tokio::time::timeout(soon, reach.back()).await.is_err());
     let (told, ()) = tokio::join!(
-        tokio::time::timeout(soon, reach.returned_since(before)),
-        async { reach.answer() }
+        tokio::time::timeout(soon, reach.wait_recovery_after(before)),
+        async { reach.record_answer() }
     );
     told.unwrap();
-    reach.back().await;
-    reach.returned_since(before).await;
-    let after = reach.returns();
+    reach.wait_reachable().await;
+    reach.wait_recovery_after(before).await;
+    let after = reach.recoveries();
     assert!(
-        tokio::time::timeout(soon, reach.returned_since(after))
+        tokio::time::timeout(soon, reach.wait_recovery_after(after))
             .await
             .is_err()
     );
