--- a/src/routing/config.rs
+++ b/src/routing/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration in force.
+//! The operators' configuration: routes, services, workspaces and limits.
 
 use super::{
     Route,
@@ -10,26 +10,30 @@
     sync::Arc, //
 };
 
-/// A model that a service's engines hold.
+/// A model that a service's engines serve.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineModel {
     pub name: String,
 }
 
-/// What is known of a service beside its servers.
+/// A service: a group of interchangeable backend servers, as the configuration describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Empty for a service that holds no model.
+    /// Empty for a service without models.
     pub models: Vec<EngineModel>,
     pub name: String,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
+    /// The largest request body.
     pub body_bytes: usize,
+    /// The largest request head.
     pub head_bytes: usize,
+    /// How long a request's head may take to arrive.
     pub head_timeout: Millis,
+    /// How long a connection may be idle.
     pub idle_timeout: Millis,
 }
 
@@ -37,16 +41,16 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     pub limits: Limits,
-    /// By host; the longest prefix first.
+    /// Each host's routes, the longest path prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     pub services: Vec<Service>,
     pub version: u64,
-    /// `None` where callers need no key.
+    /// The workspaces with their keys; `None` if no caller needs a key.
     pub workspaces: Option<Workspaces>,
 }
 
 impl Config {
-    /// A configuration of these parts, for which callers need no key.
+    /// A configuration without workspaces: no caller needs a key.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, limits: Limits) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -65,7 +69,7 @@
         }
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// The route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers that may get requests.
+//! The announced backend servers, including those kept through an outage of the store.
 
 use super::Server;
 use crate::base::Millis;
@@ -10,41 +10,43 @@
 
 /// The announced servers, by id.
 ///
-/// Announcements lapse by themselves while the store is away, and living
-/// servers are back within two seconds or so of its return. Until then a lapsed
-/// server stays in use; without the grace, one outage of the store would take
-/// every server from every caller.
+/// Announcements expire while the store is unreachable, and live servers renew them within
+/// about two seconds of its recovery. Until then a server whose announcement has expired
+/// stays in use. Without this grace period, one outage of the store would take every server
+/// from every caller.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// Counts the lives that were ever announced.
+    /// The sequence number of the incarnation announced last.
     last_sequence: u64,
-    /// When the store was last found away, and since when it is back.
+    /// The last outage of the store.
     outage: Option<Outage>,
     servers: HashMap<String, Entry>,
 }
 
+/// A time in which the store did not answer this process.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     began: Millis,
-    /// `None` while the store is away.
+    /// `None` while the store is unreachable.
     ended: Option<Millis>,
 }
 
+/// An announced server.
 #[derive(Debug)]
 struct Entry {
-    /// When its announcement went while the store was away or just back.
+    /// Whether the announcement disappeared during an outage or its grace period.
     lapsed: bool,
-    /// Its life's place in the order of first announcements.
+    /// The position of the incarnation in the order of first announcements.
     sequence: u64,
     server: Arc<Server>,
 }
 
-/// How long after the store's return a living server's announcement may still
-/// be missing: the users' pages say about two seconds.
+/// How long after the store's recovery a live server's announcement may still be missing.
+/// The platform's documentation says about two seconds.
 pub const RECOVERY_GRACE: Millis = Millis(2_200);
 
 impl Directory {
-    /// A server announced itself or changed what it says.
+    /// Adds or updates an announced server.
     pub fn put(&mut self, server: Server) {
         let known = self.servers.get(&server.incarnation.id);
         let known = known.filter(|entry| entry.server.incarnation == server.incarnation);
@@ -64,7 +66,8 @@
             .insert(entry.server.incarnation.id.clone(), entry);
     }
 
-    /// The announcement of `id` is gone.
+    /// Removes the server called `id`, whose announcement has disappeared. In an outage and its
+    /// grace period the server is kept and marked as lapsed.
     pub fn remove(&mut self, id: &str, now: Millis) {
         if !self.in_grace(now) {
             self.servers.remove(id);
@@ -75,7 +78,7 @@
         }
     }
 
-    /// The store does not answer this process.
+    /// Records that the store has stopped answering this process.
     pub fn store_lost(&mut self, now: Millis) {
         self.outage = Some(Outage {
             began: now,
@@ -83,20 +86,20 @@
         });
     }
 
-    /// The store answers again.
+    /// Records that the store answers again.
     pub fn store_regained(&mut self, now: Millis) {
         if let Some(outage) = &mut self.outage {
             outage.ended = Some(now);
         }
     }
 
-    /// Since when the store is away; `None` while it answers.
+    /// When the current outage of the store began; `None` while it answers.
     pub fn outage_start(&self) -> Option<Millis> {
         let outage = self.outage?;
         outage.ended.is_none().then_some(outage.began)
     }
 
-    /// Drops lapsed servers whose grace is over; returns their ids.
+    /// Removes the lapsed servers once the grace period is over; returns their ids.
     pub fn remove_lapsed(&mut self, now: Millis) -> Vec<String> {
         if self.in_grace(now) {
             return Vec::new();
@@ -118,11 +121,11 @@
         self.servers.get(id).map(|entry| &entry.server)
     }
 
-    /// The server of `service` at `address`: one that takes work before one that
-    /// leaves, and of two that take work the one announced last. A server that
-    /// crashed stays announced for some seconds beside its next life, which
-    /// refused what was meant for the first. An entry of another service at the
-    /// same address may be a stranger's, and would hide the server.
+    /// The server of `service` at `address`. If several are announced there, one that accepts
+    /// requests goes before one that is draining, and then the incarnation announced last: a
+    /// crashed server stays announced for some seconds beside its next incarnation, which
+    /// refuses requests addressed to the crashed one. Entries of other services at the
+    /// address are ignored, as another writer's entry must not hide the server.
     pub fn server_at(&self, address: SocketAddr, service: &str) -> Option<&Arc<Server>> {
         let matches =
             |server: &Server| (server.address, server.service.as_str()) == (address, service);
@@ -133,7 +136,7 @@
         newest.map(|entry| &entry.server)
     }
 
-    /// The servers of `service` that take new requests.
+    /// The servers of `service` that accept new requests.
     pub fn serving<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Arc<Server>> {
         self.servers
             .values()
@@ -141,6 +144,7 @@
             .filter(move |server| server.service == service && !server.draining)
     }
 
+    /// Whether the store is unreachable, or has recovered less than the grace period ago.
     fn in_grace(&self, now: Millis) -> bool {
         match self.outage {
             None => false,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Which backend servers may get a request: the operators' routes and the
-//! servers' own announcements.
+//! What a request is routed by: the operators' configuration and the backend servers'
+//! announcements.
 
 mod config;
 mod directory;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,56 +1,57 @@
-//! One of the operators' routes.
+//! A route of the operators' configuration.
 
 use crate::base::{
     Millis,
     stable_hash, //
 };
 
-/// What may be done with a route's requests.
+/// How a route's requests are run, and whether they may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
-    /// Submissions of batches, whose items run later.
+    /// Submissions of batches, whose items runners run later.
     Batch,
-    /// Requests that are idempotent.
+    /// Idempotent requests: they may be retried and hedged.
     Safe,
-    /// Answers that arrive as a series of events.
+    /// Requests answered by a stream of events.
     Stream { resumable: bool },
-    /// Requests that must run at most once.
+    /// Requests that must not run more than once.
     Unsafe,
 }
 
-/// A service that gets a share of a route's requests.
+/// A service that gets a share of a route's requests, in proportion to its weight.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     pub service: String,
     pub weight: u64,
 }
 
-/// A rule from host and path to services.
+/// Maps requests by host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The most backend servers that one request may be sent to.
+    /// The most attempts of one request that may run.
     pub max_attempts: u32,
     pub host: String,
-    /// How long after its submission an item may be given up.
+    /// How long after its submission an item without a result may be given up.
     pub item_ttl: Millis,
     pub kind: RouteKind,
     pub name: String,
-    /// Whether its requests need no key.
+    /// Whether callers may send requests without a key.
     pub allow_anonymous: bool,
     pub prefix: String,
-    /// How urgent its requests are; 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: Option<u32>,
     /// How long after its submission a batch's results are due.
     pub result_deadline: Millis,
-    /// Whether a sample's tokens must all come from one weight version.
+    /// Whether all tokens of a sample must come from one weight version.
     pub single_version: bool,
     pub targets: Vec<Target>,
-    /// The longest that a request may be kept waiting.
+    /// The longest time until a request is answered.
     pub timeout: Millis,
 }
 
 impl Route {
-    /// The service that gets the request called `id`; its retries get the same.
+    /// The service for the request with `id`; retries with the same id get the same service.
+    /// `None` if no target has a weight.
     pub fn service_of(&self, id: &str) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut point = stable_hash(&[id.as_bytes()]).checked_rem(total)?;
@@ -63,7 +64,7 @@
         None
     }
 
-    /// Whether some of the route's requests go to `service`.
+    /// Whether `service` gets a share of the route's requests.
     pub fn serves(&self, service: &str) -> bool {
         let mut targets = self.targets.iter();
         targets.any(|target| target.service == service && target.weight > 0)
--- a/src/routing/server.rs
+++ b/src/routing/server.rs
@@ -1,28 +1,28 @@
-//! A backend server as it announces itself.
+//! A backend server as its announcement describes it.
 
 use crate::base::Millis;
 use std::net::SocketAddr;
 
-/// The weight version that a server holds of one model.
+/// A model that a server has loaded, and the version of its weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadedModel {
     pub model: String,
     pub version: u64,
 }
 
-/// Names one life of a backend server: from a start of its process to its end.
+/// Identifies one run of a backend server's process, from its start to its end.
 ///
-/// A server may start again under its id. It then holds nothing of before, so
-/// what is remembered of a server is kept under its life, never under its id.
+/// A server may restart under the same id and has then lost all state. State about a
+/// server is therefore recorded per incarnation, never per id.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ServerIncarnation {
-    /// When it started, by the server's wall clock; 0 where servers don't tell.
+    /// The start by the server's wall clock; 0 if the server doesn't announce it.
     pub started_at: Millis,
     pub id: String,
 }
 
 impl ServerIncarnation {
-    /// The life of the server called `id` that began at `started_at`.
+    /// The incarnation of server `id` that started at `started_at`.
     pub fn new(id: &str, started_at: Millis) -> Self {
         Self {
             started_at,
@@ -31,16 +31,16 @@
     }
 }
 
-/// One life of a backend server.
+/// An announced incarnation of a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
     pub address: SocketAddr,
     pub data_centre: String,
-    /// It finishes what it has and takes nothing new.
+    /// Whether it only finishes its requests and accepts no new ones.
     pub draining: bool,
     pub incarnation: ServerIncarnation,
     pub models: Vec<LoadedModel>,
     pub service: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
 }
--- a/src/routing/workspace.rs
+++ b/src/routing/workspace.rs
@@ -1,4 +1,4 @@
-//! The workspaces whose callers may use the site, and their keys.
+//! The workspaces whose callers may send requests, and the keys that authenticate them.
 
 use std::{
     collections::HashMap,
@@ -6,10 +6,10 @@
     sync::Arc, //
 };
 
-/// A caller's key as it is kept and compared.
+/// The digest of a caller's key.
 ///
-/// Keys themselves are nowhere kept, logged or sent on. Digests are compared in
-/// constant time: how long it takes tells nothing of a key.
+/// Keys themselves are never stored, logged or forwarded. Digests are compared in constant
+/// time, so that timing reveals nothing about a key.
 #[derive(Clone, Copy, Eq, Hash, PartialEq)]
 pub struct KeyDigest(blake3::Hash);
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// What a caller shows to prove who it is.
+/// The credential that a caller presents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Credential {
-    /// Nothing.
+    /// No key.
     Absent,
     /// One key.
     Key(KeyDigest),
@@ -37,27 +37,27 @@
     Malformed,
 }
 
-/// A customer, who has keys of its own.
+/// A customer, with keys of its own.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Workspace {
     pub name: String,
-    /// Goes before the priority of its requests' routes; 0 is the most urgent.
+    /// Overrides the priority of the requests' routes; 0 is the most urgent.
     pub priority: Option<u32>,
 }
 
-/// All workspaces of a configuration, by their keys.
+/// The workspaces of a configuration, by their keys' digests.
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces(HashMap<KeyDigest, Arc<Workspace>>);
 
 impl Workspaces {
-    /// Takes `workspace` with its `keys`.
+    /// Adds `workspace` with its `keys`.
     pub fn insert(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = KeyDigest>) {
         let workspace = Arc::new(workspace);
         let keys = keys.into_iter();
         self.0.extend(keys.map(|key| (key, workspace.clone())));
     }
 
-    /// The workspace that holds `key`.
+    /// The workspace that `key` belongs to.
     pub fn by_key(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
         self.0.get(key)
     }
