--- a/src/engine/client.rs
+++ b/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the engine behind an agent.
+//! HTTP client of the model engine that an agent serves requests from.
 
 use super::{
     Completion,
@@ -29,13 +29,14 @@
     address: SocketAddr,
     order_client: JsonClient,
     state_client: JsonClient,
+    /// Sends generations, whose tokens are streamed back.
     stream_client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// How long the engine may take to tell its state.
+/// How long the engine may take to answer with its state.
 const STATE_TIMEOUT: Millis = Millis(1_000);
 
-/// How long the engine may take to load weights.
+/// How long the engine may take to execute an order, such as loading weights.
 const ORDER_TIMEOUT: Millis = Millis(30_000);
 
 impl EngineClient {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Starts a generation. The failure's verdict is `NotRun` only when no
-    /// byte reached the engine, or when the engine itself refused.
+    /// Starts a generation. The failure's verdict is `NotRun` only if no byte reached the
+    /// engine or the engine refused the request.
     pub async fn generate(&self, completion: &Completion) -> Result<TokenStream, Failure> {
         let body = serde_json::to_vec(completion)
             .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))?;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Gives an order; the engine answers when it has done it or failed.
+    /// Sends an order and waits until the engine has executed it or failed.
     pub async fn send_order(&self, order: &Order) -> Result<(), Failure> {
         let body = serde_json::to_vec(order)
             .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))?;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Asks for the engine's state.
+    /// Fetches the engine's state.
     pub async fn fetch_state(&self) -> Result<EngineState, Failure> {
         let answer = self
             .state_client
@@ -125,6 +126,7 @@
     }
 }
 
+/// The failure for a request that got no HTTP response.
 fn transport_failure(error: HttpError) -> Failure {
     Failure::new(error.verdict, Cause::BackendUnreachable, error.to_string())
 }
--- a/src/engine/completion.rs
+++ b/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! The completions protocol's JSON, the subset that we speak with engines.
+//! JSON types of the completions protocol, limited to the subset used with engines.
 
 use crate::base::Tokens;
 use serde::{
@@ -9,12 +9,12 @@
 /// A request for a completion, always streamed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Completion {
-    /// Tokens already made, behind which the engine goes on.
+    /// Tokens generated so far; the engine continues after them.
     #[serde(default)]
     pub done: Vec<String>,
     pub max_tokens: u32,
     pub model: String,
-    /// A smaller number is served first.
+    /// Requests with a smaller number are served first.
     #[serde(default)]
     pub priority: u8,
     pub prompt: String,
@@ -26,7 +26,7 @@
 }
 
 impl Completion {
-    /// The request that goes on behind `done`.
+    /// The request for the rest of `generation` after the tokens `done`.
     pub fn from_generation(
         generation: &crate::wire::Generation,
         done: &Tokens,
@@ -61,7 +61,7 @@
     pub role: Option<String>,
 }
 
-/// One choice of an answer; there is always just one.
+/// A choice of an answer; answers have exactly one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Choice {
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Client of a model engine.
+//! Client of a model engine: generations, orders and engine state.
 
 mod client;
 mod completion;
--- a/src/engine/stream.rs
+++ b/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The tokens of one generation as the engine streams them.
+//! Reads the tokens of a generation from the engine's event stream.
 
 use super::Chunk;
 use crate::{
@@ -13,7 +13,7 @@
     StreamExt, //
 };
 
-/// What an engine's stream says next.
+/// An event of an engine's stream.
 #[derive(Debug, PartialEq)]
 pub enum EngineEvent {
     Finished(Finish),
@@ -22,13 +22,14 @@
 
 type Events = dyn Stream<Item = Result<sse_stream::Sse, sse_stream::Error>> + Send;
 
-/// An open stream; dropping it cancels the generation.
+/// An open event stream; dropping it cancels the generation.
 pub struct TokenStream {
     events: Pin<Box<Events>>,
+    /// The finish reason, once it was received.
     finish: Option<Finish>,
 }
 
-/// The data of the event that ends a whole answer.
+/// The data of the event that marks the end of a complete answer.
 const DONE_MARKER: &str = "[DONE]";
 
 impl TokenStream {
@@ -39,8 +40,8 @@
         }
     }
 
-    /// The next event. A stream that ends without its end marker is a
-    /// failure: a cut answer must not pass for a whole one.
+    /// The next event. A stream that ends without the end marker is a failure, so that a
+    /// truncated answer isn't taken for a complete one.
     pub async fn next(&mut self) -> Result<EngineEvent, Failure> {
         loop {
             let event = self.events.next().await;
@@ -62,6 +63,7 @@
         }
     }
 
+    /// Reads one event's data: keeps its finish reason and returns its text, if it has any.
     fn parse_chunk(&mut self, data: &str) -> Result<Option<String>, Failure> {
         let chunk: Chunk = serde_json::from_str(data)
             .map_err(|_| protocol_failure("an event is not understood"))?;
@@ -77,6 +79,7 @@
     }
 }
 
+/// The failure for a stream that breaks the protocol or was cut off.
 fn protocol_failure(detail: &str) -> Failure {
     Failure::may_have_run(Cause::BackendBroken, detail)
 }
--- a/src/net/call_error.rs
+++ b/src/net/call_error.rs
@@ -1,4 +1,4 @@
-//! Why a request got no whole answer.
+//! Errors of requests to a peer.
 
 use crate::base::{
     Millis,
@@ -7,28 +7,28 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// A request got no whole answer from its peer.
+/// Why a request got no complete response from its peer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum CallError {
-    /// The connection broke while the answer was awaited or read.
+    /// The connection broke while the response was awaited or read.
     #[snafu(display("{address}: the connection broke: {source}"))]
     Broken {
         address: SocketAddr,
         source: hyper::Error,
     },
-    /// No connection came about, so the peer saw nothing of the request.
+    /// No connection could be opened, so the peer never received the request.
     #[snafu(display("{address}: can't connect: {message}"))]
     Connect {
         address: SocketAddr,
         message: String,
-        /// Whether the peer's system answered that nothing listens there.
+        /// Whether the peer's operating system refused the connection: nothing listens there.
         refused: bool,
     },
-    /// The answer was larger than this program takes.
+    /// The response was larger than `limit` bytes.
     #[snafu(display("{address}: the answer exceeds {limit} bytes"))]
     TooLarge { address: SocketAddr, limit: usize },
-    /// The peer stayed silent.
+    /// The peer did not answer in time.
     #[snafu(display("{address}: no answer within {timeout}"))]
     Timeout {
         address: SocketAddr,
@@ -37,12 +37,12 @@
 }
 
 impl CallError {
-    /// Whether nothing listens at the peer's address.
+    /// Whether the connection was refused because nothing listens at the peer's address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { refused: true, .. })
     }
 
-    /// Whether the peer may have acted on the request.
+    /// Whether the peer may have run the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Connect { .. } => Verdict::NotRun,
--- a/src/net/idle_connection.rs
+++ b/src/net/idle_connection.rs
@@ -1,34 +1,33 @@
-//! A kept connection on which nothing is under way.
+//! An idle keep-alive connection, and how long it may be reused.
 
 use crate::base::Millis;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
 
-/// A connection that may carry the next request.
+/// A connection without a request in flight, kept for the next one.
 pub(super) struct IdleConnection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) idle_since: Millis,
-    /// After this the peer may close it at any moment.
+    /// The peer may close the connection at any moment after this.
     pub(super) usable_until: Millis,
 }
 
-/// How long a connection is kept when its peer names no time: three of the
-/// users' steps, which come every 4 s. With one step's time each step opened its
-/// connections anew, about 1,000 a day instead of 440.
+/// How long an idle connection is reused if the peer announces no keep-alive timeout. Steps
+/// begin every 4 s, so this is three steps; with 4 s each step opened new connections.
 pub(super) const DEFAULT_KEEP_ALIVE: Millis = Millis(12_000);
 
-/// A connection that was idle for longer carries no request that must run at
-/// most once: backend servers close idle connections on their own, and a
-/// request that crosses such a close may or may not have run.
+/// How long a connection may have been idle to carry a request that must run at most once.
+/// Backend servers close idle connections, and a request that is sent while the server
+/// closes its connection may or may not have run.
 pub(super) const FRESH_MAX_IDLE: Millis = Millis(1_000);
 
-/// A connection is left alone this long before its peer's announced timeout,
-/// so that a request sent over it doesn't cross the close.
+/// How long before the peer's announced keep-alive timeout a connection is no longer
+/// reused, so that no request is sent while the peer closes it.
 pub(super) const KEEP_ALIVE_MARGIN: Millis = Millis(700);
 
-/// Until when a connection may be used, by the `Keep-Alive` header of the last
-/// answer on it.
+/// Until when a connection may be reused, by the `Keep-Alive` header of the last response
+/// on it.
 pub(super) fn usable_until(now: Millis, headers: &hyper::HeaderMap) -> Millis {
     let announced = headers
         .get("keep-alive")
@@ -38,6 +37,7 @@
     now + keep
 }
 
+/// The timeout that a `Keep-Alive` header announces.
 fn keep_alive_timeout(value: &str) -> Option<Millis> {
     value.split(',').find_map(|part| {
         let seconds = part.trim().strip_prefix("timeout=")?;
@@ -46,7 +46,7 @@
     })
 }
 
-/// Whether the peer closes the connection after this answer.
+/// Whether the peer closes the connection after the response with these headers.
 pub(super) fn closes_connection(headers: &hyper::HeaderMap) -> bool {
     let values = headers.get_all(hyper::header::CONNECTION);
     values
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections to other processes, kept and watched by this program.
+//! HTTP/1.1 client with a keep-alive pool per peer, and tracking of unreachable peers.
 
 mod call_error;
 mod idle_connection;
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -1,4 +1,4 @@
-//! Requests to one address over kept connections.
+//! Sends requests to one address over pooled keep-alive connections.
 
 use super::{
     CallError,
@@ -34,7 +34,7 @@
 };
 use tokio::net::TcpStream;
 
-/// A whole answer.
+/// A response whose body has been read.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
     pub body: Bytes,
@@ -42,48 +42,49 @@
     pub status: StatusCode,
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 pub struct StreamingResponse {
     pub body: StreamBody,
     pub headers: HeaderMap,
     pub status: StatusCode,
 }
 
-/// One address and the connections kept to it.
+/// A client of one address, with a pool of connections. Clones share the pool.
 #[derive(Clone)]
 pub struct Peer {
     address: SocketAddr,
     pool: Arc<IdlePool>,
 }
 
-/// How long a connection may take to come about. A peer in another data centre
-/// answers in a few milliseconds; one that has no power never does, and the
-/// system's own retry of a lost opening packet comes after a second.
+/// How long opening a connection may take. A peer in another data centre answers within a
+/// few milliseconds, one without power never, and the operating system repeats a lost SYN
+/// only after a second.
 const CONNECT_TIMEOUT: Millis = Millis(600);
 
-/// How long sent bytes may stay unacknowledged before the system gives the
-/// connection up. A peer behind a partition sends nothing, not even a reset.
+/// How long sent bytes may stay unacknowledged before the operating system closes the
+/// connection: a peer behind a network partition doesn't even send a reset.
 const TCP_USER_TIMEOUT: Millis = Millis(3_000);
 
-/// How long a process that ends takes to close all that it has open.
+/// How long an ending process takes to close its connections and its listener.
 const PROCESS_EXIT_TIME: Millis = Millis(10);
 
-/// Silence after which the system probes a kept connection, and between probes.
+/// The idle time before the first TCP keepalive probe, and the time between probes.
 const TCP_KEEPALIVE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// The most connections kept idle to one address.
+/// The most idle connections in a pool.
 const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// The largest answer that is taken whole.
+/// The largest response body that is read into memory.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// The idle connections of one peer, newest last.
+/// The idle connections of one peer, the most recently used last.
 pub(super) struct IdlePool {
     clock: Clock,
     idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl IdlePool {
+    /// Adds a connection, unless the pool is full.
     pub(super) fn put(&self, sender: SendRequest<Full<Bytes>>, usable_until: Millis) {
         let connection = IdleConnection {
             sender,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// The connection used last, which is the one least likely to be closed;
-    /// with `fresh`, only one that was used a moment ago.
+    /// Takes the most recently used connection, as the peer is least likely to close that
+    /// one; with `fresh_only`, only if it has been idle for at most [`FRESH_MAX_IDLE`].
     fn take(&self, fresh_only: bool) -> Option<IdleConnection> {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -119,14 +120,14 @@
 }
 
 impl Peer {
-    /// A peer at `address`, to which nothing is open yet.
+    /// A peer at `address`, without connections yet.
     pub fn open(address: SocketAddr, clock: Clock) -> Self {
         let idle = Mutex::default();
         let pool = Arc::new(IdlePool { clock, idle });
         Self { address, pool }
     }
 
-    /// Drops the kept connections: the peer was away, and they may be dead.
+    /// Drops the idle connections, which may be dead after the peer was unreachable.
     pub fn forget_connections(&self) {
         self.pool.clear();
     }
@@ -135,7 +136,7 @@
         self.address
     }
 
-    /// Whether a connection is kept over which a request can go at once.
+    /// Whether the pool has a usable connection.
     pub fn is_connected(&self) -> bool {
         let now = self.pool.clock.now();
         let idle = self
@@ -149,7 +150,7 @@
         idle.iter().any(usable)
     }
 
-    /// Sends `request` and reads the whole answer, all within `within`.
+    /// Sends `request` and reads the complete response, all within `timeout`.
     ///
     /// # Errors
     ///
@@ -162,8 +163,8 @@
         self.exchange(request, timeout, false).await
     }
 
-    /// As [`Peer::call`], for a request that must run at most once: it goes
-    /// over a connection that is new or was used a moment ago.
+    /// As [`Peer::call`], for a request that must run at most once: it is sent over a new
+    /// connection or one that was used a moment ago.
     ///
     /// # Errors
     ///
@@ -176,7 +177,7 @@
         self.exchange(request, timeout, true).await
     }
 
-    /// Sends `request` and waits at most `within` for the head of the answer.
+    /// Sends `request` and waits at most `timeout` for the head of the response.
     ///
     /// # Errors
     ///
@@ -189,12 +190,12 @@
         self.with_timeout(self.send(request, false), timeout).await
     }
 
-    /// Whether nothing listens at the peer's address any more, found out within
-    /// `within` by new connections, of which one that stands is kept.
+    /// Whether the peer refuses new connections, as nothing listens at its address any more;
+    /// false if that can't be found out within `timeout`. A connection that stays open goes
+    /// into the pool.
     ///
-    /// A process that ends closes its connections and its listener one after the
-    /// other. A connection that comes about in between is closed at once, or fails
-    /// while it is set up: then it is looked at again a moment later.
+    /// An ending process closes its connections and its listener one after the other. A
+    /// connection opened in between fails or is closed at once; then another is tried.
     pub async fn refuses_connections(&self, timeout: Millis) -> bool {
         let look = async {
             loop {
@@ -215,6 +216,7 @@
         looked.await.unwrap_or(false)
     }
 
+    /// Sends `request` and reads the response within `timeout`.
     async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
@@ -228,6 +230,7 @@
         self.with_timeout(whole, timeout).await
     }
 
+    /// Runs `work` for at most `timeout`; drops all idle connections if it takes longer.
     async fn with_timeout<T>(
         &self,
         work: impl Future<Output = Result<T, CallError>>,
@@ -236,8 +239,8 @@
         match tokio::time::timeout(timeout.as_duration(), work).await {
             Ok(result) => result,
             Err(_) => {
-                // Open connections can go silent for good while new ones work:
-                // after a silence none of the kept ones is trusted.
+                // Open connections can stop responding permanently while new ones work, so
+                // none of the idle ones is reused after a timeout.
                 self.pool.clear();
                 let address = self.address;
                 TimeoutSnafu { address, timeout }.fail()
@@ -245,6 +248,7 @@
         }
     }
 
+    /// Reads the body; each part may take `timeout`.
     async fn read_body(
         &self,
         mut opened: StreamingResponse,
@@ -266,8 +270,8 @@
         })
     }
 
-    /// Sends over a kept connection, or over a new one when the kept one turns
-    /// out to be closed before any byte of the request was written.
+    /// Sends `request` over an idle connection, or over another one if that turns out to be
+    /// closed before any byte of the request was written.
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -302,6 +306,7 @@
         Ok(self.streaming_response(sender, answer))
     }
 
+    /// The response whose body goes on arriving over the connection of `sender`.
     fn streaming_response(
         &self,
         sender: SendRequest<Full<Bytes>>,
@@ -322,6 +327,7 @@
         }
     }
 
+    /// Opens a connection.
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let address = self.address;
         let failed = |error: &dyn std::fmt::Display, refused| {
@@ -358,7 +364,7 @@
     }
 }
 
-/// Lets the system notice a peer that falls silent without a reset: unsent
+/// Makes the operating system detect a peer that disappears without a reset: unacknowledged
 /// bytes time out, and idle connections are probed.
 fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
--- a/src/net/reachability.rs
+++ b/src/net/reachability.rs
@@ -1,12 +1,12 @@
-//! Whether a peer answers, and when it does again.
+//! Tracks whether a peer is unreachable, and lets calls wait until it answers again.
 
 use tokio::sync::watch;
 
-/// What all calls to one peer showed of it.
+/// Whether a peer is unreachable, by the results of all calls to it.
 ///
-/// Load pattern: a peer that everything depends on falls silent for seconds. Each call
-/// that waits for it by itself finds out late that it is back: its connection is dead,
-/// and its time runs on. Here one prober asks for all, and all go on at its answer.
+/// Meant for a peer that everything depends on and that stops answering for seconds. A call
+/// that waits by itself notices the peer's recovery late, as its connection is dead. So one
+/// prober probes for all calls, and all calls go on once a probe is answered.
 #[derive(Debug)]
 pub struct Reachability {
     state: watch::Sender<State>,
@@ -15,14 +15,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
     unreachable: bool,
-    /// Calls in a row without an answer.
+    /// Consecutive calls without an answer.
     misses: u32,
-    /// How often the peer has come back.
+    /// How often the peer has become reachable again.
     recoveries: u64,
 }
 
-/// Calls in a row without an answer from which on a peer counts as away: a single
-/// answer may be lost.
+/// Consecutive calls without an answer after which a peer counts as unreachable. One is not
+/// enough, as a single answer may be lost.
 const MISSES_UNTIL_UNREACHABLE: u32 = 2;
 
 impl Default for Reachability {
@@ -33,7 +33,7 @@
 }
 
 impl Reachability {
-    /// The peer answered.
+    /// Records an answer of the peer.
     pub fn record_answer(&self) {
         self.state.send_if_modified(|state| {
             let recovered = state.unreachable;
@@ -44,8 +44,8 @@
         });
     }
 
-    /// The peer did not answer a call; true when it counts as away from now on, and
-    /// somebody has to ask whether it is back.
+    /// Records a call without an answer; true if this makes the peer unreachable. The caller
+    /// then has to start a prober.
     pub fn record_miss(&self) -> bool {
         self.state.send_if_modified(|state| {
             state.misses = state.misses.saturating_add(1);
@@ -55,30 +55,30 @@
         })
     }
 
-    /// Whether the peer is away.
+    /// Whether the peer is unreachable.
     pub fn is_unreachable(&self) -> bool {
         self.state.borrow().unreachable
     }
 
-    /// Waits until the peer is not away.
+    /// Waits until the peer is reachable.
     pub async fn wait_reachable(&self) {
         self.wait_for(|state| !state.unreachable).await;
     }
 
-    /// How often the peer has come back so far.
+    /// How often the peer has become reachable again so far.
     pub fn recoveries(&self) -> u64 {
         self.state.borrow().recoveries
     }
 
-    /// Waits until the peer has come back after the first `returns` times. A call from
-    /// before that hangs on a connection that may be dead.
+    /// Waits until the peer has recovered more than `recoveries` times. A call that began when
+    /// there were `recoveries` may be waiting on a dead connection then.
     pub async fn wait_recovery_after(&self, recoveries: u64) {
         self.wait_for(|state| state.recoveries > recoveries).await;
     }
 
     async fn wait_for(&self, condition: impl Fn(&State) -> bool) {
         let mut state = self.state.subscribe();
-        // Its sender lives as long as this.
+        // `self` owns the sender, so waiting can't fail.
         let _ = state.wait_for(|state| condition(state)).await;
     }
 }
--- a/src/net/stream_body.rs
+++ b/src/net/stream_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer that is read while it arrives.
+//! A response body that is read while it arrives.
 
 use super::{
     CallError,
@@ -22,25 +22,26 @@
     sync::Arc, //
 };
 
-/// A body being read. Dropping it before its end closes the connection, which
-/// tells the peer to stop its work.
+/// A response body being read. Dropping it before its end closes the connection, which
+/// tells the peer to stop running the request.
 pub struct StreamBody {
     pub(super) address: SocketAddr,
     pub(super) body: Incoming,
-    /// Where the connection goes back to once the body has ended.
+    /// The pool that the connection returns to at the end of the body.
     pub(super) pool: Arc<IdlePool>,
-    /// `None` once it was given back, or when the peer closes it.
+    /// The connection; `None` once it is back in the pool, or if the peer is going to close it.
     pub(super) sender: Option<SendRequest<Full<Bytes>>>,
+    /// Until when the connection may be reused.
     pub(super) usable_until: Millis,
 }
 
 impl StreamBody {
-    /// The next bytes, waited for at most `within`; `None` at the body's end.
+    /// Waits at most `timeout` for the next bytes; `None` at the body's end.
     ///
     /// # Errors
     ///
     /// [`CallError::Broken`] when the body was cut off, [`CallError::Timeout`]
-    /// when nothing came.
+    /// when nothing arrived in time.
     pub async fn next(&mut self, timeout: Millis) -> Result<Option<Bytes>, CallError> {
         let address = self.address;
         loop {
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Returns the connection to its pool.
     fn release_connection(&mut self) {
         if let Some(sender) = self.sender.take() {
             self.pool.put(sender, self.usable_until);
