--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -1,4 +1,4 @@
-//! What one server's answer to one attempt means.
+//! Classifies the result of sending a request to one server.
 
 use crate::{
     base::Verdict,
@@ -10,24 +10,24 @@
     StatusCode, //
 };
 
-/// What became of one attempt.
+/// The result of one attempt: one request sent to one server.
 #[derive(Debug)]
 pub(super) enum AttemptOutcome {
-    /// The server's own whole answer, good or bad.
+    /// The server's own complete response, whatever its status.
     Answered(FullResponse),
-    /// Nothing that may be handed on.
+    /// No response that may be forwarded to the caller.
     Failed {
-        /// Whether it tells of the server's end.
         server_status: ServerStatus,
         reason: &'static str,
-        /// Whether the failure speaks against the server.
+        /// Whether the failure counts against the server's circuit breaker.
         server_fault: bool,
+        /// Whether the server may have run the request.
         verdict: Verdict,
     },
 }
 
 impl AttemptOutcome {
-    /// Whether its server has begun to run the request, or may have.
+    /// Whether the server ran the request or may have run it.
     pub(super) fn may_have_run(&self) -> bool {
         match self {
             Self::Answered(_) => true,
@@ -36,20 +36,21 @@
     }
 }
 
-/// What a failed attempt tells of its server's end.
+/// What a failed attempt shows about the server process: whether it has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ServerStatus {
-    /// Its connection broke amid the request: it may have ended.
+    /// The connection broke during the request, so the process may have ended.
     ConnectionLost,
-    /// Nothing listens at its address, or another life does: it has ended.
+    /// Nothing listens at the address, or a later incarnation does: the process has ended.
     Gone,
-    /// It answered.
+    /// The process answered.
     Alive,
-    /// There is no telling.
+    /// The attempt shows nothing either way.
     Unknown,
 }
 
 impl ServerStatus {
+    /// What `error` shows about the server.
     pub(super) fn of(error: &CallError) -> Self {
         match error {
             CallError::Broken { .. } => Self::ConnectionLost,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Judges what came back for the attempt of the request `id`.
+/// Classifies the response or the error of an attempt to run the request `id`.
 pub(super) fn classify(id: &str, outcome: Result<FullResponse, CallError>) -> AttemptOutcome {
     let answer = match outcome {
         Ok(answer) => answer,
@@ -79,9 +80,9 @@
         }
     };
 
-    // A late answer of an earlier request can come where the answer to this
-    // one is expected. The id tells them apart; without the check a caller
-    // would get another's answer.
+    // A late response to an earlier request can arrive in place of the response to
+    // this one. The echoed id tells them apart; without the check a caller would get
+    // the response to someone else's request.
     let echoed = answer.headers.get(platform::ATTEMPT_ID);
     if is_refusal(answer.status, &answer.headers) {
         if matches!(answer.status.as_u16(), 429 | 503) {
@@ -115,11 +116,12 @@
     AttemptOutcome::Answered(answer)
 }
 
-/// Whether a server's answer says that it did not run the request.
+/// Whether the response says that the server did not run the request.
 pub(super) fn is_refusal(status: StatusCode, headers: &HeaderMap) -> bool {
     platform::not_executed(headers) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
+/// A failure that shows nothing about whether the server's process has ended.
 fn failed(reason: &'static str, server_fault: bool, verdict: Verdict) -> AttemptOutcome {
     AttemptOutcome::Failed {
         server_status: ServerStatus::Unknown,
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -1,4 +1,4 @@
-//! A call, and how it ended.
+//! A request for a backend server, and its result.
 
 use super::StreamAttempt;
 use crate::{
@@ -13,27 +13,28 @@
 };
 use std::sync::Arc;
 
-/// A request to be answered by one of a service's servers.
+/// A request that one of a service's backend servers is to answer.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub body: Bytes,
-    /// Names what it asks; its retries have the same.
+    /// Identifies what is requested; the caller's retries have the same fingerprint.
     pub fingerprint: Fingerprint,
-    /// Without those that concern one connection.
+    /// The request's headers without the hop-by-hop ones.
     pub headers: HeaderMap,
+    /// The request's id; the server has to echo it.
     pub id: String,
     pub method: Method,
     /// Path and query.
     pub path: String,
     pub route: Arc<Route>,
-    /// When its caller or its route gives it up.
+    /// The earlier of the caller's deadline and the route's.
     pub deadline: Millis,
-    /// The workspace that asks; it goes by the key that the caller showed.
+    /// The workspace whose key the caller presented; `None` if it presented none.
     pub workspace: Option<Arc<Workspace>>,
 }
 
 impl Call {
-    /// How urgent it is: as its workspace is, or else as its route is.
+    /// The priority of the workspace, or else that of the route; 0 is the most urgent.
     pub fn priority(&self) -> Option<u32> {
         let workspace = self.workspace.as_ref();
         let own = workspace.and_then(|workspace| workspace.priority);
@@ -41,27 +42,27 @@
     }
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug)]
 pub enum CallOutcome {
-    /// A server's whole answer, to be handed on unchanged. `failures` servers
-    /// answered that they failed, this one included if it did.
+    /// A server's complete response, to be forwarded unchanged. `failures` is the
+    /// number of attempts answered with status 500, this response included.
     Answered { answer: FullResponse, failures: u32 },
-    /// It may have run, and its answer is lost; `failures` servers answered
-    /// that they failed.
+    /// The request may have run, but there is no response to forward. `failures` is
+    /// the number of attempts answered with status 500.
     Lost { failures: u32, reason: String },
-    /// It did not run and will not; it is worth asking again after the wait.
+    /// The request did not run and won't; the caller may retry after `wait`.
     NotRun { reason: String, wait: Millis },
-    /// Its time is over.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 }
 
-/// How the opening of a stream ended.
+/// The result of opening a stream.
 pub enum StreamOutcome {
-    /// A server answers; its body is still to be read.
+    /// A server has begun to answer; the body is still to be read.
     Opened(Box<StreamingResponse>, StreamAttempt),
-    /// It may have run, and its answer is lost.
+    /// The request may have run, but there is no response to forward.
     Lost { reason: String },
-    /// It did not run and will not; it is worth asking again after the wait.
+    /// The request did not run and won't; the caller may retry after `wait`.
     NotRun { reason: String, wait: Millis },
 }
--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -1,4 +1,4 @@
-//! One call's attempts, one after another or beside another.
+//! Runs one call: its attempts, retries and at most one hedged attempt.
 
 use super::{
     Call,
@@ -21,27 +21,28 @@
 };
 use hyper::StatusCode;
 
-/// One call's attempts.
+/// The state of one call while its attempts run.
 pub(super) struct CallRun<'a> {
     call: &'a Call,
     caller: &'a Caller,
-    /// Servers that answered that they failed.
+    /// Attempts that were answered with status 500.
     failures: u32,
-    /// Whether another server was asked beside a slow one.
+    /// Whether a hedged attempt was tried.
     hedged: bool,
-    /// Why the last attempt failed.
+    /// Why the last attempt failed, or why there was none.
     last_reason: &'static str,
     /// Attempts that may have run.
     may_have_run: u32,
-    /// Attempts that did not.
+    /// Attempts that did not run.
     refusals: u32,
-    /// The call is in quarantine, and this is the trial of it.
+    /// The claimed trial of a call that is in quarantine.
     trial: Option<view::Attempt>,
+    /// The server of each attempt; a server that was tried twice is there twice.
     tried: Vec<ServerIncarnation>,
 }
 
 impl<'a> CallRun<'a> {
-    /// A call of which nothing was sent yet.
+    /// A run of `call` without attempts yet.
     pub(super) fn new(caller: &'a Caller, call: &'a Call) -> Self {
         Self {
             call,
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Makes attempts until one gets a response to forward or no other is allowed.
     pub(super) async fn run(mut self) -> CallOutcome {
         let call = self.call;
         let caller = self.caller;
@@ -106,6 +108,7 @@
         }
     }
 
+    /// Counts an attempt that got no response to forward.
     fn record_failure(&mut self, reason: &'static str, verdict: Verdict) {
         self.last_reason = reason;
         match verdict {
@@ -114,11 +117,11 @@
         }
     }
 
-    /// The server for another attempt, if the call may have one.
+    /// Chooses the server for another attempt, if the call may have one.
     fn next_attempt(&mut self) -> Option<SentAttempt> {
-        // A call that ends each server that runs it would end all of them: its
-        // attempts here and its caller's returns elsewhere are one request, whose
-        // crashes all instances count together.
+        // A request that crashes every server that runs it would take down all of them.
+        // Its attempts here and its caller's retries at other instances count as one
+        // request, whose crashes all instances share.
         let trial = self.trial.is_some() && self.tried.is_empty();
         if self.caller.is_barred(self.call, trial) {
             self.last_reason = QUARANTINE_REASON;
@@ -144,15 +147,15 @@
         Some(SentAttempt { sent_at, server })
     }
 
-    /// Attempts that are under way.
+    /// The number of attempts in flight.
     fn in_flight(&self) -> u32 {
         self.tried.len() as u32 - self.may_have_run - self.refusals
     }
 
-    /// How long the attempt under way may stay silent before another server is
-    /// asked beside it; `None` for good.
+    /// How long to wait for the only attempt in flight before hedging it with another;
+    /// `None` if the call is not to be hedged.
     fn hedge_delay(&self, in_flight: usize) -> Option<Millis> {
-        // A request that may end its servers isn't sent to two at once.
+        // A request that may have crashed a server isn't sent to two at once.
         let harmless = self.caller.crashes.ended(self.call.fingerprint) == 0;
         let wanted = in_flight == 1 && self.is_idempotent() && !self.hedged && harmless;
         if !wanted || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
@@ -164,26 +167,28 @@
         Some(hedge_after(typical, left))
     }
 
-    /// The server to ask beside a slow one, if successes have paid for it.
+    /// Chooses the server for a hedged attempt, if the retry budget allows one.
     fn start_hedge(&mut self) -> Option<SentAttempt> {
         self.hedged = true;
         let paid = self.caller.state().budget.spend();
         let sent = paid.then(|| self.next_attempt()).flatten()?;
         let (call, server) = (&self.call.id, &sent.server.incarnation.id);
-        tracing::info!(call, server, "asked beside a slow server");
+        tracing::info!(call, server, "hedged attempt sent");
         Some(sent)
     }
 
+    /// Whether the request may run more than once.
     fn is_idempotent(&self) -> bool {
         self.call.route.kind == RouteKind::Safe
     }
 
-    /// Whether `answer` is handed on, or another server should be asked: a
-    /// server's own failure may not be another's.
+    /// Whether `answer` is forwarded to the caller. The server errors of idempotent requests
+    /// aren't, as another server may succeed.
     fn is_final(&self, answer: &FullResponse) -> bool {
         !answer.status.is_server_error() || !self.is_idempotent()
     }
 
+    /// The call's outcome once no further attempt is allowed.
     fn finish(&self, last_answer: Option<FullResponse>) -> CallOutcome {
         if let Some(trial) = self.trial.filter(|_| self.may_have_run == 0) {
             self.caller.crashes.release_attempt(trial);
@@ -215,13 +220,14 @@
     }
 }
 
-/// Whether a server says that it failed. Its answer that the time was over is
-/// no failure: such answers come when attempts before have used up the time,
-/// and an item was given up for one.
+/// Whether the server answered that it failed. Other server errors don't count: a server
+/// also answers that the deadline has passed, which happens when earlier attempts used up
+/// the time, and a batch item was once given up because of that.
 fn is_failure(answer: &FullResponse) -> bool {
     answer.status == StatusCode::INTERNAL_SERVER_ERROR
 }
 
+/// Sleeps for `wait`, or forever if it is `None`.
 async fn sleep_or_never(wait: Option<Millis>) {
     match wait {
         Some(wait) => tokio::time::sleep(wait.as_duration()).await,
--- a/src/calls/caller.rs
+++ b/src/calls/caller.rs
@@ -1,4 +1,5 @@
-//! Runs calls: one attempt after another, or beside another, until one is answered.
+//! Entry point for calls: holds what is known of the servers, chooses one for each attempt,
+//! sends the request and records the outcome.
 
 use super::{
     Call,
@@ -33,16 +34,16 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError, Weak}, //
 };
 
-/// Sends calls to backend servers and keeps what it learns of them.
+/// Sends calls to backend servers and records how the servers perform.
 pub struct Caller {
-    /// The caller's data centre.
+    /// The data centre of this process.
     data_centre: String,
     pub(crate) crashes: Arc<Crashes>,
-    /// For the looks that outlast their call.
+    /// For crash checks that run on after their call.
     pub(super) weak_self: Weak<Self>,
     pub(super) site: Arc<Site>,
     state: Mutex<State>,
-    /// Counts what callers' requests begin; `None` where nobody asks for that.
+    /// Counts each workspace's attempts that may have run; `None` where usage is not counted.
     usage: Option<Arc<Counter>>,
 }
 
@@ -50,7 +51,7 @@
     pub(super) servers: ServerRecords,
     pub(super) budget: RetryBudget,
     peers: HashMap<SocketAddr, Peer>,
-    /// What a service's answers take.
+    /// Typical latency by service.
     typical_latency: HashMap<String, Typical>,
 }
 
@@ -61,38 +62,38 @@
     }
 }
 
-/// An attempt's server and when it was sent.
+/// An attempt's server, and when the request was sent.
 #[derive(Clone)]
 pub(super) struct SentAttempt {
     pub(super) sent_at: Millis,
     pub(super) server: Arc<Server>,
 }
 
-/// Refusals by full servers don't count as attempts, but a call that was
-/// refused this often isn't sent on: all servers are full.
+/// How many attempts of a call may fail without running before it is given up, as all
+/// servers are probably full. Such attempts don't count towards the route's limit.
 pub(super) const MAX_REFUSALS: u32 = 3;
 
-/// The share of successes that pays for second attempts beside slow first
-/// ones. Second attempts after a failure are bounded by the route.
+/// How much one success adds to the retry budget that hedged attempts are paid from.
+/// Retries after a failure are limited by the route instead.
 const HEDGES_PER_SUCCESS: f64 = 0.3;
 
-/// How much longer than a call its attempts may last. The call's own end comes
-/// first then: it is no failure of a server that was given too little time.
+/// How much longer than its call an attempt may last. The call's deadline then passes
+/// first, so that a server that was given too little time is not recorded as failed.
 const ATTEMPT_GRACE: Millis = Millis(250);
 
-/// Why a call is refused whose key may have been taken away.
+/// The reason for refusing a call whose key may have been revoked.
 pub(super) const STALE_REASON: &str = "configuration-not-confirmed";
 
-/// When a call that no server took is worth asking again: about what one call
-/// takes, so that a slot is likely to be free.
+/// The retry delay for a call that all servers refused: about the duration of one call,
+/// after which a slot is likely to be free.
 pub(super) const RETRY_AFTER_FULL: Millis = Millis(60);
 
-/// When a call for which no server is known is worth asking again: servers
-/// announce themselves within a second or two.
+/// The retry delay for a call whose service has no known server: servers announce
+/// themselves within a second or two.
 pub(super) const RETRY_AFTER_NO_SERVER: Millis = Millis(300);
 
 impl Caller {
-    /// A caller in the data centre `home`.
+    /// A caller in `data_centre`.
     pub fn new(
         site: Arc<Site>,
         crashes: Arc<Crashes>,
@@ -114,8 +115,8 @@
         })
     }
 
-    /// Runs `call` to its end. Dropping the future closes the connections of
-    /// its attempts, which tells their servers to stop.
+    /// Runs `call` until it is answered, fails or reaches its deadline. Dropping the future
+    /// closes the connections of its attempts, which tells their servers to stop.
     pub async fn run(&self, call: &Call) -> CallOutcome {
         let now = self.site.now();
         if call.deadline <= now {
@@ -129,14 +130,15 @@
         }
     }
 
-    /// Runs `call` until a server begins to answer. It is sent on to another
-    /// server only when one says that it did not run it.
+    /// Runs `call` until a server begins to answer. The call goes to another server only if
+    /// the request did not run at the one before.
     pub async fn open_stream(self: &Arc<Self>, call: &Call) -> StreamOutcome {
         let mut tried = Vec::new();
         let mut reason = "no-server";
         let trial = self.take_trial(call).await;
         for _ in 0..=MAX_REFUSALS {
-            // Its caller opens a stream anew after each end of a server.
+            // The caller reopens its stream each time a server crashes, so a request that
+            // crashes servers has to be stopped here.
             if self.is_barred(call, trial.is_some() && tried.is_empty()) {
                 return StreamOutcome::NotRun {
                     reason: QUARANTINE_REASON.to_owned(),
@@ -193,24 +195,25 @@
         StreamOutcome::NotRun { reason, wait }
     }
 
-    /// Whether `call` shows a key of which the store has not told for too long
-    /// whether it still holds. Looked at before each attempt: the call may have
-    /// waited, or this process have been frozen, since it came.
+    /// Whether `call` carries a key and the configuration has not been confirmed recently
+    /// enough to rely on the key still being valid. Checked before each attempt: the call may
+    /// have waited, or this process may have been suspended, since the call arrived.
     pub(super) fn is_config_stale(&self, call: &Call) -> bool {
         call.workspace.is_some() && !self.site.is_fresh()
     }
 
-    /// The clock that calls are measured by.
+    /// The clock of call deadlines.
     pub fn clock(&self) -> Clock {
         self.site.clock
     }
 
+    /// The HTTP request for an attempt of `call` at `server`, with `left` until the deadline.
     fn request(call: &Call, server: &Server, left: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(call.body.clone()));
         *request.method_mut() = call.method.clone();
         match call.path.parse() {
             Ok(uri) => *request.uri_mut() = uri,
-            Err(error) => tracing::warn!(path = call.path, %error, "not a path"),
+            Err(error) => tracing::warn!(path = call.path, %error, "invalid request path"),
         }
         *request.headers_mut() = call.headers.clone();
         platform::set_deadline(request.headers_mut(), left);
@@ -226,6 +229,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Chooses the server for the next attempt of `call`; `tried` are those it was sent to.
     pub(super) fn choose_server(
         &self,
         call: &Call,
@@ -277,6 +281,7 @@
         Some(server)
     }
 
+    /// The connections to `address`.
     pub(super) fn peer(&self, address: SocketAddr) -> Peer {
         let mut state = self.state();
         let clock = self.site.clock;
@@ -284,6 +289,7 @@
         peer.or_insert_with(|| Peer::open(address, clock)).clone()
     }
 
+    /// Sends `call` to the server of `sent`; returns `sent` with the response or the error.
     pub(super) async fn send(
         &self,
         call: &Call,
@@ -319,14 +325,14 @@
         (sent, answer)
     }
 
-    /// Counts an attempt that a server has begun, or may have.
+    /// Counts an attempt that may have run towards the workspace's usage.
     pub(super) fn count_usage(&self, call: &Call, sent_at: Millis) {
         if let (Some(usage), Some(workspace)) = (&self.usage, &call.workspace) {
             usage.note(&workspace.name, sent_at);
         }
     }
 
-    /// Notes what an attempt showed of its server.
+    /// Records what an attempt's outcome shows about its server.
     pub(super) fn record_outcome(&self, call: &Call, sent: &SentAttempt, attempt: &AttemptOutcome) {
         if attempt.may_have_run() {
             self.count_usage(call, sent.sent_at);
@@ -368,23 +374,27 @@
                 let (server, taken) = (&server.id, taken as u64);
                 tracing::info!(call, %request, server, reason, taken, "attempt failed");
                 if out {
-                    tracing::warn!(server, reason, "server distrusted after failures in a row");
+                    tracing::warn!(
+                        server,
+                        reason,
+                        "circuit breaker opened after consecutive failures"
+                    );
                 }
             }
         }
     }
 
-    /// What calls to `service` usually take, in ms.
+    /// The typical latency of calls to `service`, in ms.
     pub(super) fn typical_latency(&self, service: &str) -> f64 {
         self.state().typical_latency(service)
     }
 }
 
-/// Counts an attempt as under way until it is dropped.
+/// Keeps an attempt counted as in flight until dropped.
 struct InFlightGuard<'a> {
     call: &'a Call,
     caller: &'a Caller,
-    /// Whether it ended by itself.
+    /// Whether the attempt got a response or an error, rather than being dropped before.
     completed: bool,
     sent: &'a SentAttempt,
 }
@@ -397,8 +407,8 @@
         state.servers.end_call(server);
         if !self.completed {
             self.caller.count_usage(self.call, self.sent.sent_at);
-            // Another server was faster, or the caller left: the time waited
-            // says how slow this one is at least.
+            // Another server was faster, or the caller disconnected. The time waited is a
+            // lower bound of this server's latency.
             let waited = now.since(self.sent.sent_at).0 as f64;
             let usual = state.typical_latency(&self.sent.server.service);
             state.servers.record_min_latency(server, now, usual, waited);
--- a/src/calls/crash_check.rs
+++ b/src/calls/crash_check.rs
@@ -1,4 +1,5 @@
-//! Looks whether servers have ended under calls, and holds calls in quarantine back.
+//! Finds out whether a server process has ended while it ran a request, counts that as a
+//! crash against the request, and refuses requests that are in quarantine.
 
 use super::{
     Call,
@@ -14,27 +15,27 @@
 use std::sync::Arc;
 use tokio::runtime::Handle;
 
-/// When to look whether a server has ended under a request for which nobody waits
-/// any more: longer than calls run as a rule, and sooner than a server is back, which
-/// takes a second at least.
+/// The delay before checking whether a server has ended under an abandoned request. Longer
+/// than calls usually run, and shorter than a server's restart, which takes at least 1 s.
 const FIRST_CHECK_DELAY: Millis = Millis(500);
 
-/// When to look for the last time, after that: the announcement of a server's next life
-/// is known by then.
+/// The delay between the first check and the second and last one. By then the announcement
+/// of a restarted server's next incarnation has arrived.
 const SECOND_CHECK_DELAY: Millis = Millis(1_500);
 
-/// How long the look whether a server has ended may take: some round trips between
-/// data centres. The call waits for it before it is sent on.
+/// How long a check whether a server has ended may take: a few round trips between data
+/// centres. The call waits for it before its next attempt.
 const CHECK_TIMEOUT: Millis = Millis(100);
 
-/// Why a call in quarantine is refused.
+/// The reason for refusing a call that is in quarantine.
 pub(super) const QUARANTINE_REASON: &str = "quarantine";
 
-/// When a call in quarantine is worth asking again: once people have looked at it.
+/// The retry delay for a call in quarantine: long, as a person has to look at it first.
 pub(super) const RETRY_AFTER_QUARANTINE: Millis = Millis(60_000);
 
 impl Caller {
-    /// The trial of `call`, if it is in quarantine and this is the one to try it.
+    /// Claims the trial of `call`, if the call is in quarantine, a trial is due and no other
+    /// instance has claimed it.
     pub(super) async fn take_trial(&self, call: &Call) -> Option<Attempt> {
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Whether `call` may not be sent: it is in quarantine, and this is not the one
-    /// attempt of its `trial`.
+    /// Whether quarantine forbids this attempt of `call`; `trial` says whether the attempt is
+    /// the one that a claimed trial allows.
     pub(super) fn is_barred(&self, call: &Call, trial: bool) -> bool {
         match self.crashes.judge(call.fingerprint) {
             Verdict::Clear | Verdict::Watched | Verdict::Suspect => false,
@@ -54,9 +55,9 @@
         }
     }
 
-    /// Looks after a while whether `server` has ended, if by then nothing has shown
-    /// what became of `request`, for whose answer nobody waits any more. Without it
-    /// a request whose caller leaves before its server ends counts for nothing.
+    /// Checks later whether `server` has ended, unless it is known by then what became of
+    /// `request`, whose answer nothing waits for any more. Without this, a crash is not
+    /// counted against a request whose caller disconnected before the server ended.
     pub(super) fn check_later(&self, server: &Arc<Server>, request: Fingerprint) {
         let (Some(caller), Ok(runtime)) = (self.weak_self.upgrade(), Handle::try_current()) else {
             return;
@@ -76,7 +77,7 @@
                     .check_status(&server, ServerStatus::ConnectionLost, was_in_service)
                     .await;
             }
-            // A server that was back before that look seemed to live.
+            // A server that restarted before the first check looked alive to it.
             tokio::time::sleep(SECOND_CHECK_DELAY.as_duration()).await;
             if is_pending() && caller.is_replaced(&server) {
                 caller.record_crash(&server, was_in_service);
@@ -84,15 +85,15 @@
         });
     }
 
-    /// Finds out whether `server` has ended, by what an attempt told of it. If so,
-    /// its end counts against the requests that it was working on.
+    /// Checks whether `server` has ended after an attempt that showed `status`. If it has, the
+    /// crash counts against the requests that the server was running.
     pub(super) async fn check_server(&self, server: &Server, status: ServerStatus) {
         let was_in_service = self.is_in_service(server);
         self.check_status(server, status, was_in_service).await;
     }
 
-    /// A server that was not `announced` any more when the attempt failed was leaving,
-    /// and has ended as planned.
+    /// As [`Caller::check_server`]. A server that was not in service any more when the attempt
+    /// failed has ended as planned, which is no crash.
     async fn check_status(&self, server: &Server, status: ServerStatus, was_in_service: bool) {
         let has_ended = match status {
             ServerStatus::ConnectionLost => {
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Counts the end of `server` against the requests that were given up there of late.
+    /// Records that `server` has ended. Unless the end was planned, it counts as a crash against
+    /// the requests recently abandoned there.
     fn record_crash(&self, server: &Server, was_in_service: bool) {
         let now = self.site.now();
         let requests = self
@@ -119,14 +121,14 @@
         }
     }
 
-    /// Whether `server` is announced and takes work.
+    /// Whether this incarnation of `server` is announced and not draining.
     fn is_in_service(&self, server: &Server) -> bool {
         let directory = self.site.directory();
         let known = directory.get(&server.incarnation.id);
         known.is_some_and(|known| known.incarnation == server.incarnation && !known.draining)
     }
 
-    /// Whether another life of the service is announced at the server's address.
+    /// Whether another incarnation is announced for the same service at the server's address.
     fn is_replaced(&self, server: &Server) -> bool {
         let now = self.site.server_at(server.address, &server.service);
         now.is_some_and(|now| now.incarnation != server.incarnation)
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,4 +1,5 @@
-//! Calls to backend servers: choice, attempts, what may be repeated, answers.
+//! Sends callers' requests to backend servers: server choice, retries, hedging, and the
+//! detection of servers that crash under a request.
 
 mod attempt;
 mod call;
--- a/src/calls/server_records.rs
+++ b/src/calls/server_records.rs
@@ -1,4 +1,5 @@
-//! What this process saw of each server.
+//! What this process has observed of each backend server: latency, failures, load, and the
+//! requests that the server may be running.
 
 use super::attempt::{
     AttemptOutcome,
@@ -11,60 +12,65 @@
 };
 use std::collections::HashMap;
 
-/// One server's record.
+/// The observations of one server incarnation.
 #[derive(Debug, Default)]
 struct Record {
-    /// Requests of which the server has not been seen to answer or refuse them.
+    /// Requests that were sent to the server and that it has neither answered nor refused.
     pending: Vec<PendingRequest>,
-    /// When it was seen to have ended.
+    /// When this process found out that the server had ended.
     ended_at: Option<Millis>,
     breaker: Health,
+    /// Calls of this process at the server; streams are not counted.
     in_flight: u32,
     latency: Latency,
-    /// Running and waiting calls by the server's own word, and when it said so.
+    /// The running and waiting calls that the server last reported, and when.
     reported_load: Option<(u32, Millis)>,
+    /// When the last call was sent; [`Record`]s that were not used for long are dropped.
     last_used: Millis,
 }
 
 /// A request that a server may be working on.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
-    /// When it was given up here; `None` while its answer is awaited.
+    /// When this process stopped waiting for the answer; `None` while it waits.
     abandoned_at: Option<Millis>,
     request: Fingerprint,
 }
 
-/// When a request was sent, and whether it may have run.
+/// A sent request that got no answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LostRequest {
     pub(super) sent_at: Millis,
+    /// Whether the server may have run it.
     pub(super) verdict: Verdict,
 }
 
-/// The records of all servers, by life.
+/// The records of all servers, by incarnation.
 #[derive(Debug, Default)]
 pub(super) struct ServerRecords {
     records: HashMap<ServerIncarnation, Record>,
 }
 
-/// A server's word on its load counts this long; calls last tens of ms.
+/// How long a server's load report is used; calls last tens of milliseconds.
 const REPORT_MAX_AGE: Millis = Millis(300);
 
-/// Records of servers that got no call for so long are dropped.
+/// A cleanup drops the records of servers that got no call for this long.
 const RECORD_MAX_IDLE: Millis = Millis(60_000);
 
-/// A server that ends may still have worked on a request that was given up this
-/// long before: its caller left, or its time was over.
+/// How long after a request was abandoned (its caller disconnected, or its deadline
+/// passed) the server may still be running it, so that a crash counts against it.
 const ABANDONED_MAX_AGE: Millis = Millis(3_000);
 
-/// Requests of one server that are kept apart; its slots and queue hold fewer.
+/// The most pending requests recorded per server; its slots and queue hold fewer.
 const MAX_PENDING: usize = 256;
 
-/// Above this many records the unused ones are looked for.
+/// The number of records above which unused ones are dropped.
 const CLEANUP_THRESHOLD: usize = 4_096;
 
 impl ServerRecords {
-    /// The server as a candidate for a call that usually takes `usual` ms.
+    /// Describes `server` to the server choice. `data_centre` is the caller's, `tried` says
+    /// whether this call was sent to the server before, and `usual` is the service's usual
+    /// latency in ms.
     pub(super) fn candidate(
         &self,
         server: &Server,
@@ -89,7 +95,7 @@
         }
     }
 
-    /// A call is sent to `server`.
+    /// Counts a call to `server` as in flight.
     pub(super) fn begin_call(&mut self, server: &ServerIncarnation, now: Millis) {
         if self.records.len() > CLEANUP_THRESHOLD {
             let unused = |record: &Record| {
@@ -103,14 +109,14 @@
         record.breaker.try_once(now);
     }
 
-    /// A call at `server` is no longer under way.
+    /// Stops counting a call to `server` as in flight.
     pub(super) fn end_call(&mut self, server: &ServerIncarnation) {
         if let Some(record) = self.records.get_mut(server) {
             record.in_flight = record.in_flight.saturating_sub(1);
         }
     }
 
-    /// An answer came after `taken` ms, where `usual` is usual.
+    /// Records a successful call that took `taken` ms; `usual` is the service's usual latency.
     pub(super) fn record_success(
         &mut self,
         server: &ServerIncarnation,
@@ -124,7 +130,7 @@
         }
     }
 
-    /// The server failed; true when this takes it out.
+    /// Records a failure of the server; true if this opens its circuit breaker.
     pub(super) fn record_failure(&mut self, server: &ServerIncarnation, now: Millis) -> bool {
         let Some(record) = self.records.get_mut(server) else {
             return false;
@@ -134,7 +140,8 @@
         !before && record.breaker.is_out()
     }
 
-    /// No answer came within `waited` ms: what it takes is at least that.
+    /// Records that the server had not answered after `waited` ms, which is a lower bound of
+    /// its latency.
     pub(super) fn record_min_latency(
         &mut self,
         server: &ServerIncarnation,
@@ -147,14 +154,14 @@
         }
     }
 
-    /// The server said how many calls it has.
+    /// Records the number of running and waiting calls that the server reported.
     pub(super) fn record_load(&mut self, server: &ServerIncarnation, now: Millis, load: u32) {
         if let Some(record) = self.records.get_mut(server) {
             record.reported_load = Some((load, now));
         }
     }
 
-    /// `request` is sent to `server`.
+    /// Records that `request` is sent to `server`.
     pub(super) fn add_pending(&mut self, server: &ServerIncarnation, request: Fingerprint) {
         let record = self.records.entry(server.clone()).or_default();
         if record.pending.len() == MAX_PENDING {
@@ -167,8 +174,8 @@
         });
     }
 
-    /// `server` answered or refused `request`, which was sent at `began`: it lives,
-    /// and what was given up before then has not ended it.
+    /// Records that `server` answered or refused `request`, which was sent at `sent_at`. The
+    /// server was alive after that, so requests abandoned earlier have not crashed it.
     pub(super) fn record_reply(
         &mut self,
         server: &ServerIncarnation,
@@ -185,8 +192,8 @@
             .retain(|pending| pending.abandoned_at.is_none_or(|at| at >= sent_at));
     }
 
-    /// Notes what became of `request`, which was sent to `server` at `began`; true
-    /// when the server may still be working on it.
+    /// Records the outcome of `request`, which was sent to `server` at `sent_at`; true if the
+    /// server may still be running it.
     pub(super) fn record_outcome(
         &mut self,
         server: &ServerIncarnation,
@@ -214,9 +221,9 @@
         }
     }
 
-    /// `request` got no answer of `server`; true when the server may still be
-    /// working on it. One that never reached it, or that was sent once its end was
-    /// known and may have met it closing down, has not ended it.
+    /// Records that `server` did not answer `request`; true if the server may still be running
+    /// it. A request that did not run can't have crashed the server, nor can one that was sent
+    /// after the server was found to have ended: it may have met the process shutting down.
     pub(super) fn record_loss(
         &mut self,
         server: &ServerIncarnation,
@@ -235,8 +242,8 @@
         self.abandon(server, request, now)
     }
 
-    /// Nobody waits for the answer to `request` any more; true when the server may
-    /// still be working on it.
+    /// Records that nothing waits for the answer to `request` any more; true if the server may
+    /// still be running it.
     pub(super) fn abandon(
         &mut self,
         server: &ServerIncarnation,
@@ -256,17 +263,18 @@
         is_pending
     }
 
-    /// Whether `server` may be working on `request`.
+    /// Whether `server` may be running `request`.
     pub(super) fn is_pending(&self, server: &ServerIncarnation, request: Fingerprint) -> bool {
         let record = self.records.get(server);
         let mut pending = record.iter().flat_map(|record| &record.pending);
         pending.any(|pending| pending.request == request)
     }
 
-    /// `server` has ended; returns the requests that were given up there of late.
+    /// Records that `server` has ended; returns the recently abandoned requests that it may
+    /// have been running.
     ///
-    /// Those whose answers are awaited find out by themselves what became of them:
-    /// some are still connecting, and have never reached it.
+    /// Requests that still await an answer are left out: each attempt finds out itself what
+    /// became of it, and some are still connecting and never reached the server.
     pub(super) fn end_incarnation(
         &mut self,
         server: &ServerIncarnation,
@@ -292,6 +300,7 @@
 }
 
 impl Record {
+    /// Removes one `request` that awaits its answer.
     fn remove_pending(&mut self, request: Fingerprint) {
         let same =
             |pending: &PendingRequest| pending.request == request && pending.abandoned_at.is_none();
--- a/src/calls/stream_attempt.rs
+++ b/src/calls/stream_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt whose answer is read while it arrives.
+//! Tracks an attempt whose response body is read while it arrives.
 
 use super::{
     attempt::ServerStatus,
@@ -11,8 +11,8 @@
 };
 use std::sync::Arc;
 
-/// Counts a request as under way at its server until its answer has come or is
-/// given up, which is when this is dropped.
+/// A streamed attempt, recorded as pending at its server until it is answered or fails.
+/// Dropping it before then abandons the request.
 pub struct StreamAttempt {
     caller: Arc<Caller>,
     request: Fingerprint,
@@ -20,7 +20,7 @@
 }
 
 impl StreamAttempt {
-    /// `request` is about to be sent.
+    /// Records `request` as pending; it is about to be sent.
     pub(super) fn open(caller: &Arc<Caller>, request: Fingerprint, sent: SentAttempt) -> Self {
         let caller = caller.clone();
         caller
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The server answered, or said that it won't.
+    /// Records that the server answered or refused the request.
     pub fn record_reply(&self) {
         let (server, sent_at) = (&self.sent.server.incarnation, self.sent.sent_at);
         self.caller
@@ -43,13 +43,13 @@
             .record_reply(server, self.request, sent_at);
     }
 
-    /// The whole answer came.
+    /// Records that the complete response arrived.
     pub fn complete(&self) {
         self.record_reply();
         self.caller.crashes.survived(self.request);
     }
 
-    /// The request failed with `error`: finds out whether its server has ended.
+    /// Records that the request failed with `error`, and checks whether its server has ended.
     pub async fn fail(&self, error: &CallError) {
         let status = ServerStatus::of(error);
         let now = self.caller.site.now();
@@ -61,6 +61,7 @@
         self.caller.check_server(&self.sent.server, status).await;
     }
 
+    /// Records that the request got no complete answer.
     fn record_loss(&self, lost: LostRequest, now: Millis) {
         let server = &self.sent.server.incarnation;
         let mut state = self.caller.state();
