--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -51,7 +51,7 @@
 
 impl ServerStatus {
     /// What `error` shows about the server.
-    pub(super) fn of(error: &CallError) -> Self {
+    pub(super) fn from_error(error: &CallError) -> Self {
         match error {
             CallError::Broken { .. } => Self::ConnectionLost,
             _ if error.is_refused() => Self::Gone,
@@ -72,7 +72,7 @@
                 CallError::TooLarge { .. } => "too-large",
             };
             return AttemptOutcome::Failed {
-                server_status: ServerStatus::of(&error),
+                server_status: ServerStatus::from_error(&error),
                 reason,
                 server_fault: true,
                 verdict: error.verdict(),
--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -3,10 +3,12 @@
 use super::{
     Call,
     CallOutcome,
-    Caller,
+    Dispatcher,
     attempt::{AttemptOutcome, classify},
-    caller::{MAX_REFUSALS, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt},
     crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE}, //
+    dispatcher::{
+        MAX_REFUSALS, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt,
+    },
 };
 use crate::{
     base::{Millis, Verdict},
@@ -24,7 +26,7 @@
 /// The state of one call while its attempts run.
 pub(super) struct CallRun<'a> {
     call: &'a Call,
-    caller: &'a Caller,
+    dispatcher: &'a Dispatcher,
     /// Attempts that were answered with status 500.
     failures: u32,
     /// Whether a hedged attempt was tried.
@@ -43,10 +45,10 @@
 
 impl<'a> CallRun<'a> {
     /// A run of `call` without attempts yet.
-    pub(super) fn new(caller: &'a Caller, call: &'a Call) -> Self {
+    pub(super) fn new(dispatcher: &'a Dispatcher, call: &'a Call) -> Self {
         Self {
             call,
-            caller,
+            dispatcher,
             failures: 0,
             hedged: false,
             last_reason: "no-server",
@@ -60,37 +62,37 @@
     /// Makes attempts until one gets a response to forward or no other is allowed.
     pub(super) async fn run(mut self) -> CallOutcome {
         let call = self.call;
-        let caller = self.caller;
+        let dispatcher = self.dispatcher;
         let mut in_flight = FuturesUnordered::new();
         let mut last_answer: Option<FullResponse> = None;
-        self.trial = caller.take_trial(call).await;
+        self.trial = dispatcher.claim_trial(call).await;
         loop {
             if in_flight.is_empty() {
                 let Some(sent) = self.next_attempt() else {
                     return self.finish(last_answer);
                 };
-                in_flight.push(caller.send(call, sent));
+                in_flight.push(dispatcher.send(call, sent));
             }
             let hedge = sleep_or_never(self.hedge_delay(in_flight.len()));
             let (sent, outcome) = tokio::select! {
                 Some(done) = in_flight.next() => done,
                 () = hedge => {
                     if let Some(sent) = self.start_hedge() {
-                        in_flight.push(caller.send(call, sent));
+                        in_flight.push(dispatcher.send(call, sent));
                     }
                     continue;
                 }
             };
             let attempt = classify(&call.id, outcome);
-            caller.record_outcome(call, &sent, &attempt);
+            dispatcher.record_outcome(call, &sent, &attempt);
             match attempt {
                 AttemptOutcome::Answered(answer) if self.is_final(&answer) => {
-                    caller.crashes.survived(call.fingerprint);
+                    dispatcher.crashes.survived(call.fingerprint);
                     let failures = self.failures + u32::from(is_failure(&answer));
                     return CallOutcome::Answered { answer, failures };
                 }
                 AttemptOutcome::Answered(answer) => {
-                    caller.crashes.survived(call.fingerprint);
+                    dispatcher.crashes.survived(call.fingerprint);
                     self.failures += u32::from(is_failure(&answer));
                     self.may_have_run += 1;
                     last_answer = Some(answer);
@@ -101,7 +103,7 @@
                     verdict,
                     ..
                 } => {
-                    caller.check_server(&sent.server, server_status).await;
+                    dispatcher.check_server(&sent.server, server_status).await;
                     self.record_failure(reason, verdict);
                 }
             }
@@ -123,11 +125,11 @@
         // Its attempts here and its caller's retries at other instances count as one
         // request, whose crashes all instances share.
         let trial = self.trial.is_some() && self.tried.is_empty();
-        if self.caller.is_barred(self.call, trial) {
+        if self.dispatcher.is_barred(self.call, trial) {
             self.last_reason = QUARANTINE_REASON;
             return None;
         }
-        if self.caller.is_config_stale(self.call) {
+        if self.dispatcher.is_config_stale(self.call) {
             self.last_reason = STALE_REASON;
             return None;
         }
@@ -138,12 +140,12 @@
         if !allowed {
             return None;
         }
-        let server = self.caller.choose_server(self.call, &self.tried)?;
+        let server = self.dispatcher.choose_server(self.call, &self.tried)?;
         if self.tried.contains(&server.incarnation) && self.refusals > 0 {
             return None;
         }
         self.tried.push(server.incarnation.clone());
-        let sent_at = self.caller.site.now();
+        let sent_at = self.dispatcher.site.now();
         Some(SentAttempt { sent_at, server })
     }
 
@@ -156,21 +158,21 @@
     /// `None` if the call is not to be hedged.
     fn hedge_delay(&self, in_flight: usize) -> Option<Millis> {
         // A request that may have crashed a server isn't sent to two at once.
-        let harmless = self.caller.crashes.ended(self.call.fingerprint) == 0;
+        let harmless = self.dispatcher.crashes.ended(self.call.fingerprint) == 0;
         let wanted = in_flight == 1 && self.is_idempotent() && !self.hedged && harmless;
         if !wanted || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
             return None;
         }
         let service = self.call.route.service_of(&self.call.id)?;
-        let typical = self.caller.typical_latency(service);
-        let left = self.call.deadline.since(self.caller.site.now());
+        let typical = self.dispatcher.typical_latency(service);
+        let left = self.call.deadline.since(self.dispatcher.site.now());
         Some(hedge_after(typical, left))
     }
 
     /// Chooses the server for a hedged attempt, if the retry budget allows one.
     fn start_hedge(&mut self) -> Option<SentAttempt> {
         self.hedged = true;
-        let paid = self.caller.state().budget.spend();
+        let paid = self.dispatcher.state().budget.spend();
         let sent = paid.then(|| self.next_attempt()).flatten()?;
         let (call, server) = (&self.call.id, &sent.server.incarnation.id);
         tracing::info!(call, server, "hedged attempt sent");
@@ -191,7 +193,7 @@
     /// The call's outcome once no further attempt is allowed.
     fn finish(&self, last_answer: Option<FullResponse>) -> CallOutcome {
         if let Some(trial) = self.trial.filter(|_| self.may_have_run == 0) {
-            self.caller.crashes.release_attempt(trial);
+            self.dispatcher.crashes.release_attempt(trial);
         }
         let failures = self.failures;
         if let Some(answer) = last_answer {
--- a/src/calls/crash_check.rs
+++ b/src/calls/crash_check.rs
@@ -3,7 +3,7 @@
 
 use super::{
     Call,
-    Caller,
+    Dispatcher,
     attempt::ServerStatus, //
 };
 use crate::{
@@ -33,10 +33,10 @@
 /// The retry delay for a call in quarantine: long, as a person has to look at it first.
 pub(super) const RETRY_AFTER_QUARANTINE: Millis = Millis(60_000);
 
-impl Caller {
+impl Dispatcher {
     /// Claims the trial of `call`, if the call is in quarantine, a trial is due and no other
     /// instance has claimed it.
-    pub(super) async fn take_trial(&self, call: &Call) -> Option<Attempt> {
+    pub(super) async fn claim_trial(&self, call: &Call) -> Option<Attempt> {
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
         match self.crashes.judge(request) {
@@ -59,28 +59,29 @@
     /// `request`, whose answer nothing waits for any more. Without this, a crash is not
     /// counted against a request whose caller disconnected before the server ended.
     pub(super) fn check_later(&self, server: &Arc<Server>, request: Fingerprint) {
-        let (Some(caller), Ok(runtime)) = (self.weak_self.upgrade(), Handle::try_current()) else {
+        let (Some(dispatcher), Ok(runtime)) = (self.weak_self.upgrade(), Handle::try_current())
+        else {
             return;
         };
         let server = server.clone();
         let was_in_service = self.is_in_service(&server);
         runtime.spawn(async move {
             let is_pending = || {
-                caller
+                dispatcher
                     .state()
                     .servers
                     .is_pending(&server.incarnation, request)
             };
             tokio::time::sleep(FIRST_CHECK_DELAY.as_duration()).await;
             if is_pending() {
-                caller
+                dispatcher
                     .check_status(&server, ServerStatus::ConnectionLost, was_in_service)
                     .await;
             }
             // A server that restarted before the first check looked alive to it.
             tokio::time::sleep(SECOND_CHECK_DELAY.as_duration()).await;
-            if is_pending() && caller.is_replaced(&server) {
-                caller.record_crash(&server, was_in_service);
+            if is_pending() && dispatcher.is_replaced(&server) {
+                dispatcher.record_crash(&server, was_in_service);
             }
         });
     }
@@ -92,7 +93,7 @@
         self.check_status(server, status, was_in_service).await;
     }
 
-    /// As [`Caller::check_server`]. A server that was not in service any more when the attempt
+    /// As [`Dispatcher::check_server`]. A server that was not in service any more when the attempt
     /// failed has ended as planned, which is no crash.
     async fn check_status(&self, server: &Server, status: ServerStatus, was_in_service: bool) {
         let has_ended = match status {
@@ -130,7 +131,7 @@
 
     /// Whether another incarnation is announced for the same service at the server's address.
     fn is_replaced(&self, server: &Server) -> bool {
-        let now = self.site.server_at(server.address, &server.service);
-        now.is_some_and(|now| now.incarnation != server.incarnation)
+        let current = self.site.server_at(server.address, &server.service);
+        current.is_some_and(|current| current.incarnation != server.incarnation)
     }
 }
--- a/src/calls/caller.rs
+++ b/src/calls/dispatcher.rs
@@ -35,7 +35,7 @@
 };
 
 /// Sends calls to backend servers and records how the servers perform.
-pub struct Caller {
+pub struct Dispatcher {
     /// The data centre of this process.
     data_centre: String,
     pub(crate) crashes: Arc<Crashes>,
@@ -92,7 +92,7 @@
 /// themselves within a second or two.
 pub(super) const RETRY_AFTER_NO_SERVER: Millis = Millis(300);
 
-impl Caller {
+impl Dispatcher {
     /// A caller in `data_centre`.
     pub fn new(
         site: Arc<Site>,
@@ -125,7 +125,7 @@
         let left = call.deadline - now;
         let run = CallRun::new(self, call);
         match tokio::time::timeout(left.as_duration(), run.run()).await {
-            Ok(end) => end,
+            Ok(outcome) => outcome,
             Err(_) => CallOutcome::TimedOut,
         }
     }
@@ -135,7 +135,7 @@
     pub async fn open_stream(self: &Arc<Self>, call: &Call) -> StreamOutcome {
         let mut tried = Vec::new();
         let mut reason = "no-server";
-        let trial = self.take_trial(call).await;
+        let trial = self.claim_trial(call).await;
         for _ in 0..=MAX_REFUSALS {
             // The caller reopens its stream each time a server crashes, so a request that
             // crashes servers has to be stopped here.
@@ -163,21 +163,21 @@
                 sent_at,
                 server: server.clone(),
             };
-            let watched = StreamAttempt::open(self, call.fingerprint, sent);
-            let opened = peer.open_stream(request, left).await;
-            let error = match opened {
-                Ok(opened) if is_refusal(opened.status, &opened.headers) => {
-                    watched.record_reply();
+            let attempt = StreamAttempt::open(self, call.fingerprint, sent);
+            let response = peer.open_stream(request, left).await;
+            let error = match response {
+                Ok(response) if is_refusal(response.status, &response.headers) => {
+                    attempt.record_reply();
                     reason = "server-full";
                     continue;
                 }
-                Ok(opened) => {
+                Ok(response) => {
                     self.count_usage(call, sent_at);
-                    return StreamOutcome::Opened(Box::new(opened), watched);
+                    return StreamOutcome::Opened(Box::new(response), attempt);
                 }
                 Err(error) => error,
             };
-            watched.fail(&error).await;
+            attempt.fail(&error).await;
             let (request, server) = (call.fingerprint, &server.incarnation.id);
             tracing::info!(call = call.id, %request, server, %error, "stream not opened");
             reason = "no-connection";
@@ -240,7 +240,7 @@
         let mut servers: Vec<Arc<Server>> =
             self.site.directory().serving(service).cloned().collect();
         servers.sort_by(|a, b| a.incarnation.id.cmp(&b.incarnation.id));
-        let usual = self.typical_latency(service);
+        let typical = self.typical_latency(service);
         let state = self.state();
         let candidates: Vec<_> = servers
             .iter()
@@ -251,7 +251,7 @@
                     connected: peer.is_some_and(Peer::is_connected),
                     ..state
                         .servers
-                        .candidate(server, &self.data_centre, tried, usual, now)
+                        .candidate(server, &self.data_centre, tried, typical, now)
                 }
             })
             .collect();
@@ -306,22 +306,22 @@
                 .servers
                 .add_pending(&sent.server.incarnation, call.fingerprint);
         }
-        let mut running = InFlightGuard {
+        let mut guard = InFlightGuard {
             call,
-            caller: self,
+            dispatcher: self,
             completed: false,
             sent: &sent,
         };
-        let within = left + ATTEMPT_GRACE;
+        let timeout = left + ATTEMPT_GRACE;
         let peer = self.peer(sent.server.address);
         let answer = match call.route.kind {
-            RouteKind::Safe => peer.call(request, within).await,
+            RouteKind::Safe => peer.call(request, timeout).await,
             RouteKind::Batch | RouteKind::Stream { .. } | RouteKind::Unsafe => {
-                peer.call_once(request, within).await
+                peer.call_once(request, timeout).await
             }
         };
-        running.completed = true;
-        drop(running);
+        guard.completed = true;
+        drop(guard);
         (sent, answer)
     }
 
@@ -341,11 +341,11 @@
         let taken = now.since(sent.sent_at).0 as f64;
         let server = &sent.server.incarnation;
         let mut state = self.state();
-        let open =
+        let may_be_running =
             state
                 .servers
                 .record_outcome(server, call.fingerprint, sent.sent_at, attempt, now);
-        if open {
+        if may_be_running {
             self.check_later(&sent.server, call.fingerprint);
         }
         match attempt {
@@ -358,22 +358,22 @@
                 }
                 state.budget.succeed();
                 let service = state.typical_latency.entry(sent.server.service.clone());
-                let typical = service.or_default();
-                let usual = typical.value();
-                typical.note(taken);
-                state.servers.record_success(server, now, usual, taken);
+                let average = service.or_default();
+                let typical = average.value();
+                average.note(taken);
+                state.servers.record_success(server, now, typical, taken);
             }
             AttemptOutcome::Failed {
                 reason,
                 server_fault,
                 ..
             } => {
-                let out = *server_fault && state.servers.record_failure(server, now);
+                let breaker_opened = *server_fault && state.servers.record_failure(server, now);
                 drop(state);
                 let (request, call) = (call.fingerprint, &call.id);
                 let (server, taken) = (&server.id, taken as u64);
                 tracing::info!(call, %request, server, reason, taken, "attempt failed");
-                if out {
+                if breaker_opened {
                     tracing::warn!(
                         server,
                         reason,
@@ -393,7 +393,7 @@
 /// Keeps an attempt counted as in flight until dropped.
 struct InFlightGuard<'a> {
     call: &'a Call,
-    caller: &'a Caller,
+    dispatcher: &'a Dispatcher,
     /// Whether the attempt got a response or an error, rather than being dropped before.
     completed: bool,
     sent: &'a SentAttempt,
@@ -401,19 +401,21 @@
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        let now = self.caller.site.now();
+        let now = self.dispatcher.site.now();
         let server = &self.sent.server.incarnation;
-        let mut state = self.caller.state();
+        let mut state = self.dispatcher.state();
         state.servers.end_call(server);
         if !self.completed {
-            self.caller.count_usage(self.call, self.sent.sent_at);
+            self.dispatcher.count_usage(self.call, self.sent.sent_at);
             // Another server was faster, or the caller disconnected. The time waited is a
             // lower bound of this server's latency.
             let waited = now.since(self.sent.sent_at).0 as f64;
-            let usual = state.typical_latency(&self.sent.server.service);
-            state.servers.record_min_latency(server, now, usual, waited);
+            let typical = state.typical_latency(&self.sent.server.service);
+            state
+                .servers
+                .record_min_latency(server, now, typical, waited);
             if state.servers.abandon(server, self.call.fingerprint, now) {
-                self.caller
+                self.dispatcher
                     .check_later(&self.sent.server, self.call.fingerprint);
             }
         }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -4,13 +4,13 @@
 mod attempt;
 mod call;
 mod call_run;
-mod caller;
 mod crash_check;
+mod dispatcher;
 mod server_records;
 mod stream_attempt;
 
 pub use self::{
     call::{Call, CallOutcome, StreamOutcome},
-    caller::Caller,
+    dispatcher::Dispatcher,
     stream_attempt::StreamAttempt, //
 };
--- a/src/calls/server_records.rs
+++ b/src/calls/server_records.rs
@@ -76,7 +76,7 @@
         server: &Server,
         data_centre: &str,
         tried: bool,
-        usual: f64,
+        typical: f64,
         now: Millis,
     ) -> Candidate {
         let record = self.records.get(&server.incarnation);
@@ -84,7 +84,7 @@
         Candidate {
             connected: false,
             in_flight: record.map_or(0, |record| record.in_flight),
-            latency: record.map_or(usual, |record| record.latency.estimate(now, usual)),
+            latency: record.map_or(typical, |record| record.latency.estimate(now, typical)),
             local: server.data_centre == data_centre,
             reported: record
                 .and_then(|record| record.reported_load)
@@ -121,12 +121,12 @@
         &mut self,
         server: &ServerIncarnation,
         now: Millis,
-        usual: f64,
+        typical: f64,
         taken: f64,
     ) {
         if let Some(record) = self.records.get_mut(server) {
             record.breaker.succeed();
-            record.latency.note(now, usual, taken);
+            record.latency.note(now, typical, taken);
         }
     }
 
@@ -135,9 +135,9 @@
         let Some(record) = self.records.get_mut(server) else {
             return false;
         };
-        let before = record.breaker.is_out();
+        let was_open = record.breaker.is_out();
         record.breaker.fail(now);
-        !before && record.breaker.is_out()
+        !was_open && record.breaker.is_out()
     }
 
     /// Records that the server had not answered after `waited` ms, which is a lower bound of
@@ -146,11 +146,11 @@
         &mut self,
         server: &ServerIncarnation,
         now: Millis,
-        usual: f64,
+        typical: f64,
         waited: f64,
     ) {
         if let Some(record) = self.records.get_mut(server) {
-            record.latency.note(now, usual, waited);
+            record.latency.note(now, typical, waited);
         }
     }
 
--- a/src/calls/stream_attempt.rs
+++ b/src/calls/stream_attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{
     attempt::ServerStatus,
-    caller::{Caller, SentAttempt}, //
+    dispatcher::{Dispatcher, SentAttempt}, //
     server_records::LostRequest,
 };
 use crate::{
@@ -14,21 +14,25 @@
 /// A streamed attempt, recorded as pending at its server until it is answered or fails.
 /// Dropping it before then abandons the request.
 pub struct StreamAttempt {
-    caller: Arc<Caller>,
+    dispatcher: Arc<Dispatcher>,
     request: Fingerprint,
     sent: SentAttempt,
 }
 
 impl StreamAttempt {
     /// Records `request` as pending; it is about to be sent.
-    pub(super) fn open(caller: &Arc<Caller>, request: Fingerprint, sent: SentAttempt) -> Self {
-        let caller = caller.clone();
-        caller
+    pub(super) fn open(
+        dispatcher: &Arc<Dispatcher>,
+        request: Fingerprint,
+        sent: SentAttempt,
+    ) -> Self {
+        let dispatcher = dispatcher.clone();
+        dispatcher
             .state()
             .servers
             .add_pending(&sent.server.incarnation, request);
         Self {
-            caller,
+            dispatcher,
             request,
             sent,
         }
@@ -37,7 +41,7 @@
     /// Records that the server answered or refused the request.
     pub fn record_reply(&self) {
         let (server, sent_at) = (&self.sent.server.incarnation, self.sent.sent_at);
-        self.caller
+        self.dispatcher
             .state()
             .servers
             .record_reply(server, self.request, sent_at);
@@ -46,40 +50,42 @@
     /// Records that the complete response arrived.
     pub fn complete(&self) {
         self.record_reply();
-        self.caller.crashes.survived(self.request);
+        self.dispatcher.crashes.survived(self.request);
     }
 
     /// Records that the request failed with `error`, and checks whether its server has ended.
     pub async fn fail(&self, error: &CallError) {
-        let status = ServerStatus::of(error);
-        let now = self.caller.site.now();
+        let status = ServerStatus::from_error(error);
+        let now = self.dispatcher.site.now();
         let lost = LostRequest {
             sent_at: self.sent.sent_at,
             verdict: error.verdict(),
         };
         self.record_loss(lost, now);
-        self.caller.check_server(&self.sent.server, status).await;
+        self.dispatcher
+            .check_server(&self.sent.server, status)
+            .await;
     }
 
     /// Records that the request got no complete answer.
     fn record_loss(&self, lost: LostRequest, now: Millis) {
         let server = &self.sent.server.incarnation;
-        let mut state = self.caller.state();
+        let mut state = self.dispatcher.state();
         state.servers.record_loss(server, self.request, lost, now);
     }
 }
 
 impl Drop for StreamAttempt {
     fn drop(&mut self) {
-        let now = self.caller.site.now();
+        let now = self.dispatcher.site.now();
         let server = &self.sent.server.incarnation;
         let is_pending = self
-            .caller
+            .dispatcher
             .state()
             .servers
             .abandon(server, self.request, now);
         if is_pending {
-            self.caller.check_later(&self.sent.server, self.request);
+            self.dispatcher.check_later(&self.sent.server, self.request);
         }
     }
 }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     base::{Asked, Clock, Fingerprint, Millis},
-    calls::{Call, Caller},
+    calls::{Call, Dispatcher},
     duty::{Answer, Context, Phase},
     platform::{self, BatchCall, Ingress},
     routing::{Route, RouteKind, Workspace}, //
@@ -32,7 +32,7 @@
 /// Answers callers.
 pub(super) struct Front {
     pub(super) batches: Batches,
-    pub(super) caller: Arc<Caller>,
+    pub(super) caller: Arc<Dispatcher>,
     pub(super) clock: Clock,
     pub(super) door: Door,
 }
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     base::{Clock, Millis},
-    calls::Caller,
+    calls::Dispatcher,
     duty::{self, DutyError, Handle, HttpServer, Limits, Route, admin},
     platform::Store,
     relay::{Relay, Seat},
@@ -79,7 +79,7 @@
             let windows = usage.windows();
             Counter::open(&common.instance, clock, store.clone(), windows)
         });
-        let caller = Caller::new(
+        let caller = Dispatcher::new(
             site.clone(),
             crashes.clone(),
             &common.data_centre,
--- a/src/gateway/plain.rs
+++ b/src/gateway/plain.rs
@@ -3,13 +3,13 @@
 use super::reply;
 use crate::{
     base::Millis,
-    calls::{Call, CallOutcome, Caller},
+    calls::{Call, CallOutcome, Dispatcher},
     duty::Answer, //
 };
 use hyper::StatusCode;
 
 /// Runs `call`, which arrived at `arrived`, and answers its caller.
-pub(super) async fn answer(caller: &Caller, call: &Call, arrived: Millis) -> Answer {
+pub(super) async fn answer(caller: &Dispatcher, call: &Call, arrived: Millis) -> Answer {
     let end = caller.run(call).await;
     let taken = caller.clock().now().since(arrived).0;
     let (id, route) = (&call.id, &call.route.name);
--- a/src/gateway/streams.rs
+++ b/src/gateway/streams.rs
@@ -2,7 +2,7 @@
 
 use super::reply;
 use crate::{
-    calls::{Call, Caller, StreamOutcome},
+    calls::{Call, Dispatcher, StreamOutcome},
     duty::Answer,
     platform, //
 };
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 /// Runs `call` and answers its caller with the server's events as they come.
-pub(super) async fn answer(caller: &Arc<Caller>, call: Call) -> Answer {
+pub(super) async fn answer(caller: &Arc<Dispatcher>, call: Call) -> Answer {
     let deadline = call.deadline;
     let (opened, watched) = match caller.open_stream(&call).await {
         StreamOutcome::Opened(opened, watched) => (opened, watched),
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -197,7 +197,7 @@
     /// An ending process closes its connections and its listener one after the other. A
     /// connection opened in between fails or is closed at once; then another is tried.
     pub async fn refuses_connections(&self, timeout: Millis) -> bool {
-        let look = async {
+        let probe = async {
             loop {
                 let connection = match self.connect().await {
                     Ok(connection) => Some(connection),
@@ -212,8 +212,8 @@
                 }
             }
         };
-        let looked = tokio::time::timeout(timeout.as_duration(), look);
-        looked.await.unwrap_or(false)
+        let result = tokio::time::timeout(timeout.as_duration(), probe);
+        result.await.unwrap_or(false)
     }
 
     /// Sends `request` and reads the response within `timeout`.
@@ -223,11 +223,11 @@
         timeout: Millis,
         fresh_only: bool,
     ) -> Result<FullResponse, CallError> {
-        let whole = async {
-            let opened = self.send(request, fresh_only).await?;
-            self.read_body(opened, timeout).await
+        let exchange = async {
+            let response = self.send(request, fresh_only).await?;
+            self.read_body(response, timeout).await
         };
-        self.with_timeout(whole, timeout).await
+        self.with_timeout(exchange, timeout).await
     }
 
     /// Runs `work` for at most `timeout`; drops all idle connections if it takes longer.
@@ -251,11 +251,11 @@
     /// Reads the body; each part may take `timeout`.
     async fn read_body(
         &self,
-        mut opened: StreamingResponse,
+        mut response: StreamingResponse,
         timeout: Millis,
     ) -> Result<FullResponse, CallError> {
         let mut body = BytesMut::new();
-        while let Some(part) = opened.body.next(timeout).await? {
+        while let Some(part) = response.body.next(timeout).await? {
             let address = self.address;
             let limit = MAX_RESPONSE_BYTES;
             (body.len() + part.len() <= limit)
@@ -265,8 +265,8 @@
         }
         Ok(FullResponse {
             body: body.freeze(),
-            headers: opened.headers,
-            status: opened.status,
+            headers: response.headers,
+            status: response.status,
         })
     }
 
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::Clock,
-    calls::Caller,
+    calls::Dispatcher,
     duty::{self, DutyError, Handle, HttpServer, Limits, Route, admin},
     net::Peer,
     platform::Store,
@@ -58,7 +58,7 @@
         let (server, life) = watch::channel(None);
         let (crashes, writes) = Crashes::open(store.clone());
         let scorers = Scorers {
-            caller: Caller::new(site.clone(), crashes.clone(), &common.data_centre, None),
+            caller: Dispatcher::new(site.clone(), crashes.clone(), &common.data_centre, None),
             site: site.clone(),
         };
         let seed = Seed {
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::{Asked, Fingerprint, Millis},
     batch::Scorer,
-    calls::{Call, CallOutcome, Caller},
+    calls::{Call, CallOutcome, Dispatcher},
     platform::{self, ATTEMPT_ID},
     policy::quarantine::Verdict,
     view::Site, //
@@ -16,7 +16,7 @@
 
 /// Sends texts to the service that scores them.
 pub(super) struct Scorers {
-    pub(super) caller: Arc<Caller>,
+    pub(super) caller: Arc<Dispatcher>,
     pub(super) site: Arc<Site>,
 }
 
