--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Entry point for calls: holds what is known of the servers, chooses one for each attempt,
-//! sends the request and records the outcome.
+//! Entry point for calls: chooses a server for each attempt, sends the request and records
+//! the outcome for later choices.
 
 use super::{
     Call,
@@ -34,7 +34,8 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError, Weak}, //
 };
 
-/// Sends calls to backend servers and records how the servers perform.
+/// Sends calls to backend servers and records how the servers perform. Shared by all calls
+/// of a process.
 pub struct Dispatcher {
     /// The data centre of this process.
     data_centre: String,
@@ -47,11 +48,13 @@
     usage: Option<Arc<Counter>>,
 }
 
+/// What calls have shown so far of servers and services.
 pub(super) struct State {
     pub(super) servers: ServerRecords,
+    /// Pays for hedged attempts.
     pub(super) budget: RetryBudget,
     peers: HashMap<SocketAddr, Peer>,
-    /// Typical latency by service.
+    /// Each service's typical latency.
     typical_latency: HashMap<String, Typical>,
 }
 
@@ -93,7 +96,7 @@
 pub(super) const RETRY_AFTER_NO_SERVER: Millis = Millis(300);
 
 impl Dispatcher {
-    /// A caller in `data_centre`.
+    /// A dispatcher for a process in `data_centre`.
     pub fn new(
         site: Arc<Site>,
         crashes: Arc<Crashes>,
@@ -281,7 +284,7 @@
         Some(server)
     }
 
-    /// The connections to `address`.
+    /// The HTTP client of `address`, which all calls share.
     pub(super) fn peer(&self, address: SocketAddr) -> Peer {
         let mut state = self.state();
         let clock = self.site.clock;
--- a/src/calls/server_records.rs
+++ b/src/calls/server_records.rs
@@ -25,11 +25,11 @@
     latency: Latency,
     /// The running and waiting calls that the server last reported, and when.
     reported_load: Option<(u32, Millis)>,
-    /// When the last call was sent; [`Record`]s that were not used for long are dropped.
+    /// When the last call was sent.
     last_used: Millis,
 }
 
-/// A request that a server may be working on.
+/// A request that a server may be running.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     /// When this process stopped waiting for the answer; `None` while it waits.
@@ -68,9 +68,9 @@
 const CLEANUP_THRESHOLD: usize = 4_096;
 
 impl ServerRecords {
-    /// Describes `server` to the server choice. `data_centre` is the caller's, `tried` says
-    /// whether this call was sent to the server before, and `usual` is the service's usual
-    /// latency in ms.
+    /// Describes `server` as a candidate for a call. `data_centre` is this process's, `tried`
+    /// says whether the call was sent to the server before, and `typical` is the service's
+    /// typical latency in ms.
     pub(super) fn candidate(
         &self,
         server: &Server,
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Records a successful call that took `taken` ms; `usual` is the service's usual latency.
+    /// Records a successful call that took `taken` ms; `typical` is the service's typical
+    /// latency.
     pub(super) fn record_success(
         &mut self,
         server: &ServerIncarnation,
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// A [`CallError`], whose verdict says whether the peer may have acted.
+    /// A [`CallError`], whose verdict says whether the peer may have run the request.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// A [`CallError`], whose verdict says whether the peer may have acted.
+    /// A [`CallError`], whose verdict says whether the peer may have run the request.
     pub async fn call_once(
         &self,
         request: Request<Full<Bytes>>,
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     ///
-    /// A [`CallError`], whose verdict says whether the peer may have acted.
+    /// A [`CallError`], whose verdict says whether the peer may have run the request.
     pub async fn open_stream(
         &self,
         request: Request<Full<Bytes>>,
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -420,9 +420,9 @@
     }
 }
 
-/// Announcements lapse while the store is away. A server whose announcement is
-/// gone then stays in use until it has had time to come back; one that goes
-/// at any other time is gone at once.
+/// Announcements expire while the store is unreachable. A server whose announcement expires
+/// then stays in use until it has had time to announce itself again; at any other time it is
+/// removed at once.
 #[test]
 fn lapsed_servers_have_time_to_come_back() {
     let ids = |directory: &Directory| {
@@ -455,14 +455,14 @@
     assert_eq!(ids(&directory), ["a"]);
 }
 
-/// The id of the server that the tests' address means.
+/// The id of the server found at the tests' address.
 fn meant(directory: &Directory) -> Option<&str> {
     let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
     found.map(|server| server.incarnation.id.as_str())
 }
 
-/// An address is given to another server while the entry of the one before is
-/// still there: the one that takes work is meant.
+/// An address is reused by another server while the previous one is still announced: the
+/// server that accepts requests must be found, not the draining one.
 #[test]
 fn an_address_means_the_server_that_works() {
     let mut directory = Directory::default();
@@ -471,8 +471,8 @@
     assert_eq!(meant(&directory), Some("new"));
 }
 
-/// A runner starts anew and lists the announcements in the order of their ids:
-/// the server that leaves can come last, and still the other one is meant.
+/// A restarted runner reads the announcements in the order of their ids, so the draining
+/// server can come last. It must not be found in place of the other.
 #[test]
 fn a_leaving_server_listed_last_is_not_meant() {
     let mut directory = Directory::default();
@@ -481,11 +481,11 @@
     assert_eq!(meant(&directory), Some("new"));
 }
 
-/// An engine crashes and starts again, and its life before stays announced for
-/// seconds, and is told of again. Runners took one of the two by chance, and
-/// what they sent to the life before was refused.
+/// An engine crashes and restarts, and its previous incarnation stays announced for some
+/// seconds, with updates. Runners chose one of the two at random, and requests to the previous
+/// incarnation were refused.
 #[test]
-fn the_newest_life_at_an_address_counts() {
+fn the_newest_incarnation_at_an_address_counts() {
     let mut directory = Directory::default();
     for incarnation in 0..20 {
         let id = format!("life-{incarnation}");
@@ -495,9 +495,8 @@
     }
 }
 
-/// Another writer's entry names an engine's address under a service that the
-/// engine isn't of, and comes last. The engine's runner took it for the engine's
-/// present announcement and worked no more.
+/// Another writer's entry has an engine's address but another service, and comes last. The
+/// engine's runner took it for the engine's announcement and stopped working.
 #[test]
 fn a_strangers_announcement_hides_no_server() {
     let mut directory = Directory::default();
@@ -509,10 +508,10 @@
     assert_eq!(meant(&directory), Some("engine"));
 }
 
-/// A server starts again under its id and announces itself anew: of two lives at
-/// one address, it is then the one announced last.
+/// A server restarts under the same id and announces itself again: its new incarnation is
+/// then the one announced last at the address.
 #[test]
-fn a_next_life_under_the_same_id_is_the_newest() {
+fn a_next_incarnation_under_the_same_id_is_the_newest() {
     let mut directory = Directory::default();
     directory.put(server("a", false));
     directory.put(server("b", false));
--- a/tests/integration/reach.rs
+++ b/tests/integration/reach.rs
@@ -1,9 +1,9 @@
-//! Whether a peer counts as away, by what calls to it showed.
+//! When a peer counts as unreachable, by the results of calls to it.
 
 use redwingpond::net::Reachability;
 use std::time::Duration;
 
-/// What a call showed.
+/// The result of a call.
 #[derive(Clone, Copy)]
 enum Call {
     Answered,
@@ -11,47 +11,47 @@
 }
 
 #[test]
-fn a_peer_is_away_after_two_missed_answers() {
+fn a_peer_is_unreachable_after_two_missed_answers() {
     use Call::{Answered, Missed};
     struct Test {
-        away: bool,
+        unreachable: bool,
         calls: &'static [Call],
         probes: usize,
-        returns: u64,
+        recoveries: u64,
     }
 
     for (number, test) in [
         Test {
-            away: false,
+            unreachable: false,
             calls: &[Missed],
             probes: 0,
-            returns: 0,
+            recoveries: 0,
         },
-        // Single answers are lost all the time.
+        // Single lost answers don't count.
         Test {
-            away: false,
+            unreachable: false,
             calls: &[Missed, Answered, Missed, Answered],
             probes: 0,
-            returns: 0,
+            recoveries: 0,
         },
-        // One prober is enough, however many calls wait.
+        // Only one prober is started, however many calls miss their answers.
         Test {
-            away: true,
+            unreachable: true,
             calls: &[Missed, Missed, Missed, Missed],
             probes: 1,
-            returns: 0,
+            recoveries: 0,
         },
         Test {
-            away: false,
+            unreachable: false,
             calls: &[Missed, Missed, Answered, Answered],
             probes: 1,
-            returns: 1,
+            recoveries: 1,
         },
         Test {
-            away: true,
+            unreachable: true,
             calls: &[Missed, Missed, Answered, Missed, Missed],
             probes: 2,
-            returns: 1,
+            recoveries: 1,
         },
     ]
     .into_iter()
@@ -68,16 +68,16 @@
         let seen = (reach.is_unreachable(), probes, reach.recoveries());
         assert_eq!(
             seen,
-            (test.away, test.probes, test.returns),
+            (test.unreachable, test.probes, test.recoveries),
             "case {number}"
         );
     }
 }
 
-/// Calls that hang on dead connections are told of the peer's return, also when it was
-/// back before they asked; those from after it are not.
+/// A call waiting on a dead connection is woken by the peer's recovery, also if that came
+/// before the call began to wait. A call that began after the recovery is not woken by it.
 #[tokio::test]
-async fn a_return_is_told_to_calls_from_before() {
+async fn a_recovery_wakes_calls_from_before() {
     let reach = Reachability::default();
     let soon = Duration::from_millis(20);
     let before = reach.recoveries();
