--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -1,8 +1,8 @@
-//! What one server's answer to one attempt means.
+//! Classifies the result of sending a request to one server.
 
 use crate::{
     base::Verdict,
-    net::{Answer, CallError},
+    net::{CallError, FullResponse},
     platform, //
 };
 use hyper::{
@@ -10,24 +10,24 @@
     StatusCode, //
 };
 
-/// What became of one attempt.
+/// The result of one attempt: one request sent to one server.
 #[derive(Debug)]
-pub(super) enum Attempt {
-    /// The server's own whole answer, good or bad.
-    Answered(Answer),
-    /// Nothing that may be handed on.
+pub(super) enum AttemptOutcome {
+    /// The server's own complete response, whatever its status.
+    Answered(FullResponse),
+    /// No response that may be forwarded to the caller.
     Failed {
-        /// Whether it tells of the server's end.
-        end: End,
+        server_status: ServerStatus,
         reason: &'static str,
-        /// Whether the failure speaks against the server.
+        /// Whether the failure counts against the server's circuit breaker.
         server_fault: bool,
+        /// Whether the server may have run the request.
         verdict: Verdict,
     },
 }
 
-impl Attempt {
-    /// Whether its server has begun to run the request, or may have.
+impl AttemptOutcome {
+    /// Whether the server ran the request or may have run it.
     pub(super) fn may_have_run(&self) -> bool {
         match self {
             Self::Answered(_) => true,
@@ -36,31 +36,32 @@
     }
 }
 
-/// What a failed attempt tells of its server's end.
+/// What a failed attempt shows about the server process: whether it has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum End {
-    /// Its connection broke amid the request: it may have ended.
-    Broke,
-    /// Nothing listens at its address, or another life does: it has ended.
+pub(super) enum ServerStatus {
+    /// The connection broke during the request, so the process may have ended.
+    ConnectionLost,
+    /// Nothing listens at the address, or a later incarnation does: the process has ended.
     Gone,
-    /// It answered.
-    Lives,
-    /// There is no telling.
+    /// The process answered.
+    Alive,
+    /// The attempt shows nothing either way.
     Unknown,
 }
 
-impl End {
-    pub(super) fn of(error: &CallError) -> Self {
+impl ServerStatus {
+    /// What `error` shows about the server.
+    pub(super) fn from_error(error: &CallError) -> Self {
         match error {
-            CallError::Broken { .. } => Self::Broke,
+            CallError::Broken { .. } => Self::ConnectionLost,
             _ if error.is_refused() => Self::Gone,
             _ => Self::Unknown,
         }
     }
 }
 
-/// Judges what came back for the attempt of the request `id`.
-pub(super) fn judge(id: &str, outcome: Result<Answer, CallError>) -> Attempt {
+/// Classifies the response or the error of an attempt to run the request `id`.
+pub(super) fn classify(id: &str, outcome: Result<FullResponse, CallError>) -> AttemptOutcome {
     let answer = match outcome {
         Ok(answer) => answer,
         Err(error) => {
@@ -70,8 +71,8 @@
                 CallError::Timeout { .. } => "silence",
                 CallError::TooLarge { .. } => "too-large",
             };
-            return Attempt::Failed {
-                end: End::of(&error),
+            return AttemptOutcome::Failed {
+                server_status: ServerStatus::from_error(&error),
                 reason,
                 server_fault: true,
                 verdict: error.verdict(),
@@ -79,22 +80,26 @@
         }
     };
 
-    // A late answer of an earlier request can come where the answer to this
-    // one is expected. The id tells them apart; without the check a caller
-    // would get another's answer.
+    // A late response to an earlier request can arrive in place of the response to
+    // this one. The echoed id tells them apart; without the check a caller would get
+    // the response to someone else's request.
     let echoed = answer.headers.get(platform::ATTEMPT_ID);
     if is_refusal(answer.status, &answer.headers) {
         if matches!(answer.status.as_u16(), 429 | 503) {
-            return Attempt::Failed {
-                end: End::Lives,
+            return AttemptOutcome::Failed {
+                server_status: ServerStatus::Alive,
                 reason: "server-full",
                 server_fault: false,
                 verdict: Verdict::NotRun,
             };
         }
         let misdirected = answer.status == StatusCode::MISDIRECTED_REQUEST;
-        return Attempt::Failed {
-            end: if misdirected { End::Gone } else { End::Lives },
+        return AttemptOutcome::Failed {
+            server_status: if misdirected {
+                ServerStatus::Gone
+            } else {
+                ServerStatus::Alive
+            },
             reason: "misdirected",
             server_fault: true,
             verdict: Verdict::NotRun,
@@ -108,17 +113,18 @@
     if !sealed || encoded {
         return failed("unsealed-answer", true, Verdict::MayHaveRun);
     }
-    Attempt::Answered(answer)
+    AttemptOutcome::Answered(answer)
 }
 
-/// Whether a server's answer says that it did not run the request.
+/// Whether the response says that the server did not run the request.
 pub(super) fn is_refusal(status: StatusCode, headers: &HeaderMap) -> bool {
     platform::not_executed(headers) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-fn failed(reason: &'static str, server_fault: bool, verdict: Verdict) -> Attempt {
-    Attempt::Failed {
-        end: End::Unknown,
+/// A failure that shows nothing about whether the server's process has ended.
+fn failed(reason: &'static str, server_fault: bool, verdict: Verdict) -> AttemptOutcome {
+    AttemptOutcome::Failed {
+        server_status: ServerStatus::Unknown,
         reason,
         server_fault,
         verdict,
--- /dev/null
+++ b/src/calls/crash_check.rs
@@ -0,0 +1,137 @@
+//! Finds out whether a server process has ended while it ran a request, counts that as a
+//! crash against the request, and refuses requests that are in quarantine.
+
+use super::{
+    Call,
+    Dispatcher,
+    attempt::ServerStatus, //
+};
+use crate::{
+    base::{Fingerprint, Millis},
+    policy::quarantine::Verdict,
+    routing::Server,
+    view::Attempt, //
+};
+use std::sync::Arc;
+use tokio::runtime::Handle;
+
+/// The delay before checking whether a server has ended under an abandoned request. Longer
+/// than calls usually run, and shorter than a server's restart, which takes at least 1 s.
+const FIRST_CHECK_DELAY: Millis = Millis(500);
+
+/// The delay between the first check and the second and last one. By then the announcement
+/// of a restarted server's next incarnation has arrived.
+const SECOND_CHECK_DELAY: Millis = Millis(1_500);
+
+/// How long a check whether a server has ended may take: a few round trips between data
+/// centres. The call waits for it before its next attempt.
+const CHECK_TIMEOUT: Millis = Millis(100);
+
+/// The reason for refusing a call that is in quarantine.
+pub(super) const QUARANTINE_REASON: &str = "quarantine";
+
+/// The retry delay for a call in quarantine: long, as a person has to look at it first.
+pub(super) const RETRY_AFTER_QUARANTINE: Millis = Millis(60_000);
+
+impl Dispatcher {
+    /// Claims the trial of `call`, if the call is in quarantine, a trial is due and no other
+    /// instance has claimed it.
+    pub(super) async fn claim_trial(&self, call: &Call) -> Option<Attempt> {
+        let request = call.fingerprint;
+        self.crashes.wait_listed().await;
+        match self.crashes.quarantine_state(request) {
+            Verdict::Trial => self.crashes.claim_trial(request).await,
+            _ => None,
+        }
+    }
+
+    /// Whether quarantine forbids this attempt of `call`; `trial` says whether the attempt is
+    /// the one that a claimed trial allows.
+    pub(super) fn is_barred(&self, call: &Call, trial: bool) -> bool {
+        match self.crashes.quarantine_state(call.fingerprint) {
+            Verdict::Clear | Verdict::Watched | Verdict::Suspect => false,
+            Verdict::Trial => !trial,
+            Verdict::Barred => true,
+        }
+    }
+
+    /// Checks later whether `server` has ended, unless it is known by then what became of
+    /// `request`, whose answer nothing waits for any more. Without this, a crash is not
+    /// counted against a request whose caller disconnected before the server ended.
+    pub(super) fn check_later(&self, server: &Arc<Server>, request: Fingerprint) {
+        let (Some(dispatcher), Ok(runtime)) = (self.weak_self.upgrade(), Handle::try_current())
+        else {
+            return;
+        };
+        let server = server.clone();
+        let was_in_service = self.is_in_service(&server);
+        runtime.spawn(async move {
+            let is_pending = || {
+                dispatcher
+                    .state()
+                    .servers
+                    .is_pending(&server.incarnation, request)
+            };
+            tokio::time::sleep(FIRST_CHECK_DELAY.as_duration()).await;
+            if is_pending() {
+                dispatcher
+                    .check_status(&server, ServerStatus::ConnectionLost, was_in_service)
+                    .await;
+            }
+            // A server that restarted before the first check looked alive to it.
+            tokio::time::sleep(SECOND_CHECK_DELAY.as_duration()).await;
+            if is_pending() && dispatcher.is_replaced(&server) {
+                dispatcher.record_crash(&server, was_in_service);
+            }
+        });
+    }
+
+    /// Checks whether `server` has ended after an attempt that showed `status`. If it has, the
+    /// crash counts against the requests that the server was running.
+    pub(super) async fn check_server(&self, server: &Server, status: ServerStatus) {
+        let was_in_service = self.is_in_service(server);
+        self.check_status(server, status, was_in_service).await;
+    }
+
+    /// As [`Dispatcher::check_server`]. A server that was not in service any more when the attempt
+    /// failed has ended as planned, which is no crash.
+    async fn check_status(&self, server: &Server, status: ServerStatus, was_in_service: bool) {
+        let has_ended = match status {
+            ServerStatus::ConnectionLost => {
+                let peer = self.peer(server.address);
+                self.is_replaced(server) || peer.refuses_connections(CHECK_TIMEOUT).await
+            }
+            ServerStatus::Gone => true,
+            ServerStatus::Alive | ServerStatus::Unknown => false,
+        };
+        if has_ended {
+            self.record_crash(server, was_in_service);
+        }
+    }
+
+    /// Records that `server` has ended. Unless the end was planned, it counts as a crash against
+    /// the requests recently abandoned there.
+    fn record_crash(&self, server: &Server, was_in_service: bool) {
+        let now = self.site.now();
+        let requests = self
+            .state()
+            .servers
+            .end_incarnation(&server.incarnation, now);
+        if was_in_service {
+            self.crashes.record_crash(&server.incarnation, &requests);
+        }
+    }
+
+    /// Whether this incarnation of `server` is announced and not draining.
+    fn is_in_service(&self, server: &Server) -> bool {
+        let directory = self.site.directory();
+        let known = directory.get(&server.incarnation.id);
+        known.is_some_and(|known| known.incarnation == server.incarnation && !known.draining)
+    }
+
+    /// Whether another incarnation is announced for the same service at the server's address.
+    fn is_replaced(&self, server: &Server) -> bool {
+        let current = self.site.server_at(server.address, &server.service);
+        current.is_some_and(|current| current.incarnation != server.incarnation)
+    }
+}
--- /dev/null
+++ b/src/calls/dispatcher.rs
@@ -0,0 +1,426 @@
+//! Entry point for calls: chooses a server for each attempt, sends the request and records
+//! the outcome for later choices.
+
+use super::{
+    Call,
+    CallOutcome,
+    StreamAttempt,
+    StreamOutcome,
+    attempt::{AttemptOutcome, is_refusal},
+    call_run::CallRun, //
+    crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE},
+    server_records::ServerRecords,
+};
+use crate::{
+    base::{Clock, Millis, stable_hash},
+    net::{CallError, FullResponse, Peer},
+    platform,
+    policy::{
+        freshness::WAIT_STALE,
+        retry_budget::RetryBudget,
+        server_choice::{Candidate, choose},
+        typical::Typical, //
+    },
+    routing::{RouteKind, Server, ServerIncarnation},
+    usage::Counter,
+    view::{Crashes, Site}, //
+};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::Request;
+use std::{
+    collections::HashMap,
+    net::SocketAddr,
+    sync::{Arc, Mutex, MutexGuard, PoisonError, Weak}, //
+};
+
+/// Sends calls to backend servers and records how the servers perform. Shared by all calls
+/// of a process.
+pub struct Dispatcher {
+    /// The data centre of this process.
+    data_centre: String,
+    pub(crate) crashes: Arc<Crashes>,
+    /// For crash checks that run on after their call.
+    pub(super) weak_self: Weak<Self>,
+    pub(super) site: Arc<Site>,
+    state: Mutex<State>,
+    /// Counts each workspace's attempts that may have run; `None` where usage is not counted.
+    usage: Option<Arc<Counter>>,
+}
+
+/// What calls have shown so far of servers and services.
+pub(super) struct State {
+    pub(super) servers: ServerRecords,
+    /// Pays for hedged attempts.
+    pub(super) budget: RetryBudget,
+    peers: HashMap<SocketAddr, Peer>,
+    /// Each service's typical latency.
+    typical_latency: HashMap<String, Typical>,
+}
+
+impl State {
+    fn typical_latency(&self, service: &str) -> f64 {
+        let known = self.typical_latency.get(service).copied();
+        known.unwrap_or_default().value()
+    }
+}
+
+/// An attempt's server, and when the request was sent.
+#[derive(Clone)]
+pub(super) struct SentAttempt {
+    pub(super) sent_at: Millis,
+    pub(super) server: Arc<Server>,
+}
+
+/// How many attempts of a call may fail without running before it is given up, as all
+/// servers are probably full. Such attempts don't count towards the route's limit.
+pub(super) const MAX_REFUSALS: u32 = 3;
+
+/// How much one success adds to the retry budget that hedged attempts are paid from.
+/// Retries after a failure are limited by the route instead.
+const HEDGES_PER_SUCCESS: f64 = 0.3;
+
+/// How much longer than its call an attempt may last. The call's deadline then passes
+/// first, so that a server that was given too little time is not recorded as failed.
+const ATTEMPT_GRACE: Millis = Millis(250);
+
+/// The reason for refusing a call whose key may have been revoked.
+pub(super) const STALE_REASON: &str = "configuration-not-confirmed";
+
+/// The retry delay for a call that all servers refused: about the duration of one call,
+/// after which a slot is likely to be free.
+pub(super) const RETRY_AFTER_FULL: Millis = Millis(60);
+
+/// The retry delay for a call whose service has no known server: servers announce
+/// themselves within a second or two.
+pub(super) const RETRY_AFTER_NO_SERVER: Millis = Millis(300);
+
+impl Dispatcher {
+    /// A dispatcher for a process in `data_centre`.
+    pub fn new(
+        site: Arc<Site>,
+        crashes: Arc<Crashes>,
+        data_centre: &str,
+        usage: Option<Arc<Counter>>,
+    ) -> Arc<Self> {
+        Arc::new_cyclic(|weak_self| Self {
+            crashes,
+            data_centre: data_centre.to_owned(),
+            weak_self: weak_self.clone(),
+            site,
+            state: Mutex::new(State {
+                servers: ServerRecords::default(),
+                budget: RetryBudget::new(HEDGES_PER_SUCCESS),
+                peers: HashMap::new(),
+                typical_latency: HashMap::new(),
+            }),
+            usage,
+        })
+    }
+
+    /// Runs `call` until it is answered, fails or reaches its deadline. Dropping the future
+    /// closes the connections of its attempts, which tells their servers to stop.
+    pub async fn run(&self, call: &Call) -> CallOutcome {
+        let now = self.site.now();
+        if call.deadline <= now {
+            return CallOutcome::TimedOut;
+        }
+        let left = call.deadline - now;
+        let run = CallRun::new(self, call);
+        match tokio::time::timeout(left.as_duration(), run.run()).await {
+            Ok(outcome) => outcome,
+            Err(_) => CallOutcome::TimedOut,
+        }
+    }
+
+    /// Runs `call` until a server begins to answer. The call goes to another server only if
+    /// the request did not run at the one before.
+    pub async fn open_stream(self: &Arc<Self>, call: &Call) -> StreamOutcome {
+        let mut tried = Vec::new();
+        let mut reason = "no-server";
+        let trial = self.claim_trial(call).await;
+        for _ in 0..=MAX_REFUSALS {
+            // The caller reopens its stream each time a server crashes, so a request that
+            // crashes servers has to be stopped here.
+            if self.is_barred(call, trial.is_some() && tried.is_empty()) {
+                return StreamOutcome::NotRun {
+                    reason: QUARANTINE_REASON.to_owned(),
+                    wait: RETRY_AFTER_QUARANTINE,
+                };
+            }
+            if self.is_config_stale(call) {
+                return StreamOutcome::NotRun {
+                    reason: STALE_REASON.to_owned(),
+                    wait: WAIT_STALE,
+                };
+            }
+            let Some(server) = self.choose_server(call, &tried) else {
+                break;
+            };
+            tried.push(server.incarnation.clone());
+            let sent_at = self.site.now();
+            let left = call.deadline.since(sent_at);
+            let peer = self.peer(server.address);
+            let request = Self::request(call, &server, left);
+            let sent = SentAttempt {
+                sent_at,
+                server: server.clone(),
+            };
+            let attempt = StreamAttempt::open(self, call.fingerprint, sent);
+            let response = peer.open_stream(request, left).await;
+            let error = match response {
+                Ok(response) if is_refusal(response.status, &response.headers) => {
+                    attempt.record_reply();
+                    reason = "server-full";
+                    continue;
+                }
+                Ok(response) => {
+                    self.count_usage(call, sent_at);
+                    return StreamOutcome::Opened(Box::new(response), attempt);
+                }
+                Err(error) => error,
+            };
+            attempt.fail(&error).await;
+            let (request, server) = (call.fingerprint, &server.incarnation.id);
+            tracing::info!(call = call.id, %request, server, %error, "stream not opened");
+            reason = "no-connection";
+            if error.verdict().may_have_run() {
+                self.count_usage(call, sent_at);
+                let reason = "connection-broke".to_owned();
+                return StreamOutcome::Lost { reason };
+            }
+        }
+        let wait = match tried.is_empty() {
+            true => RETRY_AFTER_NO_SERVER,
+            false => RETRY_AFTER_FULL,
+        };
+        let reason = reason.to_owned();
+        StreamOutcome::NotRun { reason, wait }
+    }
+
+    /// Whether `call` carries a key and the configuration has not been confirmed recently
+    /// enough to rely on the key still being valid. Checked before each attempt: the call may
+    /// have waited, or this process may have been suspended, since the call arrived.
+    pub(super) fn is_config_stale(&self, call: &Call) -> bool {
+        call.workspace.is_some() && !self.site.is_config_fresh()
+    }
+
+    /// The clock of call deadlines.
+    pub fn clock(&self) -> Clock {
+        self.site.clock
+    }
+
+    /// The HTTP request for an attempt of `call` at `server`, with `left` until the deadline.
+    fn request(call: &Call, server: &Server, left: Millis) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(call.body.clone()));
+        *request.method_mut() = call.method.clone();
+        match call.path.parse() {
+            Ok(uri) => *request.uri_mut() = uri,
+            Err(error) => tracing::warn!(path = call.path, %error, "invalid request path"),
+        }
+        *request.headers_mut() = call.headers.clone();
+        platform::set_deadline(request.headers_mut(), left);
+        platform::set_expected_server(request.headers_mut(), &server.incarnation.id);
+        platform::set_priority(request.headers_mut(), call.priority());
+        let workspace = call.workspace.as_ref();
+        let workspace = workspace.map(|workspace| workspace.name.as_str());
+        platform::set_workspace(request.headers_mut(), workspace);
+        request
+    }
+
+    pub(super) fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Chooses the server for the next attempt of `call`; `tried` are those it was sent to.
+    pub(super) fn choose_server(
+        &self,
+        call: &Call,
+        tried: &[ServerIncarnation],
+    ) -> Option<Arc<Server>> {
+        let service = call.route.service_of(&call.id)?;
+        let now = self.site.now();
+        let mut servers: Vec<Arc<Server>> =
+            self.site.directory().serving(service).cloned().collect();
+        servers.sort_by(|a, b| a.incarnation.id.cmp(&b.incarnation.id));
+        let typical = self.typical_latency(service);
+        let state = self.state();
+        let candidates: Vec<_> = servers
+            .iter()
+            .map(|server| {
+                let tried = tried.contains(&server.incarnation);
+                let peer = state.peers.get(&server.address);
+                Candidate {
+                    connected: peer.is_some_and(Peer::is_connected),
+                    ..state
+                        .servers
+                        .candidate(server, &self.data_centre, tried, typical, now)
+                }
+            })
+            .collect();
+        let spread = stable_hash(&[call.id.as_bytes()]);
+        let chosen = choose(&candidates, spread)?;
+        let server = servers.get(chosen).cloned()?;
+        let Candidate {
+            in_flight,
+            latency,
+            reported,
+            trusted,
+            ..
+        } = candidates[chosen];
+        let (id, latency, of) = (&server.incarnation.id, latency as u64, candidates.len());
+        tracing::info!(
+            call = call.id,
+            request = %call.fingerprint,
+            server = id,
+            service,
+            in_flight,
+            latency,
+            ?reported,
+            trusted,
+            of,
+            "server chosen"
+        );
+        Some(server)
+    }
+
+    /// The HTTP client of `address`, which all calls share.
+    pub(super) fn peer(&self, address: SocketAddr) -> Peer {
+        let mut state = self.state();
+        let clock = self.site.clock;
+        let peer = state.peers.entry(address);
+        peer.or_insert_with(|| Peer::open(address, clock)).clone()
+    }
+
+    /// Sends `call` to the server of `sent`; returns `sent` with the response or the error.
+    pub(super) async fn send(
+        &self,
+        call: &Call,
+        sent: SentAttempt,
+    ) -> (SentAttempt, Result<FullResponse, CallError>) {
+        let left = call.deadline.since(self.site.now());
+        let request = Self::request(call, &sent.server, left);
+        {
+            let mut state = self.state();
+            state
+                .servers
+                .begin_call(&sent.server.incarnation, sent.sent_at);
+            state
+                .servers
+                .add_pending(&sent.server.incarnation, call.fingerprint);
+        }
+        let mut guard = InFlightGuard {
+            call,
+            dispatcher: self,
+            completed: false,
+            sent: &sent,
+        };
+        let timeout = left + ATTEMPT_GRACE;
+        let peer = self.peer(sent.server.address);
+        let answer = match call.route.kind {
+            RouteKind::Safe => peer.call(request, timeout).await,
+            RouteKind::Batch | RouteKind::Stream { .. } | RouteKind::Unsafe => {
+                peer.call_once(request, timeout).await
+            }
+        };
+        guard.completed = true;
+        drop(guard);
+        (sent, answer)
+    }
+
+    /// Counts an attempt that may have run towards the workspace's usage.
+    pub(super) fn count_usage(&self, call: &Call, sent_at: Millis) {
+        if let (Some(usage), Some(workspace)) = (&self.usage, &call.workspace) {
+            usage.count_request(&workspace.name, sent_at);
+        }
+    }
+
+    /// Records what an attempt's outcome shows about its server.
+    pub(super) fn record_outcome(&self, call: &Call, sent: &SentAttempt, attempt: &AttemptOutcome) {
+        if attempt.may_have_run() {
+            self.count_usage(call, sent.sent_at);
+        }
+        let now = self.site.now();
+        let taken = now.since(sent.sent_at).0 as f64;
+        let server = &sent.server.incarnation;
+        let mut state = self.state();
+        let may_be_running =
+            state
+                .servers
+                .record_outcome(server, call.fingerprint, sent.sent_at, attempt, now);
+        if may_be_running {
+            self.check_later(&sent.server, call.fingerprint);
+        }
+        match attempt {
+            AttemptOutcome::Answered(answer) => {
+                if let Some(load) = platform::server_load(&answer.headers) {
+                    state.servers.record_load(server, now, load);
+                }
+                if answer.status.is_server_error() {
+                    return;
+                }
+                state.budget.succeed();
+                let service = state.typical_latency.entry(sent.server.service.clone());
+                let average = service.or_default();
+                let typical = average.value();
+                average.note(taken);
+                state.servers.record_success(server, now, typical, taken);
+            }
+            AttemptOutcome::Failed {
+                reason,
+                server_fault,
+                ..
+            } => {
+                let breaker_opened = *server_fault && state.servers.record_failure(server, now);
+                drop(state);
+                let (request, call) = (call.fingerprint, &call.id);
+                let (server, taken) = (&server.id, taken as u64);
+                tracing::info!(call, %request, server, reason, taken, "attempt failed");
+                if breaker_opened {
+                    tracing::warn!(
+                        server,
+                        reason,
+                        "circuit breaker opened after consecutive failures"
+                    );
+                }
+            }
+        }
+    }
+
+    /// The typical latency of calls to `service`, in ms.
+    pub(super) fn typical_latency(&self, service: &str) -> f64 {
+        self.state().typical_latency(service)
+    }
+}
+
+/// Keeps an attempt counted as in flight until dropped.
+struct InFlightGuard<'a> {
+    call: &'a Call,
+    dispatcher: &'a Dispatcher,
+    /// Whether the attempt got a response or an error, rather than being dropped before.
+    completed: bool,
+    sent: &'a SentAttempt,
+}
+
+impl Drop for InFlightGuard<'_> {
+    fn drop(&mut self) {
+        let now = self.dispatcher.site.now();
+        let server = &self.sent.server.incarnation;
+        let mut state = self.dispatcher.state();
+        state.servers.end_call(server);
+        if !self.completed {
+            self.dispatcher.count_usage(self.call, self.sent.sent_at);
+            // Another server was faster, or the caller disconnected. The time waited is a
+            // lower bound of this server's latency.
+            let waited = now.since(self.sent.sent_at).0 as f64;
+            let typical = state.typical_latency(&self.sent.server.service);
+            state
+                .servers
+                .record_min_latency(server, now, typical, waited);
+            if state.servers.abandon(server, self.call.fingerprint, now) {
+                self.dispatcher
+                    .check_later(&self.sent.server, self.call.fingerprint);
+            }
+        }
+    }
+}
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,15 +1,16 @@
-//! Calls to backend servers: choice, attempts, what may be repeated, answers.
+//! Sends callers' requests to backend servers: server choice, retries, hedging, and the
+//! detection of servers that crash under a request.
 
 mod attempt;
-mod book;
 mod call;
-mod caller;
-mod look;
-mod run;
-mod watched;
+mod call_run;
+mod crash_check;
+mod dispatcher;
+mod server_records;
+mod stream_attempt;
 
 pub use self::{
-    call::{Call, CallEnd, StreamEnd},
-    caller::Caller,
-    watched::Watched, //
+    call::{Call, CallOutcome, StreamOutcome},
+    dispatcher::Dispatcher,
+    stream_attempt::StreamAttempt, //
 };
--- /dev/null
+++ b/src/calls/server_records.rs
@@ -0,0 +1,312 @@
+//! What this process has observed of each backend server: latency, failures, load, and the
+//! requests that the server may be running.
+
+use super::attempt::{
+    AttemptOutcome,
+    ServerStatus, //
+};
+use crate::{
+    base::{Fingerprint, Millis, Verdict},
+    policy::{health::Health, latency::Latency, server_choice::Candidate},
+    routing::{Server, ServerIncarnation}, //
+};
+use std::collections::HashMap;
+
+/// The observations of one server incarnation.
+#[derive(Debug, Default)]
+struct Record {
+    /// Requests that were sent to the server and that it has neither answered nor refused.
+    pending: Vec<PendingRequest>,
+    /// When this process found out that the server had ended.
+    ended_at: Option<Millis>,
+    breaker: Health,
+    /// Calls of this process at the server; streams are not counted.
+    in_flight: u32,
+    latency: Latency,
+    /// The running and waiting calls that the server last reported, and when.
+    reported_load: Option<(u32, Millis)>,
+    /// When the last call was sent.
+    last_used: Millis,
+}
+
+/// A request that a server may be running.
+#[derive(Clone, Copy, Debug)]
+struct PendingRequest {
+    /// When this process stopped waiting for the answer; `None` while it waits.
+    abandoned_at: Option<Millis>,
+    request: Fingerprint,
+}
+
+/// A sent request that got no answer.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LostRequest {
+    pub(super) sent_at: Millis,
+    /// Whether the server may have run it.
+    pub(super) verdict: Verdict,
+}
+
+/// The records of all servers, by incarnation.
+#[derive(Debug, Default)]
+pub(super) struct ServerRecords {
+    records: HashMap<ServerIncarnation, Record>,
+}
+
+/// How long a server's load report is used; calls last tens of milliseconds.
+const REPORT_MAX_AGE: Millis = Millis(300);
+
+/// A cleanup drops the records of servers that got no call for this long.
+const RECORD_MAX_IDLE: Millis = Millis(60_000);
+
+/// How long after a request was abandoned (its caller disconnected, or its deadline
+/// passed) the server may still be running it, so that a crash counts against it.
+const ABANDONED_MAX_AGE: Millis = Millis(3_000);
+
+/// The most pending requests recorded per server; its slots and queue hold fewer.
+const MAX_PENDING: usize = 256;
+
+/// The number of records above which unused ones are dropped.
+const CLEANUP_THRESHOLD: usize = 4_096;
+
+impl ServerRecords {
+    /// Describes `server` as a candidate for a call. `data_centre` is this process's, `tried`
+    /// says whether the call was sent to the server before, and `typical` is the service's
+    /// typical latency in ms.
+    pub(super) fn candidate(
+        &self,
+        server: &Server,
+        data_centre: &str,
+        tried: bool,
+        typical: f64,
+        now: Millis,
+    ) -> Candidate {
+        let record = self.records.get(&server.incarnation);
+        let recent = |(load, at): (u32, Millis)| (now.since(at) < REPORT_MAX_AGE).then_some(load);
+        Candidate {
+            connected: false,
+            in_flight: record.map_or(0, |record| record.in_flight),
+            latency: record.map_or(typical, |record| record.latency.estimate(now, typical)),
+            local: server.data_centre == data_centre,
+            reported: record
+                .and_then(|record| record.reported_load)
+                .and_then(recent),
+            slots: server.slots,
+            tried,
+            trusted: record.is_none_or(|record| record.breaker.may_get(now)),
+        }
+    }
+
+    /// Counts a call to `server` as in flight.
+    pub(super) fn begin_call(&mut self, server: &ServerIncarnation, now: Millis) {
+        if self.records.len() > CLEANUP_THRESHOLD {
+            let unused = |record: &Record| {
+                record.in_flight == 0 && now.since(record.last_used) > RECORD_MAX_IDLE
+            };
+            self.records.retain(|_, record| !unused(record));
+        }
+        let record = self.records.entry(server.clone()).or_default();
+        record.in_flight += 1;
+        record.last_used = now;
+        record.breaker.try_once(now);
+    }
+
+    /// Stops counting a call to `server` as in flight.
+    pub(super) fn end_call(&mut self, server: &ServerIncarnation) {
+        if let Some(record) = self.records.get_mut(server) {
+            record.in_flight = record.in_flight.saturating_sub(1);
+        }
+    }
+
+    /// Records a successful call that took `taken` ms; `typical` is the service's typical
+    /// latency.
+    pub(super) fn record_success(
+        &mut self,
+        server: &ServerIncarnation,
+        now: Millis,
+        typical: f64,
+        taken: f64,
+    ) {
+        if let Some(record) = self.records.get_mut(server) {
+            record.breaker.succeed();
+            record.latency.note(now, typical, taken);
+        }
+    }
+
+    /// Records a failure of the server; true if this opens its circuit breaker.
+    pub(super) fn record_failure(&mut self, server: &ServerIncarnation, now: Millis) -> bool {
+        let Some(record) = self.records.get_mut(server) else {
+            return false;
+        };
+        let was_open = record.breaker.is_out();
+        record.breaker.fail(now);
+        !was_open && record.breaker.is_out()
+    }
+
+    /// Records that the server had not answered after `waited` ms, which is a lower bound of
+    /// its latency.
+    pub(super) fn record_min_latency(
+        &mut self,
+        server: &ServerIncarnation,
+        now: Millis,
+        typical: f64,
+        waited: f64,
+    ) {
+        if let Some(record) = self.records.get_mut(server) {
+            record.latency.note(now, typical, waited);
+        }
+    }
+
+    /// Records the number of running and waiting calls that the server reported.
+    pub(super) fn record_load(&mut self, server: &ServerIncarnation, now: Millis, load: u32) {
+        if let Some(record) = self.records.get_mut(server) {
+            record.reported_load = Some((load, now));
+        }
+    }
+
+    /// Records that `request` is sent to `server`.
+    pub(super) fn add_pending(&mut self, server: &ServerIncarnation, request: Fingerprint) {
+        let record = self.records.entry(server.clone()).or_default();
+        if record.pending.len() == MAX_PENDING {
+            record.pending.remove(0);
+        }
+        let abandoned_at = None;
+        record.pending.push(PendingRequest {
+            abandoned_at,
+            request,
+        });
+    }
+
+    /// Records that `server` answered or refused `request`, which was sent at `sent_at`. The
+    /// server was alive after that, so requests abandoned earlier have not crashed it.
+    pub(super) fn record_reply(
+        &mut self,
+        server: &ServerIncarnation,
+        request: Fingerprint,
+        sent_at: Millis,
+    ) {
+        let Some(record) = self.records.get_mut(server) else {
+            return;
+        };
+        record.ended_at = None;
+        record.remove_pending(request);
+        record
+            .pending
+            .retain(|pending| pending.abandoned_at.is_none_or(|at| at >= sent_at));
+    }
+
+    /// Records the outcome of `request`, which was sent to `server` at `sent_at`; true if the
+    /// server may still be running it.
+    pub(super) fn record_outcome(
+        &mut self,
+        server: &ServerIncarnation,
+        request: Fingerprint,
+        sent_at: Millis,
+        attempt: &AttemptOutcome,
+        now: Millis,
+    ) -> bool {
+        match attempt {
+            AttemptOutcome::Answered(_)
+            | AttemptOutcome::Failed {
+                server_status: ServerStatus::Alive,
+                ..
+            } => {
+                self.record_reply(server, request, sent_at);
+                false
+            }
+            AttemptOutcome::Failed { verdict, .. } => {
+                let lost = LostRequest {
+                    sent_at,
+                    verdict: *verdict,
+                };
+                self.record_loss(server, request, lost, now)
+            }
+        }
+    }
+
+    /// Records that `server` did not answer `request`; true if the server may still be running
+    /// it. A request that did not run can't have crashed the server, nor can one that was sent
+    /// after the server was found to have ended: it may have met the process shutting down.
+    pub(super) fn record_loss(
+        &mut self,
+        server: &ServerIncarnation,
+        request: Fingerprint,
+        lost: LostRequest,
+        now: Millis,
+    ) -> bool {
+        let Some(record) = self.records.get_mut(server) else {
+            return false;
+        };
+        let too_late = record.ended_at.is_some_and(|at| lost.sent_at >= at);
+        if too_late || !lost.verdict.may_have_run() {
+            record.remove_pending(request);
+            return false;
+        }
+        self.abandon(server, request, now)
+    }
+
+    /// Records that nothing waits for the answer to `request` any more; true if the server may
+    /// still be running it.
+    pub(super) fn abandon(
+        &mut self,
+        server: &ServerIncarnation,
+        request: Fingerprint,
+        now: Millis,
+    ) -> bool {
+        let Some(record) = self.records.get_mut(server) else {
+            return false;
+        };
+        let mut waiting = record.pending.iter_mut();
+        let pending =
+            waiting.find(|pending| pending.request == request && pending.abandoned_at.is_none());
+        let is_pending = pending.is_some();
+        if let Some(pending) = pending {
+            pending.abandoned_at = Some(now);
+        }
+        is_pending
+    }
+
+    /// Whether `server` may be running `request`.
+    pub(super) fn is_pending(&self, server: &ServerIncarnation, request: Fingerprint) -> bool {
+        let record = self.records.get(server);
+        let mut pending = record.iter().flat_map(|record| &record.pending);
+        pending.any(|pending| pending.request == request)
+    }
+
+    /// Records that `server` has ended; returns the recently abandoned requests that it may
+    /// have been running.
+    ///
+    /// Requests that still await an answer are left out: each attempt finds out itself what
+    /// became of it, and some are still connecting and never reached the server.
+    pub(super) fn end_incarnation(
+        &mut self,
+        server: &ServerIncarnation,
+        now: Millis,
+    ) -> Vec<Fingerprint> {
+        let Some(record) = self.records.get_mut(server) else {
+            return Vec::new();
+        };
+        record.ended_at.get_or_insert(now);
+        let (abandoned, awaited) = std::mem::take(&mut record.pending)
+            .into_iter()
+            .partition(|pending| pending.abandoned_at.is_some());
+        record.pending = awaited;
+        let recent = |pending: &PendingRequest| {
+            pending
+                .abandoned_at
+                .is_some_and(|at| now.since(at) < ABANDONED_MAX_AGE)
+        };
+        let abandoned: Vec<PendingRequest> = abandoned;
+        let recent = abandoned.into_iter().filter(recent);
+        recent.map(|pending| pending.request).collect()
+    }
+}
+
+impl Record {
+    /// Removes one `request` that awaits its answer.
+    fn remove_pending(&mut self, request: Fingerprint) {
+        let same =
+            |pending: &PendingRequest| pending.request == request && pending.abandoned_at.is_none();
+        if let Some(index) = self.pending.iter().position(same) {
+            self.pending.swap_remove(index);
+        }
+    }
+}
--- a/src/gateway/buffered.rs
+++ b/src/gateway/buffered.rs
@@ -3,23 +3,23 @@
 use super::reply;
 use crate::{
     base::Millis,
-    calls::{Call, CallEnd, Caller},
+    calls::{Call, CallOutcome, Dispatcher},
     duty::Answer, //
 };
 use hyper::StatusCode;
 
 /// Runs `call`, which arrived at `arrived`, and returns the response to its caller.
-pub(super) async fn answer(caller: &Caller, call: &Call, arrived: Millis) -> Answer {
+pub(super) async fn answer(caller: &Dispatcher, call: &Call, arrived: Millis) -> Answer {
     let end = caller.run(call).await;
     let taken = caller.clock().now().since(arrived).0;
     let (id, route) = (&call.id, &call.route.name);
     match end {
-        CallEnd::Answered { answer, .. } => {
+        CallOutcome::Answered { answer, .. } => {
             let status = answer.status.as_u16();
             tracing::info!(call = id, route, status, taken, "call answered");
             reply::from_server(answer)
         }
-        CallEnd::Lost { reason, .. } => {
+        CallOutcome::Lost { reason, .. } => {
             tracing::warn!(
                 call = id,
                 route,
@@ -29,7 +29,7 @@
             );
             reply::status(StatusCode::BAD_GATEWAY, "the answer is lost")
         }
-        CallEnd::NotRun { reason, wait } => {
+        CallOutcome::NotRun { reason, wait } => {
             tracing::warn!(
                 call = id,
                 route,
@@ -40,7 +40,7 @@
             );
             reply::refusal(wait, "no server took the request")
         }
-        CallEnd::TimedOut => {
+        CallOutcome::TimedOut => {
             tracing::warn!(call = id, route, taken, "call timed out: it may have run");
             reply::status(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
         }
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -9,10 +9,10 @@
 };
 use crate::{
     base::{Asked, Clock, Fingerprint, Millis},
-    calls::{Call, Caller},
+    calls::{Call, Dispatcher},
     duty::{Answer, Context, Phase},
     platform::{self, BatchCall, Ingress},
-    routing::{Kind, Route, Workspace}, //
+    routing::{Route, RouteKind, Workspace}, //
 };
 use bytes::Bytes;
 use http_body_util::{
@@ -32,7 +32,7 @@
 /// Answers all requests that arrive at the callers' listener.
 pub(super) struct Frontend {
     pub(super) batches: Batches,
-    pub(super) caller: Arc<Caller>,
+    pub(super) caller: Arc<Dispatcher>,
     pub(super) clock: Clock,
     pub(super) access: AccessControl,
 }
@@ -124,7 +124,7 @@
         let Ok(id) = id.to_str() else {
             return reply::status(StatusCode::BAD_REQUEST, "the request's id is not text");
         };
-        if route.kind == Kind::Batch && head.method == hyper::Method::POST {
+        if route.kind == RouteKind::Batch && head.method == hyper::Method::POST {
             let submitter = Submitter {
                 host,
                 path,
@@ -156,8 +156,8 @@
             workspace,
         };
         match call.route.kind {
-            Kind::Stream { .. } => streams::answer(&self.caller, call).await,
-            Kind::Batch | Kind::Safe | Kind::Unsafe => {
+            RouteKind::Stream { .. } => streams::answer(&self.caller, call).await,
+            RouteKind::Batch | RouteKind::Safe | RouteKind::Unsafe => {
                 buffered::answer(&self.caller, &call, arrived).await
             }
         }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -39,7 +39,7 @@
 }
 
 /// The response of a backend server, without the headers that are not forwarded.
-pub(super) fn from_server(answer: net::Answer) -> Answer {
+pub(super) fn from_server(answer: net::FullResponse) -> Answer {
     let body = Full::new(answer.body).map_err(|never| match never {});
     let mut reply = Response::new(body.boxed_unsync());
     *reply.status_mut() = answer.status;
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -1,10 +1,10 @@
-//! Requests to one address over kept connections.
+//! Sends requests to one address over pooled keep-alive connections.
 
 use super::{
     CallError,
     StreamBody,
     call_error::{BrokenSnafu, ConnectSnafu, TimeoutSnafu, TooLargeSnafu},
-    idle_line::{FRESH, IdleLine, closes, usable_until}, //
+    idle_connection::{FRESH_MAX_IDLE, IdleConnection, closes_connection, usable_until}, //
 };
 use crate::base::{
     Clock,
@@ -34,76 +34,79 @@
 };
 use tokio::net::TcpStream;
 
-/// A whole answer.
+/// A response whose body has been read.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct FullResponse {
     pub body: Bytes,
     pub headers: HeaderMap,
     pub status: StatusCode,
 }
 
-/// An answer whose body is still to be read.
-pub struct Opened {
+/// A response whose body is still to be read.
+pub struct StreamingResponse {
     pub body: StreamBody,
     pub headers: HeaderMap,
     pub status: StatusCode,
 }
 
-/// One address and the connections kept to it.
+/// A client of one address, with a pool of connections. Clones share the pool.
 #[derive(Clone)]
 pub struct Peer {
     address: SocketAddr,
-    lines: Arc<Lines>,
+    pool: Arc<IdlePool>,
 }
 
-/// How long a connection may take to come about. A peer in another data centre
-/// answers in a few milliseconds; one that has no power never does, and the
-/// system's own retry of a lost opening packet comes after a second.
+/// How long opening a connection may take. A peer in another data centre answers within a
+/// few milliseconds, one without power never, and the operating system repeats a lost SYN
+/// only after a second.
 const CONNECT_TIMEOUT: Millis = Millis(600);
 
-/// How long sent bytes may stay unacknowledged before the system gives the
-/// connection up. A peer behind a partition sends nothing, not even a reset.
-const USER_TIMEOUT: Millis = Millis(3_000);
+/// How long sent bytes may stay unacknowledged before the operating system closes the
+/// connection: a peer behind a network partition doesn't even send a reset.
+const TCP_USER_TIMEOUT: Millis = Millis(3_000);
 
-/// How long a process that ends takes to close all that it has open.
-const CLOSING: Millis = Millis(10);
+/// How long an ending process takes to close its connections and its listener.
+const PROCESS_EXIT_TIME: Millis = Millis(10);
 
-/// Silence after which the system probes a kept connection, and between probes.
-const KEEPALIVE: std::time::Duration = std::time::Duration::from_secs(2);
+/// The idle time before the first TCP keepalive probe, and the time between probes.
+const TCP_KEEPALIVE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// The most connections kept idle to one address.
-const IDLE_MOST: usize = 32;
+/// The most idle connections in a pool.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// The largest answer that is taken whole.
-const ANSWER_MOST: usize = 16 * 1024 * 1024;
+/// The largest response body that is read into memory.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// The idle connections of one peer, newest last.
-pub(super) struct Lines {
+/// The idle connections of one peer, the most recently used last.
+pub(super) struct IdlePool {
     clock: Clock,
-    idle: Mutex<Vec<IdleLine>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-impl Lines {
+impl IdlePool {
+    /// Adds a connection, unless the pool is full.
     pub(super) fn put(&self, sender: SendRequest<Full<Bytes>>, usable_until: Millis) {
-        let line = IdleLine {
+        let connection = IdleConnection {
             sender,
-            since: self.clock.now(),
+            idle_since: self.clock.now(),
             usable_until,
         };
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|line| !line.sender.is_closed());
-        if idle.len() < IDLE_MOST {
-            idle.push(line);
+        idle.retain(|connection| !connection.sender.is_closed());
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
     }
 
-    /// The connection used last, which is the one least likely to be closed;
-    /// with `fresh`, only one that was used a moment ago.
-    fn take(&self, fresh: bool) -> Option<IdleLine> {
+    /// Takes the most recently used connection, as the peer is least likely to close that
+    /// one; with `fresh_only`, only if it has been idle for at most [`FRESH_MAX_IDLE`].
+    fn take(&self, fresh_only: bool) -> Option<IdleConnection> {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|line| !line.sender.is_closed() && line.usable_until > now);
-        let stale = |line: &IdleLine| fresh && now.since(line.since) > FRESH;
+        idle.retain(|connection| !connection.sender.is_closed() && connection.usable_until > now);
+        let stale = |connection: &IdleConnection| {
+            fresh_only && now.since(connection.idle_since) > FRESH_MAX_IDLE
+        };
         match idle.last().is_some_and(stale) {
             true => None,
             false => idle.pop(),
@@ -117,150 +120,163 @@
 }
 
 impl Peer {
-    /// A peer at `address`, to which nothing is open yet.
+    /// A peer at `address`, without connections yet.
     pub fn open(address: SocketAddr, clock: Clock) -> Self {
         let idle = Mutex::default();
-        let lines = Arc::new(Lines { clock, idle });
-        Self { address, lines }
+        let pool = Arc::new(IdlePool { clock, idle });
+        Self { address, pool }
     }
 
-    /// Drops the kept connections: the peer was away, and they may be dead.
+    /// Drops the idle connections, which may be dead after the peer was unreachable.
     pub fn forget_connections(&self) {
-        self.lines.clear();
+        self.pool.clear();
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a connection is kept over which a request can go at once.
+    /// Whether the pool has a usable connection.
     pub fn is_connected(&self) -> bool {
-        let now = self.lines.clock.now();
+        let now = self.pool.clock.now();
         let idle = self
-            .lines
+            .pool
             .idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let usable = |line: &IdleLine| !line.sender.is_closed() && line.usable_until > now;
+        let usable = |connection: &IdleConnection| {
+            !connection.sender.is_closed() && connection.usable_until > now
+        };
         idle.iter().any(usable)
     }
 
-    /// Sends `request` and reads the whole answer, all within `within`.
+    /// Sends `request` and reads the complete response, all within `timeout`.
     ///
     /// # Errors
     ///
-    /// A [`CallError`], whose verdict says whether the peer may have acted.
+    /// A [`CallError`], whose verdict says whether the peer may have run the request.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-    ) -> Result<Answer, CallError> {
-        self.whole(request, within, false).await
+        timeout: Millis,
+    ) -> Result<FullResponse, CallError> {
+        self.exchange(request, timeout, false).await
     }
 
-    /// As [`Peer::call`], for a request that must run at most once: it goes
-    /// over a connection that is new or was used a moment ago.
+    /// As [`Peer::call`], for a request that must run at most once: it is sent over a new
+    /// connection or one that was used a moment ago.
     ///
     /// # Errors
     ///
-    /// A [`CallError`], whose verdict says whether the peer may have acted.
+    /// A [`CallError`], whose verdict says whether the peer may have run the request.
     pub async fn call_once(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-    ) -> Result<Answer, CallError> {
-        self.whole(request, within, true).await
+        timeout: Millis,
+    ) -> Result<FullResponse, CallError> {
+        self.exchange(request, timeout, true).await
     }
 
-    /// Sends `request` and waits at most `within` for the head of the answer.
+    /// Sends `request` and waits at most `timeout` for the head of the response.
     ///
     /// # Errors
     ///
-    /// A [`CallError`], whose verdict says whether the peer may have acted.
+    /// A [`CallError`], whose verdict says whether the peer may have run the request.
     pub async fn open_stream(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-    ) -> Result<Opened, CallError> {
-        self.bounded(self.start(request, false), within).await
+        timeout: Millis,
+    ) -> Result<StreamingResponse, CallError> {
+        self.with_timeout(self.send(request, false), timeout).await
     }
 
-    /// Whether nothing listens at the peer's address any more, found out within
-    /// `within` by new connections, of which one that stands is kept.
+    /// Whether the peer refuses new connections, as nothing listens at its address any more;
+    /// false if that can't be found out within `timeout`. A connection that stays open goes
+    /// into the pool.
     ///
-    /// A process that ends closes its connections and its listener one after the
-    /// other. A connection that comes about in between is closed at once, or fails
-    /// while it is set up: then it is looked at again a moment later.
-    pub async fn is_gone(&self, within: Millis) -> bool {
-        let look = async {
+    /// An ending process closes its connections and its listener one after the other. A
+    /// connection opened in between fails or is closed at once; then another is tried.
+    pub async fn refuses_connections(&self, timeout: Millis) -> bool {
+        let probe = async {
             loop {
-                let line = match self.connect().await {
-                    Ok(line) => Some(line),
+                let connection = match self.connect().await {
+                    Ok(connection) => Some(connection),
                     Err(error) if error.is_refused() => return true,
                     Err(_) => None,
                 };
-                tokio::time::sleep(CLOSING.as_duration()).await;
-                if let Some(line) = line.filter(|line| !line.is_closed()) {
-                    let until = usable_until(self.lines.clock.now(), &HeaderMap::new());
-                    self.lines.put(line, until);
+                tokio::time::sleep(PROCESS_EXIT_TIME.as_duration()).await;
+                if let Some(connection) = connection.filter(|connection| !connection.is_closed()) {
+                    let until = usable_until(self.pool.clock.now(), &HeaderMap::new());
+                    self.pool.put(connection, until);
                     return false;
                 }
             }
         };
-        let looked = tokio::time::timeout(within.as_duration(), look);
-        looked.await.unwrap_or(false)
+        let result = tokio::time::timeout(timeout.as_duration(), probe);
+        result.await.unwrap_or(false)
     }
 
-    async fn whole(
+    /// Sends `request` and reads the response within `timeout`.
+    async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
-        within: Millis,
-        fresh: bool,
-    ) -> Result<Answer, CallError> {
-        let whole = async {
-            let opened = self.start(request, fresh).await?;
-            self.collect(opened, within).await
+        timeout: Millis,
+        fresh_only: bool,
+    ) -> Result<FullResponse, CallError> {
+        let exchange = async {
+            let response = self.send(request, fresh_only).await?;
+            self.read_body(response, timeout).await
         };
-        self.bounded(whole, within).await
+        self.with_timeout(exchange, timeout).await
     }
 
-    async fn bounded<T>(
+    /// Runs `work` for at most `timeout`; drops all idle connections if it takes longer.
+    async fn with_timeout<T>(
         &self,
         work: impl Future<Output = Result<T, CallError>>,
-        within: Millis,
+        timeout: Millis,
     ) -> Result<T, CallError> {
-        match tokio::time::timeout(within.as_duration(), work).await {
+        match tokio::time::timeout(timeout.as_duration(), work).await {
             Ok(result) => result,
             Err(_) => {
-                // Open connections can go silent for good while new ones work:
-                // after a silence none of the kept ones is trusted.
-                self.lines.clear();
+                // Open connections can stop responding permanently while new ones work, so
+                // none of the idle ones is reused after a timeout.
+                self.pool.clear();
                 let address = self.address;
-                TimeoutSnafu { address, within }.fail()
+                TimeoutSnafu { address, timeout }.fail()
             }
         }
     }
 
-    async fn collect(&self, mut opened: Opened, within: Millis) -> Result<Answer, CallError> {
+    /// Reads the body; each part may take `timeout`.
+    async fn read_body(
+        &self,
+        mut response: StreamingResponse,
+        timeout: Millis,
+    ) -> Result<FullResponse, CallError> {
         let mut body = BytesMut::new();
-        while let Some(part) = opened.body.next(within).await? {
+        while let Some(part) = response.body.next(timeout).await? {
             let address = self.address;
-            let limit = ANSWER_MOST;
+            let limit = MAX_RESPONSE_BYTES;
             (body.len() + part.len() <= limit)
                 .then_some(())
                 .context(TooLargeSnafu { address, limit })?;
             body.extend_from_slice(&part);
         }
-        Ok(Answer {
+        Ok(FullResponse {
             body: body.freeze(),
-            headers: opened.headers,
-            status: opened.status,
+            headers: response.headers,
+            status: response.status,
         })
     }
 
-    /// Sends over a kept connection, or over a new one when the kept one turns
-    /// out to be closed before any byte of the request was written.
-    async fn start(&self, request: Request<Full<Bytes>>, fresh: bool) -> Result<Opened, CallError> {
+    /// Sends `request` over an idle connection, or over another one if that turns out to be
+    /// closed before any byte of the request was written.
+    async fn send(
+        &self,
+        request: Request<Full<Bytes>>,
+        fresh_only: bool,
+    ) -> Result<StreamingResponse, CallError> {
         let address = self.address;
         let mut request = request;
         if !request.headers().contains_key(HOST) {
@@ -270,13 +286,13 @@
                 .extend(host.ok().map(|host| (HOST, host)));
         }
 
-        while let Some(line) = self.lines.take(fresh) {
-            let mut sender = line.sender;
+        while let Some(connection) = self.pool.take(fresh_only) {
+            let mut sender = connection.sender;
             if sender.ready().await.is_err() {
                 continue;
             }
             match sender.try_send_request(request).await {
-                Ok(answer) => return Ok(self.opened(sender, answer)),
+                Ok(answer) => return Ok(self.streaming_response(sender, answer)),
                 Err(mut failed) => match failed.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(failed.into_error()).context(BrokenSnafu { address }),
@@ -287,29 +303,31 @@
         let mut sender = self.connect().await?;
         let answer = sender.send_request(request).await;
         let answer = answer.context(BrokenSnafu { address })?;
-        Ok(self.opened(sender, answer))
+        Ok(self.streaming_response(sender, answer))
     }
 
-    fn opened(
+    /// The response whose body goes on arriving over the connection of `sender`.
+    fn streaming_response(
         &self,
         sender: SendRequest<Full<Bytes>>,
         answer: hyper::Response<hyper::body::Incoming>,
-    ) -> Opened {
+    ) -> StreamingResponse {
         let (head, body) = answer.into_parts();
-        let sender = (!closes(&head.headers)).then_some(sender);
-        Opened {
+        let sender = (!closes_connection(&head.headers)).then_some(sender);
+        StreamingResponse {
             body: StreamBody {
                 address: self.address,
                 body,
-                lines: self.lines.clone(),
+                pool: self.pool.clone(),
                 sender,
-                usable_until: usable_until(self.lines.clock.now(), &head.headers),
+                usable_until: usable_until(self.pool.clock.now(), &head.headers),
             },
             headers: head.headers,
             status: head.status,
         }
     }
 
+    /// Opens a connection.
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let address = self.address;
         let failed = |error: &dyn std::fmt::Display, refused| {
@@ -329,7 +347,7 @@
                 let refused = error.kind() == io::ErrorKind::ConnectionRefused;
                 failed(&error, refused)
             })?;
-        guard_against_silence(&stream).map_err(|error| failed(&error, false))?;
+        configure_socket(&stream).map_err(|error| failed(&error, false))?;
 
         let (sender, connection) = Builder::new()
             .max_buf_size(64 * 1024)
@@ -346,14 +364,14 @@
     }
 }
 
-/// Lets the system notice a peer that falls silent without a reset: unsent
+/// Makes the operating system detect a peer that disappears without a reset: unacknowledged
 /// bytes time out, and idle connections are probed.
-fn guard_against_silence(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT.as_duration()))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT.as_duration()))?;
     let probes = socket2::TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE);
+        .with_time(TCP_KEEPALIVE_INTERVAL)
+        .with_interval(TCP_KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)
 }
--- a/src/net/stream_body.rs
+++ b/src/net/stream_body.rs
@@ -1,10 +1,10 @@
-//! The body of an answer that is read while it arrives.
+//! A response body that is read while it arrives.
 
 use super::{
     CallError,
     call_error::BrokenSnafu,
     call_error::TimeoutSnafu,
-    peer::Lines, //
+    peer::IdlePool, //
 };
 use crate::base::Millis;
 use bytes::Bytes;
@@ -22,34 +22,35 @@
     sync::Arc, //
 };
 
-/// A body being read. Dropping it before its end closes the connection, which
-/// tells the peer to stop its work.
+/// A response body being read. Dropping it before its end closes the connection, which
+/// tells the peer to stop running the request.
 pub struct StreamBody {
     pub(super) address: SocketAddr,
     pub(super) body: Incoming,
-    /// Where the connection goes back to once the body has ended.
-    pub(super) lines: Arc<Lines>,
-    /// `None` once it was given back, or when the peer closes it.
+    /// The pool that the connection returns to at the end of the body.
+    pub(super) pool: Arc<IdlePool>,
+    /// The connection; `None` once it is back in the pool, or if the peer is going to close it.
     pub(super) sender: Option<SendRequest<Full<Bytes>>>,
+    /// Until when the connection may be reused.
     pub(super) usable_until: Millis,
 }
 
 impl StreamBody {
-    /// The next bytes, waited for at most `within`; `None` at the body's end.
+    /// Waits at most `timeout` for the next bytes; `None` at the body's end.
     ///
     /// # Errors
     ///
     /// [`CallError::Broken`] when the body was cut off, [`CallError::Timeout`]
-    /// when nothing came.
-    pub async fn next(&mut self, within: Millis) -> Result<Option<Bytes>, CallError> {
+    /// when nothing arrived in time.
+    pub async fn next(&mut self, timeout: Millis) -> Result<Option<Bytes>, CallError> {
         let address = self.address;
         loop {
-            let frame = tokio::time::timeout(within.as_duration(), self.body.frame()).await;
+            let frame = tokio::time::timeout(timeout.as_duration(), self.body.frame()).await;
             let Ok(frame) = frame else {
-                return TimeoutSnafu { address, within }.fail();
+                return TimeoutSnafu { address, timeout }.fail();
             };
             let Some(frame) = frame else {
-                self.give_back();
+                self.release_connection();
                 return Ok(None);
             };
             let frame = frame.context(BrokenSnafu { address })?;
@@ -59,9 +60,10 @@
         }
     }
 
-    fn give_back(&mut self) {
+    /// Returns the connection to its pool.
+    fn release_connection(&mut self) {
         if let Some(sender) = self.sender.take() {
-            self.lines.put(sender, self.usable_until);
+            self.pool.put(sender, self.usable_until);
         }
     }
 }
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -7,8 +7,8 @@
 use crate::{
     base::Millis,
     batch::Item,
-    net::Answer,
-    routing::Weights, //
+    net::FullResponse,
+    routing::LoadedModel, //
 };
 use bytes::{
     Bytes,
@@ -46,7 +46,7 @@
     /// How many orders the engine has accepted since it started.
     pub accepted_orders: u64,
     /// The weight version of each loaded model.
-    pub weights: Vec<Weights>,
+    pub weights: Vec<LoadedModel>,
 }
 
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
 }
 
 /// Decodes an engine's report; `None` for any other response.
-pub fn read_report(answer: &Answer) -> Option<EngineReport> {
+pub fn read_report(answer: &FullResponse) -> Option<EngineReport> {
     if answer.status != StatusCode::OK {
         tracing::debug!(
             status = answer.status.as_u16(),
@@ -159,7 +159,7 @@
 }
 
 /// Decodes the engine's answer to an order.
-pub fn read_order_answer(answer: &Answer) -> OrderAnswer {
+pub fn read_order_answer(answer: &FullResponse) -> OrderAnswer {
     match answer.status.as_u16() {
         200 => OrderAnswer::Holds,
         202 => OrderAnswer::Accepted,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     base::{Clock, Millis},
-    net::{Answer, CallError, Peer, Reach},
+    net::{CallError, FullResponse, Peer, Reachability},
     policy::patience::Patience,
     store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
 };
@@ -39,7 +39,7 @@
     call_timeout: Arc<Mutex<Patience>>,
     pub(super) probe_schedule: Arc<ProbeSchedule>,
     pub(super) peer: Peer,
-    pub(super) reach: Arc<Reach>,
+    pub(super) reach: Arc<Reachability>,
     /// The store's clock in its latest answer, and the local time when it arrived.
     latest_time: Arc<Mutex<Option<(Millis, Millis)>>>,
 }
@@ -65,7 +65,7 @@
 
     /// Whether the store is unreachable from this process.
     pub fn is_unreachable(&self) -> bool {
-        self.reach.is_away()
+        self.reach.is_unreachable()
     }
 
     /// The present time by the store's clock, extrapolated from its latest answer; the
@@ -216,7 +216,7 @@
     ) -> Result<Listing, StoreError> {
         // The first answer after an outage shows that the outage is over, so it must not
         // be delayed until something changes.
-        let hold = match self.reach.is_away() {
+        let hold = match self.reach.is_unreachable() {
             true => Millis(0),
             false => hold,
         };
@@ -237,7 +237,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         let within = self.call_timeout().wait(self.clock.now());
         self.wait_reachable(within).await?;
         let started = self.clock.now();
@@ -268,7 +268,7 @@
         path: &str,
         body: Vec<u8>,
         within: Millis,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -278,19 +278,20 @@
             .map_err(|error| StoreError::InvalidMessage {
                 message: error.to_string(),
             })?;
-        let returns = self.reach.returns();
+        let returns = self.reach.recoveries();
         let result = tokio::select! {
-            answer = self.peer.call(request, within) => {
-                let result = classify_answer(answer);
-                self.record_result(&result);
-                result
-            }
-            () = self.reach.returned_since(returns) => {
-                let address = self.peer.address();
-                let source = CallError::Timeout { address, within };
-                Err(StoreError::Unknown { source })
-            }
-        };
+                   answer = self.peer.call(request, within) => {
+                       let result = classify_answer(answer);
+                       self.record_result(&result);
+                       result
+                   }
+                   () = self.reach.wait_recovery_after(returns) => {
+                       let address = self.peer.address();
+                       let source = CallError::Timeout {
+        address, timeout: within };
+                       Err(StoreError::Unknown { source })
+                   }
+               };
         let outcome = match &result {
             Ok(_) => "done",
             Err(StoreError::Unknown { .. }) => "unknown",
@@ -301,7 +302,7 @@
     }
 
     /// Decodes an answer as a listing of rows.
-    fn listing(&self, answer: &Answer) -> Result<Listing, StoreError> {
+    fn listing(&self, answer: &FullResponse) -> Result<Listing, StoreError> {
         let wire: WireListing = self.decode_answer(answer)?;
         Ok(Listing {
             rows: rows(wire.records),
@@ -311,7 +312,7 @@
     }
 
     /// Decodes an answer, and records the store's clock from it.
-    fn decode_answer(&self, answer: &Answer) -> Result<WireListing, StoreError> {
+    fn decode_answer(&self, answer: &FullResponse) -> Result<WireListing, StoreError> {
         let value: WireListing =
             serde_json::from_slice(&answer.body).map_err(|error| StoreError::InvalidMessage {
                 message: error.to_string(),
@@ -327,7 +328,7 @@
 }
 
 /// Turns answers with an error status into errors.
-fn classify_answer(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
+fn classify_answer(answer: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
     let answer = answer.map_err(|source| StoreError::Unknown { source })?;
     let status = answer.status.as_u16();
     match status {
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -3,7 +3,7 @@
 use super::store::Store;
 use crate::{
     base::Millis,
-    net::{Answer, Peer},
+    net::{FullResponse, Peer},
     store::StoreError, //
 };
 use bytes::Bytes;
@@ -75,18 +75,18 @@
 
     /// Probes an unreachable store at once, as it may be reachable again.
     pub fn probe_now(&self) {
-        if self.reach.is_away() {
+        if self.reach.is_unreachable() {
             self.probe_schedule.wake.notify_one();
         }
     }
 
     /// Records whether the store answered a call, and starts probing when it becomes
     /// unreachable.
-    pub(super) fn record_result(&self, result: &Result<Answer, StoreError>) {
+    pub(super) fn record_result(&self, result: &Result<FullResponse, StoreError>) {
         let unanswered = matches!(result, Err(StoreError::Unknown { .. }));
         if !unanswered {
-            self.reach.answer();
-        } else if self.reach.miss() {
+            self.reach.record_answer();
+        } else if self.reach.record_miss() {
             tracing::warn!("store is unreachable; probing it");
             tokio::spawn(self.clone().probe());
         }
@@ -94,7 +94,7 @@
 
     /// Waits until the store is reachable, at most for `within`.
     pub(super) async fn wait_reachable(&self, within: Millis) -> Result<(), StoreError> {
-        let back = tokio::time::timeout(within.as_duration(), self.reach.back());
+        let back = tokio::time::timeout(within.as_duration(), self.reach.wait_reachable());
         back.await.map_err(|_| StoreError::Unreachable)
     }
 
@@ -104,7 +104,7 @@
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
         let mut due = std::pin::pin!(self.probe_schedule.wait_due());
-        while self.reach.is_away() {
+        while self.reach.is_unreachable() {
             tokio::select! {
                 () = &mut due => {
                     if probes.len() < MAX_CONCURRENT_PROBES {
@@ -115,7 +115,7 @@
                 Some(answered) = probes.next() => {
                     if answered {
                         self.peer.forget_connections();
-                        self.reach.answer();
+                        self.reach.record_answer();
                     }
                 }
             }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Which backend servers may get a request: the operators' routes and the
-//! servers' own announcements.
+//! What a request is routed by: the operators' configuration and the backend servers'
+//! announcements.
 
 mod config;
 mod directory;
@@ -10,7 +10,7 @@
 pub use self::{
     config::{Config, EngineModel, Limits, Service},
     directory::Directory,
-    route::{Kind, Route, Target},
-    server::{Life, Server, Weights},
+    route::{Route, RouteKind, Target},
+    server::{LoadedModel, Server, ServerIncarnation},
     workspace::{Credential, KeyDigest, Workspace, Workspaces}, //
 };
--- a/src/view/crash_row.rs
+++ b/src/view/crash_row.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::{Fingerprint, Millis},
     batch::{decode, encode},
-    routing::Life,
+    routing::ServerIncarnation,
     store::Key, //
 };
 use bytes::Bytes;
@@ -19,7 +19,7 @@
 /// The crash of a server while it ran a request.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Crash {
-    pub(super) incarnation: Life,
+    pub(super) incarnation: ServerIncarnation,
     pub(super) request: Fingerprint,
 }
 
@@ -43,8 +43,8 @@
 impl Crash {
     /// The row's key: the request, the server's start time, the server's id.
     pub(super) fn key(&self) -> Key {
-        let Life { born, id } = &self.incarnation;
-        let key = format!("{}/{}/{id}", self.request, born.0);
+        let ServerIncarnation { started_at, id } = &self.incarnation;
+        let key = format!("{}/{}/{id}", self.request, started_at.0);
         Key::new(CRASHES, "", key)
     }
 
@@ -53,7 +53,7 @@
         let mut parts = key.splitn(3, '/');
         let request = Fingerprint::parse(parts.next()?)?;
         let born = Millis(parts.next()?.parse().ok()?);
-        let incarnation = Life::new(parts.next()?, born);
+        let incarnation = ServerIncarnation::new(parts.next()?, born);
         Some(Self {
             incarnation,
             request,
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -12,7 +12,7 @@
     platform::Store,
     policy::quarantine::{ENDED_MOST, Quarantine, Verdict},
     relay::{FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
-    routing::Life,
+    routing::ServerIncarnation,
     store::{Change, Key, Outcome, Transaction}, //
 };
 use std::{
@@ -125,7 +125,7 @@
     }
 
     /// Records that the server with `incarnation` crashed while it ran `requests`.
-    pub fn record_crash(&self, incarnation: &Life, requests: &[Fingerprint]) {
+    pub fn record_crash(&self, incarnation: &ServerIncarnation, requests: &[Fingerprint]) {
         let now = self.store.now();
         for request in requests {
             let (request, incarnation) = (*request, incarnation.clone());
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -156,7 +156,7 @@
     /// Since when changes haven't arrived, or the store hasn't answered this process directly;
     /// `None` if neither is the case.
     pub fn store_unreachable_since(&self) -> Option<Millis> {
-        let away = self.directory().away_since();
+        let away = self.directory().outage_start();
         let unreachable_since = *self
             .unreachable_since
             .lock()
@@ -182,7 +182,7 @@
 
     /// The server of `service` at `address`.
     pub fn server_at(&self, address: SocketAddr, service: &str) -> Option<Arc<Server>> {
-        self.directory().at(address, service).cloned()
+        self.directory().server_at(address, service).cloned()
     }
 
     /// The highest version that was named for `model`, and when it was first seen; version 1
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -80,7 +80,7 @@
             }
             Some(event) = server_feed.recv() => apply_server_event(&site, &mut invalid, event),
             _ = lapse_check.tick() => {
-                let gone = site.directory().settle(site.now());
+                let gone = site.directory().remove_lapsed(site.now());
                 for server in gone {
                     tracing::info!(server, "server removed: not announced after the outage");
                 }
@@ -151,10 +151,12 @@
             };
             invalid.0.remove(&key);
             let mut directory = site.directory();
-            let (life, draining) = (&server.life, server.draining);
+            let (life, draining) = (&server.incarnation, server.draining);
             let before = directory.get(&key);
-            if before.is_none_or(|before| (&before.life, before.draining) != (life, draining)) {
-                let (service, born) = (&server.service, life.born.0);
+            if before
+                .is_none_or(|before| (&before.incarnation, before.draining) != (life, draining))
+            {
+                let (service, born) = (&server.service, life.started_at.0);
                 tracing::info!(server = key, service, born, draining, "server announced");
             }
             directory.put(server);
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -20,7 +20,7 @@
         is_heartbeat_part,
         read_page, //
     },
-    routing::{Directory, Life, Server},
+    routing::{Directory, Server, ServerIncarnation},
     store::{Change, Listing, Row, TableView}, //
 };
 use std::collections::BTreeMap;
@@ -417,20 +417,23 @@
         address: "127.0.0.1:1".parse().unwrap(),
         data_centre: "north".to_owned(),
         draining,
-        life: Life::new(id, Millis(0)),
+        incarnation: ServerIncarnation::new(id, Millis(0)),
         models: Vec::new(),
         service: "s".to_owned(),
         slots: 4,
     }
 }
 
-/// Announcements lapse while the store is away. A server whose announcement is
-/// gone then stays in use until it has had time to come back; one that goes
-/// at any other time is gone at once.
+/// Announcements expire while the store is unreachable. A server whose announcement expires
+/// then stays in use until it has had time to announce itself again; at any other time it is
+/// removed at once.
 #[test]
 fn lapsed_servers_have_time_to_come_back() {
     let ids = |directory: &Directory| {
-        let mut ids: Vec<String> = directory.serving("s").map(|s| s.life.id.clone()).collect();
+        let mut ids: Vec<String> = directory
+            .serving("s")
+            .map(|s| s.incarnation.id.clone())
+            .collect();
         ids.sort();
         ids
     };
@@ -442,28 +445,28 @@
     assert_eq!(ids(&directory), ["a", "b", "c"]);
 
     directory.store_lost(Millis(2_000));
-    assert_eq!(directory.away_since(), Some(Millis(2_000)));
+    assert_eq!(directory.outage_start(), Some(Millis(2_000)));
     directory.remove("a", Millis(3_000));
     directory.remove("b", Millis(3_000));
     directory.store_regained(Millis(6_000));
-    assert_eq!(directory.away_since(), None);
-    assert!(directory.settle(Millis(7_000)).is_empty());
+    assert_eq!(directory.outage_start(), None);
+    assert!(directory.remove_lapsed(Millis(7_000)).is_empty());
     assert_eq!(ids(&directory), ["a", "b", "c"]);
 
     directory.put(server("a", false));
     directory.put(server("c", true));
-    assert_eq!(directory.settle(Millis(8_300)), ["b"]);
+    assert_eq!(directory.remove_lapsed(Millis(8_300)), ["b"]);
     assert_eq!(ids(&directory), ["a"]);
 }
 
-/// The id of the server that the tests' address means.
+/// The id of the server found at the tests' address.
 fn meant(directory: &Directory) -> Option<&str> {
-    let found = directory.at("127.0.0.1:1".parse().unwrap(), "s");
-    found.map(|server| server.life.id.as_str())
+    let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
+    found.map(|server| server.incarnation.id.as_str())
 }
 
-/// An address is given to another server while the entry of the one before is
-/// still there: the one that takes work is meant.
+/// An address is reused by another server while the previous one is still announced: the
+/// server that accepts requests must be found, not the draining one.
 #[test]
 fn an_address_means_the_server_that_works() {
     let mut directory = Directory::default();
@@ -472,8 +475,8 @@
     assert_eq!(meant(&directory), Some("new"));
 }
 
-/// A runner starts anew and lists the announcements in the order of their ids:
-/// the server that leaves can come last, and still the other one is meant.
+/// A restarted runner reads the announcements in the order of their ids, so the draining
+/// server can come last. It must not be found in place of the other.
 #[test]
 fn a_leaving_server_listed_last_is_not_meant() {
     let mut directory = Directory::default();
@@ -482,23 +485,22 @@
     assert_eq!(meant(&directory), Some("new"));
 }
 
-/// An engine crashes and starts again, and its life before stays announced for
-/// seconds, and is told of again. Runners took one of the two by chance, and
-/// what they sent to the life before was refused.
+/// An engine crashes and restarts, and its previous incarnation stays announced for some
+/// seconds, with updates. Runners chose one of the two at random, and requests to the previous
+/// incarnation were refused.
 #[test]
-fn the_newest_life_at_an_address_counts() {
+fn the_newest_incarnation_at_an_address_counts() {
     let mut directory = Directory::default();
-    for life in 0..20 {
-        let id = format!("life-{life}");
+    for incarnation in 0..20 {
+        let id = format!("life-{incarnation}");
         directory.put(server(&id, false));
         directory.put(server("life-0", false));
         assert_eq!(meant(&directory), Some(id.as_str()));
     }
 }
 
-/// Another writer's entry names an engine's address under a service that the
-/// engine isn't of, and comes last. The engine's runner took it for the engine's
-/// present announcement and worked no more.
+/// Another writer's entry has an engine's address but another service, and comes last. The
+/// engine's runner took it for the engine's announcement and stopped working.
 #[test]
 fn a_strangers_announcement_hides_no_server() {
     let mut directory = Directory::default();
@@ -510,20 +512,20 @@
     assert_eq!(meant(&directory), Some("engine"));
 }
 
-/// A server starts again under its id and announces itself anew: of two lives at
-/// one address, it is then the one announced last.
+/// A server restarts under the same id and announces itself again: its new incarnation is
+/// then the one announced last at the address.
 #[test]
-fn a_next_life_under_the_same_id_is_the_newest() {
+fn a_next_incarnation_under_the_same_id_is_the_newest() {
     let mut directory = Directory::default();
     directory.put(server("a", false));
     directory.put(server("b", false));
     directory.put(Server {
-        life: Life::new("a", Millis(7)),
+        incarnation: ServerIncarnation::new("a", Millis(7)),
         ..server("a", false)
     });
-    let found = directory.at("127.0.0.1:1".parse().unwrap(), "s");
+    let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
     assert_eq!(
-        found.map(|server| &server.life),
-        Some(&Life::new("a", Millis(7)))
+        found.map(|server| &server.incarnation),
+        Some(&ServerIncarnation::new("a", Millis(7)))
     );
 }
