--- a/src/runner/changes.rs
+++ b/src/runner/changes.rs
@@ -2,7 +2,7 @@
 
 use super::{
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -10,16 +10,16 @@
     store::{Change, Row}, //
 };
 
-impl Work {
+impl WorkLoop {
     /// Takes one change of the table of work.
-    pub(super) fn change(&mut self, change: Change, now: Millis) {
+    pub(super) fn apply_change(&mut self, change: Change, now: Millis) {
         match change {
             Change::Put {
                 part,
                 key,
                 value,
                 revision,
-            } => self.put(&part, &key, &value, revision, now),
+            } => self.apply_row(&part, &key, &value, revision, now),
             Change::Removed { part, key } => {
                 let Some(id) = part.strip_prefix("batch-") else {
                     return;
@@ -41,10 +41,17 @@
         }
     }
 
-    pub(super) fn put(&mut self, part: &str, key: &str, value: &[u8], revision: u64, now: Millis) {
+    pub(super) fn apply_row(
+        &mut self,
+        part: &str,
+        key: &str,
+        value: &[u8],
+        revision: u64,
+        now: Millis,
+    ) {
         if has_heartbeats(part) {
             if let Some(heartbeat) = decode::<Heartbeat>("heartbeat", value) {
-                self.heartbeats.take(key, heartbeat, revision, now);
+                self.heartbeats.record(key, heartbeat, revision, now);
             }
             return;
         }
@@ -62,7 +69,7 @@
                     }
                     self.batches
                         .insert(id.to_owned(), OpenBatch::new(head, now));
-                    self.settle_orphans(id);
+                    self.apply_orphans(id);
                     self.prefetch(id);
                 }
             }
@@ -80,14 +87,14 @@
                     batch.set_claim(bundle, claim, revision, now);
                 }
             }
-            (Some(_), None) => self.orphan(id, key, value, revision),
+            (Some(_), None) => self.add_orphan(id, key, value, revision),
             (Some(WorkKey::Head), Some(_)) | (None, _) => {}
         }
     }
 
     /// Rows of a batch can come before its head, as a listing orders its rows
     /// by key: they are taken once the head is there.
-    pub(super) fn orphan(&mut self, id: &str, key: &str, value: &[u8], revision: u64) {
+    pub(super) fn add_orphan(&mut self, id: &str, key: &str, value: &[u8], revision: u64) {
         let row = Row {
             part: part_of(id),
             key: key.to_owned(),
@@ -97,11 +104,11 @@
         self.orphans.entry(id.to_owned()).or_default().push(row);
     }
 
-    pub(super) fn settle_orphans(&mut self, id: &str) {
+    pub(super) fn apply_orphans(&mut self, id: &str) {
         let now = self.clock.now();
         for row in self.orphans.remove(id).unwrap_or_default() {
             let value = row.value.unwrap_or_default();
-            self.put(&row.part, &row.key, &value, row.revision, now);
+            self.apply_row(&row.part, &row.key, &value, row.revision, now);
         }
     }
 }
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -3,8 +3,8 @@
 use super::{
     event::{BundleId, Event},
     offers::Standing,
-    open_batch::{Mine, OpenBatch},
-    work::Work, //
+    open_batch::{BundleState, OpenBatch},
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -19,9 +19,9 @@
 
 /// The wait after a claim that the store did not take. Without it a store that
 /// refuses at once was asked 35,000 times in 16 s of outage by nine runners.
-pub(super) const CLAIM_AGAIN: Millis = Millis(200);
+pub(super) const STORE_RETRY_DELAY: Millis = Millis(200);
 
-impl Work {
+impl WorkLoop {
     /// Takes bundles while the engine has room; `usual` is the usual pace of the
     /// service's engines, in ms an event.
     pub(super) fn plan_claims(&mut self, standing: &Standing, usual: f64, now: Millis) {
@@ -34,21 +34,21 @@
         }
         let ids: Vec<String> = self.batches.keys().cloned().collect();
         for id in &ids {
-            self.start_fetching(id);
+            self.start_ready(id);
         }
         let held: usize = self.batches.values().map(OpenBatch::load).sum();
         // Items in quarantine take no place of the engine. Counted in, those of some
         // batches kept all others from running until they were given up.
-        let load = held.saturating_sub(self.engine.waiting.load(Ordering::Relaxed));
+        let load = held.saturating_sub(self.engine.quarantined.load(Ordering::Relaxed));
         let mut room = capacity(self.slots, self.pace, usual).saturating_sub(load as u32);
         if room == 0 {
             return;
         }
-        let place = standing.place;
+        let place = standing.model_rank;
         let home = standing.home.as_deref();
         let home = home.filter(|_| !is_slow(self.pace, usual));
         let mut offers = self.offers(&ids, home, now);
-        if self.away_since.is_some() {
+        if self.outage_start.is_some() {
             offers.retain(|offer| is_mine_by_rule(offer, place));
             offers.sort_by_key(|offer| (offer.due, offer.order));
             for offer in offers {
@@ -59,13 +59,13 @@
             }
             return;
         }
-        if now < self.claims_from {
+        if now < self.retry_at {
             return;
         }
         let places = place.count as u32 * self.slots;
         self.line_up(&ids, &mut offers, places);
         let mut taker = Taker {
-            place: standing.share,
+            place: standing.class_rank,
             room,
             slower: self.kind.slower,
             yields: standing.yields,
@@ -89,7 +89,7 @@
             bundle,
             "runs a bundle unclaimed: the store is away"
         );
-        batch.mine.insert(bundle, Mine::Fetching);
+        batch.own_bundles.insert(bundle, BundleState::Fetching);
         self.start(id, bundle);
     }
 
@@ -127,7 +127,9 @@
                 }
             }
         };
-        batch.mine.insert(offer.bundle, Mine::Claiming);
+        batch
+            .own_bundles
+            .insert(offer.bundle, BundleState::Claiming);
         let key = Key::new(WORK, part_of(id), WorkKey::Claim(offer.bundle).to_string());
         let transaction = Transaction {
             expect: vec![(key.clone(), revision)],
@@ -141,7 +143,7 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
             let outcome = store.transact(&transaction).await;
-            let event = Event::Claimed {
+            let event = Event::ClaimWritten {
                 claim,
                 bundle,
                 outcome,
@@ -152,7 +154,7 @@
     }
 
     /// Takes the outcome of a claim: runs the bundle, or leaves it to its holder.
-    pub(super) fn claimed(
+    pub(super) fn on_claim_written(
         &mut self,
         claim: Claim,
         bundle: BundleId,
@@ -163,7 +165,7 @@
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        if !batch.mine.contains_key(&bundle) {
+        if !batch.own_bundles.contains_key(&bundle) {
             return;
         }
         match outcome {
@@ -176,7 +178,7 @@
                         self.resume(&id, bundle);
                     }
                     false => {
-                        batch.mine.insert(bundle, Mine::Fetching);
+                        batch.own_bundles.insert(bundle, BundleState::Fetching);
                         self.start(&id, bundle);
                     }
                 }
@@ -194,16 +196,16 @@
                     batch.set_claim(bundle, held, row.revision, now);
                 }
                 if ours {
-                    batch.mine.insert(bundle, Mine::Fetching);
+                    batch.own_bundles.insert(bundle, BundleState::Fetching);
                     self.start(&id, bundle);
                 } else {
-                    batch.mine.remove(&bundle);
+                    batch.own_bundles.remove(&bundle);
                 }
             }
             Err(error) => {
                 tracing::info!(batch = id, bundle, %error, "claim not known to be written");
-                batch.mine.remove(&bundle);
-                self.claims_from = now + CLAIM_AGAIN;
+                batch.own_bundles.remove(&bundle);
+                self.retry_at = now + STORE_RETRY_DELAY;
             }
         }
     }
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -1,6 +1,6 @@
 //! What this runner knows of its engine: which life takes work, and how fast.
 
-use super::work::Work;
+use super::work::WorkLoop;
 use crate::{
     base::Millis,
     policy::{
@@ -11,23 +11,25 @@
 };
 
 /// A report this old says nothing of the engine any more.
-const REPORT_FRESH: Millis = Millis(900);
+const MAX_REPORT_AGE: Millis = Millis(900);
 
-impl Work {
+impl WorkLoop {
     /// Whether the engine takes work by all that is known of it.
     pub(super) fn is_working(&self) -> bool {
-        self.server.borrow().is_some()
+        self.incarnation.borrow().is_some()
     }
 
     /// Works out which life of the engine gets requests, and tells of a change.
-    pub(super) fn look_at_engine(&mut self, now: Millis) {
+    pub(super) fn update_engine(&mut self, now: Millis) {
         let announced = self.site.server_at(self.engine_address, &self.service);
         if let Some(server) = &announced {
             self.slots = server.slots.max(1);
         }
         let announced_id = announced.as_ref().map(|server| server.life.id.as_str());
-        let met = self.engine.met.borrow().clone();
-        let confirmed = met.as_ref().is_some_and(|met| self.is_ours_since(met.at));
+        let met = self.engine.mismatch.borrow().clone();
+        let confirmed = met
+            .as_ref()
+            .is_some_and(|met| self.has_own_report_since(met.at));
         let present = present(announced_id, met.as_ref(), confirmed);
 
         let started = announced
@@ -38,7 +40,7 @@
             // the new id it made up a life that never was, and whose end counted
             // against the items that had just begun.
             let is_before = report.born.0 > 0 && report.born < started;
-            now.since(*at) < REPORT_FRESH && !is_before
+            now.since(*at) < MAX_REPORT_AGE && !is_before
         });
         let draining = |id: &str| {
             let directory = self.site.directory();
@@ -49,25 +51,25 @@
             .as_ref()
             .map_or(Millis(0), |(report, _)| report.born);
         let id = present.filter(|id| fresh && !draining(id));
-        let life = id.map(|id| Life::new(id, born));
+        let incarnation = id.map(|id| Life::new(id, born));
         if met.is_some_and(|met| is_settled(announced_id, &met)) {
-            self.engine.met.send_replace(None);
+            self.engine.mismatch.send_replace(None);
         }
-        if let (Some(present), Some((_, seen))) = (&life, &self.report) {
-            self.engine.settle_broken(present, *seen);
+        if let (Some(present), Some((_, seen))) = (&incarnation, &self.report) {
+            self.engine.resolve_broken_runs(present, *seen);
         }
-        if life.is_some() && self.life != life {
-            self.forget_engine();
-            self.life.clone_from(&life);
+        if incarnation.is_some() && self.last_incarnation != incarnation {
+            self.reset_engine();
+            self.last_incarnation.clone_from(&incarnation);
         }
-        self.server.send_if_modified(|current| {
-            let changed = *current != life;
+        self.incarnation.send_if_modified(|current| {
+            let changed = *current != incarnation;
             if changed {
-                let name = |life: &Option<Life>| life.as_ref().map(|life| life.id.clone());
-                let (engine, before) = (name(&life), name(current));
+                let id_of = |known: &Option<Life>| known.as_ref().map(|known| known.id.clone());
+                let (engine, before) = (id_of(&incarnation), id_of(current));
                 let born = born.0;
                 tracing::info!(?engine, born, ?before, fresh, "engine takes work or not");
-                current.clone_from(&life);
+                current.clone_from(&incarnation);
             }
             changed
         });
@@ -75,15 +77,15 @@
 
     /// Forgets what was learnt of the engine's life before: its next life knows
     /// nothing of an order that was under way, and may be faster or slower.
-    fn forget_engine(&mut self) {
-        self.order = None;
+    fn reset_engine(&mut self) {
+        self.pending_order = None;
         self.pace = 0.0;
         self.kind = Kind::default();
         *self.engine.pace() = Pace::default();
     }
 
     /// Whether a report after `at` shows the models of this runner's service.
-    fn is_ours_since(&self, at: Millis) -> bool {
+    fn has_own_report_since(&self, at: Millis) -> bool {
         let Some((report, seen)) = &self.report else {
             return false;
         };
@@ -99,7 +101,7 @@
 
     /// Takes what the runs under way tell of the engine's pace; returns the usual
     /// one, in ms an event.
-    pub(super) fn look_at_pace(&mut self, now: Millis) -> f64 {
+    pub(super) fn update_pace(&mut self, now: Millis) -> f64 {
         self.pace = self.engine.pace().settle(now);
         let usual = self.heartbeats.usual_pace(&self.service);
         if self.kind.note(self.pace, usual, now) {
--- a/src/runner/engine_watch.rs
+++ b/src/runner/engine_watch.rs
@@ -10,15 +10,15 @@
 
 /// How often the engine is asked: its report is free and fresh on its own
 /// instance, and a crash should be seen before a group's time is lost.
-const EVERY: Millis = Millis(200);
+const REPORT_INTERVAL: Millis = Millis(200);
 
 /// An engine on the same instance answers in about a millisecond.
-const WITHIN: Millis = Millis(400);
+const REPORT_TIMEOUT: Millis = Millis(400);
 
 /// Reports on the engine until the work loop ends.
-pub(super) async fn watch(peer: Peer, events: mpsc::Sender<Event>) {
+pub(super) async fn poll_reports(peer: Peer, events: mpsc::Sender<Event>) {
     loop {
-        let report = match peer.call(report_request(), WITHIN).await {
+        let report = match peer.call(report_request(), REPORT_TIMEOUT).await {
             Ok(answer) => read_report(&answer),
             Err(error) => {
                 tracing::debug!(%error, "no report from the engine");
@@ -28,6 +28,6 @@
         if events.send(Event::Report(report)).await.is_err() {
             return;
         }
-        tokio::time::sleep(EVERY.as_duration()).await;
+        tokio::time::sleep(REPORT_INTERVAL.as_duration()).await;
     }
 }
--- a/src/runner/event.rs
+++ b/src/runner/event.rs
@@ -18,7 +18,7 @@
 
 /// Something happened that the work loop has to know.
 pub(super) enum Event {
-    Appended {
+    ResultsAppended {
         batch: String,
         /// The results that the append lists: the last ones of `log`.
         count: usize,
@@ -26,13 +26,13 @@
         outcome: Result<Outcome, StoreError>,
     },
     HeartbeatWritten(Result<Outcome, StoreError>),
-    Claimed {
+    ClaimWritten {
         claim: Claim,
         bundle: BundleId,
         outcome: Result<Outcome, StoreError>,
     },
     /// The chunk of items with this number was read.
-    Fetched {
+    ItemsRead {
         batch: String,
         chunk: u16,
         items: Result<Vec<Item>, StoreError>,
@@ -43,20 +43,20 @@
         end: ItemEnd,
     },
     /// What earlier runs have left of a batch's items, by index.
-    Partials {
+    PartialsRead {
         bundle: BundleId,
         partials: HashMap<u16, Partial>,
     },
     /// What the engine made of an order; `None` when it did not answer.
-    Ordered {
+    OrderAnswered {
         answer: Option<OrderAnswer>,
         model: String,
         version: u64,
     },
     /// The engine's report; `None` when it did not answer.
     Report(Option<EngineReport>),
-    Store(Followed),
+    Feed(Followed),
 }
 
 /// The events that may wait; who reports more of them waits.
-pub(super) const RING: usize = 512;
+pub(super) const EVENT_CAPACITY: usize = 512;
--- a/src/runner/give_back.rs
+++ b/src/runner/give_back.rs
@@ -1,15 +1,15 @@
 //! Gives bundles back that this runner has taken and does not run.
 
 use super::{
-    heartbeat::SHARED_WITHIN,
-    work::Work, //
+    heartbeat::CRASH_SHARE_TIMEOUT,
+    work::WorkLoop, //
 };
 use crate::{
     batch::{Claim, WORK, WorkKey, encode, part_of},
     store::{Key, Outcome, Transaction}, //
 };
 
-impl Work {
+impl WorkLoop {
     /// Writes that nobody holds `bundle` any more, unless another runner runs it as well.
     ///
     /// An engine may be back before a heartbeat could say that it was gone: others took
@@ -34,7 +34,7 @@
         let (store, crashes) = (self.store.clone(), self.engine.crashes.clone());
         let id = id.to_owned();
         tokio::spawn(async move {
-            crashes.wait_shared(SHARED_WITHIN).await;
+            crashes.wait_shared(CRASH_SHARE_TIMEOUT).await;
             match store.transact(&transaction).await {
                 Ok(Outcome::Done { .. }) => tracing::info!(batch = id, bundle, "bundle given back"),
                 Ok(Outcome::Conflict { .. }) => {}
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use super::{
     event::Event,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -12,15 +12,15 @@
 };
 
 /// The time between heartbeats.
-const HEARTBEAT_EVERY: Millis = Millis(1_000);
+const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
 /// How long the word that an engine or a bundle is free may wait for the crashes of the
 /// engine to be shared: some tries of a write, and less than makes others take this runner
 /// for gone.
-pub(super) const SHARED_WITHIN: Millis = Millis(600);
+pub(super) const CRASH_SHARE_TIMEOUT: Millis = Millis(600);
 
 /// The wait before the first heartbeat is tried again.
-const FIRST_AGAIN: Millis = Millis(80);
+const FIRST_RETRY_DELAY: Millis = Millis(80);
 
 /// The last heartbeat, and whether it is on its way.
 #[derive(Default)]
@@ -30,7 +30,7 @@
     pub(super) sent: Millis,
 }
 
-impl Work {
+impl WorkLoop {
     /// Writes a heartbeat when one is due or something in it has changed.
     pub(super) fn plan_heartbeat(&mut self, now: Millis) {
         let last = &self.heartbeat.last;
@@ -38,7 +38,7 @@
             held: self
                 .home
                 .as_ref()
-                .and_then(|home| self.held(home))
+                .and_then(|home| self.held_version(home))
                 .unwrap_or(0),
             home: self.home.clone(),
             leaving: self.leaving,
@@ -52,20 +52,20 @@
             working: self.is_working(),
         };
         // The pace alone is worth no heartbeat: it changes all the time.
-        let told = Heartbeat {
+        let comparable = Heartbeat {
             pace: last.pace,
             ..next.clone()
         };
-        let changed = told != *last;
-        let due = now.since(self.heartbeat.sent) >= HEARTBEAT_EVERY || changed;
-        if self.heartbeat.sending || !due || self.holds_back(now) {
+        let changed = comparable != *last;
+        let due = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL || changed;
+        if self.heartbeat.sending || !due || self.is_withheld(now) {
             return;
         }
         next.sequence += 1;
         self.heartbeat.last = next.clone();
         self.heartbeat.sending = true;
         self.heartbeat.sent = now;
-        self.heartbeats.take(&self.instance, next.clone(), 0, now);
+        self.heartbeats.record(&self.instance, next.clone(), 0, now);
         let (store, events) = (self.store.clone(), self.events.clone());
         let transaction = heartbeat_write(&self.instance, &next);
         tokio::spawn(async move {
@@ -75,13 +75,13 @@
     }
 }
 
-impl Work {
+impl WorkLoop {
     /// Whether the word that the engine is gone waits until its end is known under
     /// the items that ran there: those who take them over would run them beside
     /// others, as if nothing had happened.
-    fn holds_back(&self, now: Millis) -> bool {
+    fn is_withheld(&self, now: Millis) -> bool {
         let ends = self.heartbeat.last.working && !self.is_working();
-        let late = now.since(self.heartbeat.sent) >= HEARTBEAT_EVERY + SHARED_WITHIN;
+        let late = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL + CRASH_SHARE_TIMEOUT;
         ends && !late && !self.engine.crashes.are_shared()
     }
 }
@@ -116,7 +116,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "the life before is not known yet");
-                tokio::time::sleep(FIRST_AGAIN.as_duration()).await;
+                tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
                 continue;
             }
         };
@@ -130,6 +130,6 @@
             Ok(Outcome::Conflict { .. }) => {}
             Err(error) => tracing::warn!(%error, "no number for this life yet"),
         }
-        tokio::time::sleep(FIRST_AGAIN.as_duration()).await;
+        tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
     }
 }
--- a/src/runner/heartbeats.rs
+++ b/src/runner/heartbeats.rs
@@ -12,7 +12,7 @@
 
 /// A runner's last heartbeat and when this runner saw it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct SeenHeartbeat {
     at: Millis,
     heartbeat: Heartbeat,
     /// When the store took it; 0 for this runner's own.
@@ -22,10 +22,10 @@
 /// All runners by instance, this one included.
 #[derive(Debug, Default)]
 pub(super) struct Heartbeats {
-    seen: BTreeMap<String, Seen>,
+    by_instance: BTreeMap<String, SeenHeartbeat>,
 }
 
-impl Seen {
+impl SeenHeartbeat {
     /// What it tells of the runner's life.
     fn beat(&self) -> Beat {
         Beat {
@@ -45,7 +45,7 @@
 impl Heartbeats {
     /// Takes a heartbeat of `instance` that the store took at `revision`; an older
     /// one than known changes nothing.
-    pub(super) fn take(
+    pub(super) fn record(
         &mut self,
         instance: &str,
         heartbeat: Heartbeat,
@@ -53,7 +53,7 @@
         now: Millis,
     ) {
         let order = |heartbeat: &Heartbeat| (heartbeat.token, heartbeat.sequence);
-        let known = self.seen.get(instance);
+        let known = self.by_instance.get(instance);
         if known.is_some_and(|known| order(&known.heartbeat) >= order(&heartbeat)) {
             return;
         }
@@ -65,43 +65,44 @@
                 "runner seen"
             );
         }
-        let seen = Seen {
+        let seen = SeenHeartbeat {
             at: now,
             heartbeat,
             revision,
         };
-        self.seen.insert(instance.to_owned(), seen);
+        self.by_instance.insert(instance.to_owned(), seen);
     }
 
     /// The store was away: no heartbeat could arrive, so none is late.
-    pub(super) fn excuse(&mut self, now: Millis) {
-        self.seen.values_mut().for_each(|seen| seen.at = now);
+    pub(super) fn reset_ages(&mut self, now: Millis) {
+        self.by_instance.values_mut().for_each(|seen| seen.at = now);
     }
 
     /// Whether the runner `instance`, which wrote `sign`, still works.
-    pub(super) fn works(&self, instance: &str, sign: Sign, now: Millis) -> bool {
-        let beat = self.seen.get(instance).map(Seen::beat);
-        liveness::works(sign, beat, now)
+    pub(super) fn is_working(&self, instance: &str, write: Sign, now: Millis) -> bool {
+        let beat = self.by_instance.get(instance).map(SeenHeartbeat::beat);
+        liveness::works(write, beat, now)
     }
 
     /// The last heartbeat of `instance`.
-    pub(super) fn of(&self, instance: &str) -> Option<&Heartbeat> {
-        self.seen.get(instance).map(|seen| &seen.heartbeat)
+    pub(super) fn get(&self, instance: &str) -> Option<&Heartbeat> {
+        self.by_instance.get(instance).map(|seen| &seen.heartbeat)
     }
 
     /// What the engines of `service` usually take for an event, in ms; 0 when
     /// none is known.
     pub(super) fn usual_pace(&self, service: &str) -> f64 {
-        let beats = self.seen.values().map(|seen| &seen.heartbeat);
+        let beats = self.by_instance.values().map(|seen| &seen.heartbeat);
         let ours = beats.filter(|beat| beat.service == service);
         usual(ours.map(|beat| beat.pace).collect())
     }
 
     /// The instances that work for `service`, in one order for all runners.
-    pub(super) fn working(&self, service: &str, now: Millis) -> Vec<String> {
-        let works = |seen: &Seen| seen.takes_work(now) && seen.heartbeat.service == service;
+    pub(super) fn working_runners(&self, service: &str, now: Millis) -> Vec<String> {
+        let works =
+            |seen: &SeenHeartbeat| seen.takes_work(now) && seen.heartbeat.service == service;
         let mut names: Vec<String> = self
-            .seen
+            .by_instance
             .iter()
             .filter(|(_, seen)| works(seen))
             .map(|(name, _)| name.clone())
@@ -112,20 +113,20 @@
 
     /// Engines of runners that serve `model` first and hold `version` or a newer
     /// one, beside that of `me`.
-    pub(super) fn ready(&self, model: &str, version: u64, me: &str, now: Millis) -> usize {
-        let is_ready = |(name, seen): &(&String, &Seen)| {
+    pub(super) fn count_ready(&self, model: &str, version: u64, me: &str, now: Millis) -> usize {
+        let is_ready = |(name, seen): &(&String, &SeenHeartbeat)| {
             let beat = &seen.heartbeat;
             let ours = beat.home.as_deref() == Some(model) && name.as_str() != me;
             seen.takes_work(now) && ours && beat.held >= version
         };
-        self.seen.iter().filter(is_ready).count()
+        self.by_instance.iter().filter(is_ready).count()
     }
 
     /// Engines that change weights, beside that of `me`.
-    pub(super) fn loading(&self, me: &str, now: Millis) -> usize {
-        let loads = |(name, seen): &(&String, &Seen)| {
+    pub(super) fn count_loading(&self, me: &str, now: Millis) -> usize {
+        let loads = |(name, seen): &(&String, &SeenHeartbeat)| {
             is_alive(seen.at, now) && seen.heartbeat.loading && name.as_str() != me
         };
-        self.seen.iter().filter(loads).count()
+        self.by_instance.iter().filter(loads).count()
     }
 }
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -1,11 +1,11 @@
 //! Reads the items of taken bundles and starts their runs.
 
 use super::{
-    claims::CLAIM_AGAIN,
+    claims::STORE_RETRY_DELAY,
     event::{BundleId, Event},
-    open_batch::{Mine, OpenBatch},
+    open_batch::{BundleState, OpenBatch},
     run_item::{self, Task},
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -19,14 +19,14 @@
 };
 
 /// The most that one run of an item may take before the engine may stop it.
-const RUN_MOST: Millis = Millis(30_000);
+const MAX_RUN_TIME: Millis = Millis(30_000);
 
-impl Work {
+impl WorkLoop {
     /// Reads the items of the bundles that are this runner's by the rule, so
     /// that it can run them also while the store is away.
     pub(super) fn prefetch(&mut self, id: &str) {
         let standing = self.standing(self.clock.now());
-        let place = standing.place;
+        let place = standing.model_rank;
         let Some(batch) = self.batches.get(id) else {
             return;
         };
@@ -47,8 +47,8 @@
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
-        batch.mine.insert(bundle, Mine::Resuming);
-        let left = batch.left(bundle);
+        batch.own_bundles.insert(bundle, BundleState::Resuming);
+        let left = batch.unfinished(bundle);
         let bundle = BundleId {
             batch: id.to_owned(),
             bundle,
@@ -56,17 +56,17 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
             let partials = read_partials(&store, &bundle.batch, &left).await;
-            let _ = events.send(Event::Partials { bundle, partials }).await;
+            let _ = events.send(Event::PartialsRead { bundle, partials }).await;
         });
     }
 
     /// Takes what earlier runs have left of a bundle, and runs it.
-    pub(super) fn resumed(&mut self, bundle: BundleId, partials: HashMap<u16, Partial>) {
+    pub(super) fn on_partials_read(&mut self, bundle: BundleId, partials: HashMap<u16, Partial>) {
         let BundleId { batch: id, bundle } = bundle;
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        if !matches!(batch.mine.get(&bundle), Some(Mine::Resuming)) {
+        if !matches!(batch.own_bundles.get(&bundle), Some(BundleState::Resuming)) {
             return;
         }
         if !partials.is_empty() {
@@ -74,7 +74,7 @@
             tracing::info!(batch = id, bundle, count, "goes on with kept texts");
         }
         batch.partials.extend(partials);
-        batch.mine.insert(bundle, Mine::Fetching);
+        batch.own_bundles.insert(bundle, BundleState::Fetching);
         self.start(&id, bundle);
     }
 
@@ -84,16 +84,16 @@
             return;
         };
         let mut chunks: Vec<u16> = batch
-            .left(bundle)
+            .unfinished(bundle)
             .iter()
             .map(|index| batch.head.items[usize::from(*index)].chunk)
             .collect();
         chunks.dedup();
         for chunk in chunks {
-            if batch.chunks.contains_key(&chunk) || batch.fetching.contains(&chunk) {
+            if batch.chunks.contains_key(&chunk) || batch.fetching_chunks.contains(&chunk) {
                 continue;
             }
-            batch.fetching.push(chunk);
+            batch.fetching_chunks.push(chunk);
             let key = Key::new(BODIES, part_of(id), chunk_of(chunk));
             let (store, events, batch) = (self.store.clone(), self.events.clone(), id.to_owned());
             tokio::spawn(async move {
@@ -101,7 +101,7 @@
                     let value = row.and_then(|row| row.value).unwrap_or_default();
                     decode::<Vec<Item>>("items", &value).unwrap_or_default()
                 });
-                let event = Event::Fetched {
+                let event = Event::ItemsRead {
                     batch,
                     chunk,
                     items,
@@ -112,23 +112,28 @@
     }
 
     /// Takes a chunk of items that was read.
-    pub(super) fn fetched(&mut self, id: &str, chunk: u16, items: Result<Vec<Item>, StoreError>) {
+    pub(super) fn on_items_read(
+        &mut self,
+        id: &str,
+        chunk: u16,
+        items: Result<Vec<Item>, StoreError>,
+    ) {
         let now = self.clock.now();
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
-        batch.fetching.retain(|number| *number != chunk);
+        batch.fetching_chunks.retain(|number| *number != chunk);
         match items {
             Ok(items) => {
                 batch.chunks.insert(chunk, Arc::new(items));
             }
             Err(error) => {
                 tracing::info!(batch = id, chunk, %error, "items not read");
-                self.claims_from = now + CLAIM_AGAIN;
+                self.retry_at = now + STORE_RETRY_DELAY;
                 return;
             }
         }
-        self.start_fetching(id);
+        self.start_ready(id);
     }
 
     /// Starts the runs of a bundle once all its items are here.
@@ -140,7 +145,7 @@
         let Some(route) = self.route_of(batch) else {
             return;
         };
-        let left = batch.left(bundle);
+        let left = batch.unfinished(bundle);
         let found: Option<Vec<(u16, Item)>> = left
             .iter()
             .map(|index| {
@@ -151,7 +156,7 @@
             })
             .collect();
         let Some(items) = found else {
-            if now >= self.claims_from {
+            if now >= self.retry_at {
                 self.fetch(id, bundle);
             }
             return;
@@ -163,23 +168,23 @@
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
-        batch.mine.insert(bundle, Mine::Running);
+        batch.own_bundles.insert(bundle, BundleState::Running);
         for (index, item) in items {
-            let begun = batch.partials.remove(&index);
-            let begun = begun.filter(|_| !route.single_version);
+            let partial = batch.partials.remove(&index);
+            let partial = partial.filter(|_| !route.single_version);
             let task = Task {
                 batch: id.to_owned(),
-                begun,
+                partial,
                 fingerprint: run_item::fingerprint(&head.host, &item),
                 host: head.host.clone(),
                 index,
                 item,
                 least_version: head.least_version,
-                most_failures: route.attempts,
+                max_failures: route.attempts,
                 priority: head.priority.or(route.priority),
                 reclaimed: batch.reclaimed.contains(&bundle),
                 single_version: route.single_version,
-                until: now + RUN_MOST.min(route.item_ttl),
+                deadline: now + MAX_RUN_TIME.min(route.item_ttl),
                 workspace: head.workspace.clone(),
             };
             let (engine, events, batch_id) =
@@ -198,7 +203,7 @@
     }
 
     /// Starts the bundles whose items are here, and reads the items of others.
-    pub(super) fn start_fetching(&mut self, id: &str) {
+    pub(super) fn start_ready(&mut self, id: &str) {
         let bundles = self.batches.get(id).map(OpenBatch::fetching_bundles);
         for bundle in bundles.unwrap_or_default() {
             self.start(id, bundle);
--- a/src/runner/line.rs
+++ b/src/runner/line.rs
@@ -2,7 +2,7 @@
 
 use super::{
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::policy::{
     claim_choice::Offer,
@@ -10,7 +10,7 @@
     step_order::Supply, //
 };
 
-impl Work {
+impl WorkLoop {
     /// Lines up the offers that wait for this runner's model; `places` are those of
     /// its engines.
     pub(super) fn line_up(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
@@ -19,17 +19,17 @@
             token: self.engine.rate().token(),
         };
         for step in line_up(offers, supply, self.store.now()) {
-            self.note_turn(&ids[step.batch], step, supply);
+            self.note_mode(&ids[step.batch], step, supply);
         }
     }
 
-    fn note_turn(&mut self, id: &str, step: StepLine, supply: Supply) {
+    fn note_mode(&mut self, id: &str, step: StepLine, supply: Supply) {
         let StepLine { turn, work, .. } = step;
-        let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.turn != turn) else {
+        let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.mode != turn) else {
             return;
         };
         let Supply { places, token } = supply;
-        let before = batch.turn;
+        let before = batch.mode;
         tracing::info!(
             batch = id,
             ?turn,
@@ -39,13 +39,13 @@
             token,
             "a step's order changes"
         );
-        batch.turn = turn;
+        batch.mode = turn;
     }
 }
 
 impl OpenBatch {
     /// The expected tokens of some of its items; 1 for each without an estimate.
-    pub(super) fn work(&self, items: &[u16]) -> u64 {
+    pub(super) fn expected_tokens(&self, items: &[u16]) -> u64 {
         let expected = |index: &u16| self.head.items[usize::from(*index)].expected;
         let items = items.iter();
         items.map(|index| u64::from(expected(index).max(1))).sum()
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -2,7 +2,7 @@
 
 use super::{
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -18,24 +18,24 @@
 /// Where a runner stands among all runners of its service.
 pub(super) struct Standing {
     /// Its place among all runners of the service.
-    pub(super) all: Place,
+    pub(super) service_rank: Place,
     /// The model that it serves first.
     pub(super) home: Option<String>,
     /// Its place among those that serve the same model first.
-    pub(super) place: Place,
+    pub(super) model_rank: Place,
     /// The runners that work.
-    pub(super) runners: usize,
+    pub(super) working: usize,
     /// Its place among those of its model whose engines are as fast as its own.
-    pub(super) share: Place,
+    pub(super) class_rank: Place,
     /// Whether faster engines of its model go before its own.
     pub(super) yields: bool,
 }
 
 /// How long a runner should serve another model before it does.
-const MOVE_AFTER: Millis = Millis(1_500);
+const HOME_CHANGE_DELAY: Millis = Millis(1_500);
 
 /// The place of `rank` among `ranks`.
-fn place_in(ranks: &[usize], rank: usize) -> Place {
+fn place_among(ranks: &[usize], rank: usize) -> Place {
     let before = ranks.iter().filter(|other| **other < rank);
     Place {
         count: ranks.len(),
@@ -43,18 +43,18 @@
     }
 }
 
-impl Work {
+impl WorkLoop {
     /// Where this runner stands. All runners work it out alike from heartbeats
     /// and batches.
     pub(super) fn standing(&self, now: Millis) -> Standing {
-        let mut runners = self.heartbeats.working(&self.service, now);
+        let mut runners = self.heartbeats.working_runners(&self.service, now);
         let working = runners.len();
         if !runners.contains(&self.instance) {
             runners.push(self.instance.clone());
         }
         let rank = runners.iter().position(|name| *name == self.instance);
         let rank = rank.unwrap_or_default();
-        let all = Place {
+        let service_rank = Place {
             count: runners.len(),
             rank,
         };
@@ -67,25 +67,25 @@
         };
         let members: Vec<Member> = runners.iter().map(member).collect();
         let homes = homes(&demands, &members);
-        let Some(mine) = homes.get(rank).copied() else {
+        let Some(home) = homes.get(rank).copied() else {
             return Standing {
-                all,
+                service_rank,
                 home: None,
-                place: all,
-                runners: working,
-                share: all,
+                model_rank: service_rank,
+                working,
+                class_rank: service_rank,
                 yields: false,
             };
         };
-        let same: Vec<usize> = (0..homes.len()).filter(|of| homes[*of] == mine).collect();
+        let same: Vec<usize> = (0..homes.len()).filter(|of| homes[*of] == home).collect();
         let as_fast = |of: &usize| self.is_slower(&runners[*of]) == self.kind.slower;
         let peers: Vec<usize> = same.iter().copied().filter(as_fast).collect();
         Standing {
-            all,
-            home: Some(demands[mine].model.clone()),
-            place: place_in(&same, rank),
-            runners: working,
-            share: place_in(&peers, rank),
+            service_rank,
+            home: Some(demands[home].model.clone()),
+            model_rank: place_among(&same, rank),
+            working,
+            class_rank: place_among(&peers, rank),
             yields: self.kind.slower && peers.len() < same.len(),
         }
     }
@@ -94,11 +94,11 @@
     /// done so for a while. Runners that start again come within a second or so of
     /// each other: the first of them changed their models for those that were not
     /// there yet, and back.
-    pub(super) fn settle_home(&mut self, standing: &Standing, now: Millis) {
+    pub(super) fn update_home(&mut self, standing: &Standing, now: Millis) {
         if standing.home == self.home {
-            self.moves_from = now + MOVE_AFTER;
+            self.move_at = now + HOME_CHANGE_DELAY;
         }
-        let due = self.home.is_none() || now >= self.moves_from;
+        let due = self.home.is_none() || now >= self.move_at;
         if standing.home.is_some() && self.home != standing.home && due {
             let (home, before) = (&standing.home, &self.home);
             tracing::info!(?home, ?before, "serves another model first");
@@ -110,7 +110,7 @@
     fn home_of(&self, name: &str) -> Option<&String> {
         match name == self.instance {
             true => self.home.as_ref(),
-            false => self.heartbeats.of(name)?.home.as_ref(),
+            false => self.heartbeats.get(name)?.home.as_ref(),
         }
     }
 
@@ -118,7 +118,7 @@
     fn is_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.slower,
-            false => self.heartbeats.of(name).is_some_and(|beat| beat.slower),
+            false => self.heartbeats.get(name).is_some_and(|beat| beat.slower),
         }
     }
 
@@ -126,7 +126,7 @@
     fn is_steadily_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.steady,
-            false => self.heartbeats.of(name).is_some_and(|beat| beat.steady),
+            false => self.heartbeats.get(name).is_some_and(|beat| beat.steady),
         }
     }
 
@@ -140,7 +140,7 @@
         let asked = |model: &str| -> Vec<Asked> {
             let batches = self.batches.values();
             let same = batches.filter(|batch| batch.head.model == model);
-            same.map(|batch| batch.asked).collect()
+            same.map(|batch| batch.demand).collect()
         };
         let models = models.iter().map(|model| &model.name);
         demands(models.map(|name| (name.clone(), asked(name))).collect())
@@ -154,7 +154,7 @@
     }
 
     /// The version that this runner's engine holds of `model`.
-    pub(super) fn held(&self, model: &str) -> Option<u64> {
+    pub(super) fn held_version(&self, model: &str) -> Option<u64> {
         let (report, _) = self.report.as_ref()?;
         let weights = report.weights.iter().find(|held| held.model == model)?;
         Some(weights.version)
@@ -172,20 +172,20 @@
             let Some(route) = self.route_of(batch) else {
                 continue;
             };
-            let loaded = self.held(&batch.head.model);
+            let loaded = self.held_version(&batch.head.model);
             let loaded = loaded.is_some_and(|held| held >= batch.head.least_version);
-            let loaded = loaded && !self.is_changing(&batch.head.model);
+            let loaded = loaded && !self.is_loading_model(&batch.head.model);
             for bundle in 0..batch.head.bundles.len() as u16 {
-                let items = batch.left(bundle);
+                let items = batch.unfinished(bundle);
                 let left = items.len() as u32;
-                if left == 0 || batch.mine.contains_key(&bundle) {
+                if left == 0 || batch.own_bundles.contains_key(&bundle) {
                     continue;
                 }
                 let Some(holder) = self.holder(batch, bundle, now) else {
                     continue;
                 };
                 offers.push(Offer {
-                    age: now.since(batch.seen),
+                    age: now.since(batch.seen_at),
                     batch: number,
                     beyond: batch
                         .head
@@ -200,7 +200,7 @@
                     line: 0,
                     loaded,
                     turn: Turn::Whole,
-                    work: batch.work(&items),
+                    work: batch.expected_tokens(&items),
                 });
             }
         }
@@ -216,13 +216,15 @@
         if claim.is_free() || claim.holder == self.instance {
             return Some(Holder::Nobody);
         }
-        if self.away_since.is_none() && !self.heartbeats.works(&claim.holder, held.sign, now) {
+        if self.outage_start.is_none()
+            && !self.heartbeats.is_working(&claim.holder, held.write, now)
+        {
             return Some(Holder::Nobody);
         }
         if claim.second.as_deref() == Some(&self.instance) {
             return None;
         }
-        let beat = self.heartbeats.of(&claim.holder);
+        let beat = self.heartbeats.get(&claim.holder);
         let theirs = beat.map_or(0.0, |beat| beat.pace);
         let mine = self.pace;
         let pace = match mine > 0.0 && theirs > 0.0 {
@@ -232,7 +234,7 @@
         Some(Holder::Held {
             joinable: claim.second.is_none(),
             pace,
-            since: now.since(held.seen),
+            since: now.since(held.seen_at),
             slower: beat.is_some_and(|beat| beat.slower),
         })
     }
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -13,18 +13,18 @@
 
 /// A claim as the store holds it.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldClaim {
     pub(super) claim: Claim,
     pub(super) revision: u64,
     /// When this runner saw it.
-    pub(super) seen: Millis,
+    pub(super) seen_at: Millis,
     /// When its holder wrote it.
-    pub(super) sign: Sign,
+    pub(super) write: Sign,
 }
 
 /// A bundle that this runner has taken.
 #[derive(Debug)]
-pub(super) enum Mine {
+pub(super) enum BundleState {
     /// The claim is on its way to the store.
     Claiming,
     /// Its items are being read.
@@ -39,56 +39,56 @@
     /// Whether results are on their way to the store.
     pub(super) appending: bool,
     /// What it asks for, as all runners weigh it.
-    pub(super) asked: Asked,
+    pub(super) demand: Asked,
     pub(super) chunks: HashMap<u16, Arc<Vec<Item>>>,
-    pub(super) claims: BTreeMap<u16, Held>,
-    pub(super) fetching: Vec<u16>,
+    pub(super) claims: BTreeMap<u16, HeldClaim>,
+    pub(super) fetching_chunks: Vec<u16>,
     pub(super) head: Arc<Head>,
     pub(super) log: Log,
     pub(super) log_revision: u64,
     /// What earlier runs have left of items, by index.
     pub(super) partials: HashMap<u16, Partial>,
-    pub(super) mine: BTreeMap<u16, Mine>,
+    pub(super) own_bundles: BTreeMap<u16, BundleState>,
     /// Each bundle's place in the order in which bundles should begin.
-    places: Vec<u16>,
+    start_order: Vec<u16>,
     /// Bundles that this runner took and that a runner had before.
     pub(super) reclaimed: BTreeSet<u16>,
     /// Results that are not listed yet.
     pub(super) results: Vec<(u16, Sample)>,
     pub(super) running: HashMap<u16, AbortHandle>,
-    pub(super) seen: Millis,
+    pub(super) seen_at: Millis,
     /// How its waiting bundles begin, as this runner last worked it out.
-    pub(super) turn: Turn,
+    pub(super) mode: Turn,
 }
 
 impl OpenBatch {
     /// A batch that was just seen.
     pub(super) fn new(head: Head, now: Millis) -> Self {
-        let mut places = vec![0; head.bundles.len()];
-        for (place, bundle) in head.order().into_iter().enumerate() {
-            places[usize::from(bundle)] = place as u16;
+        let mut start_order = vec![0; head.bundles.len()];
+        for (rank, bundle) in head.order().into_iter().enumerate() {
+            start_order[usize::from(bundle)] = rank as u16;
         }
         Self {
             appending: false,
-            asked: Asked {
+            demand: Asked {
                 items: head.items.len(),
                 step: head.step,
                 tokens: head.tokens(),
             },
             chunks: HashMap::new(),
             claims: BTreeMap::new(),
-            fetching: Vec::new(),
+            fetching_chunks: Vec::new(),
             head: Arc::new(head),
             log: Log::default(),
             log_revision: 0,
             partials: HashMap::new(),
-            mine: BTreeMap::new(),
-            places,
+            own_bundles: BTreeMap::new(),
+            start_order,
             reclaimed: BTreeSet::new(),
             results: Vec::new(),
             running: HashMap::new(),
-            seen: now,
-            turn: Turn::Whole,
+            seen_at: now,
+            mode: Turn::Whole,
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// The items of `bundle` that have no result yet, here or in the store.
-    pub(super) fn left(&self, bundle: u16) -> Vec<u16> {
+    pub(super) fn unfinished(&self, bundle: u16) -> Vec<u16> {
         let Some(bundle) = self.head.bundles.get(usize::from(bundle)) else {
             return Vec::new();
         };
@@ -112,7 +112,7 @@
 
     /// The place of `bundle` in the order in which bundles should begin.
     pub(super) fn order_of(&self, bundle: u16) -> u16 {
-        self.places
+        self.start_order
             .get(usize::from(bundle))
             .copied()
             .unwrap_or(bundle)
@@ -121,16 +121,16 @@
     /// Groups that are claimed and whose items are not all here.
     pub(super) fn fetching_bundles(&self) -> Vec<u16> {
         let fetching = self
-            .mine
+            .own_bundles
             .iter()
-            .filter(|(_, state)| matches!(state, Mine::Fetching));
+            .filter(|(_, state)| matches!(state, BundleState::Fetching));
         fetching.map(|(bundle, _)| *bundle).collect()
     }
 
     /// Items of bundles that this runner has taken and that have no result yet.
     pub(super) fn load(&self) -> usize {
-        let bundles = self.mine.keys();
-        bundles.map(|bundle| self.left(*bundle).len()).sum()
+        let bundles = self.own_bundles.keys();
+        bundles.map(|bundle| self.unfinished(*bundle).len()).sum()
     }
 
     /// Takes a newer log; stops the runs of items that others have listed.
@@ -154,20 +154,20 @@
             self.stop();
         }
         let done: Vec<u16> = self
-            .mine
+            .own_bundles
             .keys()
-            .filter(|bundle| self.left(**bundle).is_empty())
+            .filter(|bundle| self.unfinished(**bundle).is_empty())
             .copied()
             .collect();
         for bundle in done {
-            self.mine.remove(&bundle);
+            self.own_bundles.remove(&bundle);
         }
     }
 
     /// Ends all that this runner does for the batch.
     pub(super) fn stop(&mut self) {
         self.running.drain().for_each(|(_, run)| run.abort());
-        self.mine.clear();
+        self.own_bundles.clear();
         self.results.clear();
         self.chunks.clear();
         self.partials.clear();
@@ -181,11 +181,11 @@
             .get(&bundle)
             .is_none_or(|held| held.revision < revision);
         if newer {
-            let held = Held {
-                sign: self.sign_of(bundle, &claim, revision, now),
+            let held = HeldClaim {
+                write: self.last_write(bundle, &claim, revision, now),
                 claim,
                 revision,
-                seen: now,
+                seen_at: now,
             };
             self.claims.insert(bundle, held);
         }
@@ -193,7 +193,7 @@
 
     /// When the holder of `claim` wrote it. A second runner that joins writes the row
     /// as well, which is no sign of life of its holder.
-    fn sign_of(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
+    fn last_write(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
         let token = claim.token;
         if claim.second.is_none() {
             return Sign {
@@ -209,7 +209,7 @@
             revision: 0,
             token,
         };
-        before.map_or(unknown, |held| held.sign)
+        before.map_or(unknown, |held| held.write)
     }
 
     /// Whether the runner `instance`, in its life `token`, is known to hold `bundle`.
@@ -226,8 +226,8 @@
         let log = &self.log;
         let results = &self.results;
         let is_made = |index: &u16| log.has(*index) || results.iter().any(|(of, _)| of == index);
-        self.mine.retain(|bundle, state| {
-            let waits = !matches!(state, Mine::Running);
+        self.own_bundles.retain(|bundle, state| {
+            let waits = !matches!(state, BundleState::Running);
             let items = head.bundles.get(usize::from(*bundle));
             let items = items.map_or(&[][..], |bundle| &bundle.items);
             let runs = items.iter().any(|index| running.contains_key(index));
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -4,7 +4,7 @@
     event::Event,
     offers::Standing,
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -17,26 +17,30 @@
 
 /// An order that the engine has not been seen to carry out.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingOrder {
     /// No other order is given before.
     pub(super) until: Millis,
 }
 
 /// How long the engine may take to answer an order. One whose answer is lost
 /// may be carried out seconds later; it then finds another count of orders.
-const WITHIN: Millis = Millis(1_000);
+const ORDER_TIMEOUT: Millis = Millis(1_000);
 
 /// After an answer, the reports show what came of the order within this time.
-const SETTLE: Millis = Millis(450);
+const ORDER_SETTLE_TIME: Millis = Millis(450);
 
-impl Work {
+impl WorkLoop {
     /// Gives an order if one is due.
-    pub(super) fn plan_versions(&mut self, standing: &Standing, now: Millis) {
-        if self.order.as_ref().is_some_and(|order| now < order.until) {
+    pub(super) fn plan_order(&mut self, standing: &Standing, now: Millis) {
+        if self
+            .pending_order
+            .as_ref()
+            .is_some_and(|order| now < order.until)
+        {
             return;
         }
-        self.order = None;
-        let Some(server) = self.server.borrow().clone() else {
+        self.pending_order = None;
+        let Some(incarnation) = self.incarnation.borrow().clone() else {
             return;
         };
         let Some((report, _)) = &self.report else {
@@ -46,15 +50,15 @@
             return;
         }
 
-        let loading = self.heartbeats.loading(&self.instance, now);
-        let slot = may_begin(self.store.now(), standing.all);
+        let loading = self.heartbeats.count_loading(&self.instance, now);
+        let slot = may_begin(self.store.now(), standing.service_rank);
         let mut due = None;
         for weights in &report.weights {
             let is_home = standing.home.as_ref() == Some(&weights.model);
             let (named, seen) = self.site.named(&weights.model);
             let needs = self.needs(&weights.model, standing, now);
             let situation = Situation {
-                away_for: self.away_since.map(|since| now.since(since)),
+                away_for: self.outage_start.map(|since| now.since(since)),
                 held: weights.version,
                 home: is_home,
                 loading,
@@ -63,11 +67,11 @@
                 named_for: now.since(seen),
                 needed: needs.version,
                 needed_for: needs.waited,
-                place: standing.place,
+                place: standing.model_rank,
                 ready: self
                     .heartbeats
-                    .ready(&weights.model, named, &self.instance, now),
-                runners: standing.runners,
+                    .count_ready(&weights.model, named, &self.instance, now),
+                runners: standing.working,
                 slot,
                 soon: self.is_step_near(&weights.model, named),
                 waiting: needs.waiting,
@@ -94,23 +98,23 @@
         );
         let order = VersionOrder {
             fence,
-            finish_runs: self.runs_single(&model),
+            finish_runs: self.has_single_version_run(&model),
             holder: &self.instance,
             model: &model,
             orders,
-            server: &server.id,
+            server: &incarnation.id,
             version,
         };
         let request = order_request(&order);
-        self.order = Some(Pending {
-            until: now + WITHIN + SETTLE,
+        self.pending_order = Some(PendingOrder {
+            until: now + ORDER_TIMEOUT + ORDER_SETTLE_TIME,
         });
-        self.changed = Some(model.clone());
+        self.ordered_model = Some(model.clone());
         let (engine, events) = (self.engine.clone(), self.events.clone());
         tokio::spawn(async move {
-            let answer = match engine.peer.call(request, WITHIN).await {
+            let answer = match engine.peer.call(request, ORDER_TIMEOUT).await {
                 Ok(answer) => {
-                    engine.meet(&server.id, answer.status, &answer.headers);
+                    engine.note_mismatch(&incarnation.id, answer.status, &answer.headers);
                     Some(order_answer(&answer))
                 }
                 Err(error) => {
@@ -118,7 +122,7 @@
                     None
                 }
             };
-            let event = Event::Ordered {
+            let event = Event::OrderAnswered {
                 answer,
                 model,
                 version,
@@ -128,28 +132,33 @@
     }
 
     /// Takes the engine's answer to an order; the reports show what came of it.
-    pub(super) fn ordered(&mut self, answer: Option<OrderAnswer>, model: &str, version: u64) {
+    pub(super) fn on_order_answered(
+        &mut self,
+        answer: Option<OrderAnswer>,
+        model: &str,
+        version: u64,
+    ) {
         tracing::info!(model, version, ?answer, "order answered");
         if answer.is_some() {
-            let until = self.clock.now() + SETTLE;
-            self.order = Some(Pending { until });
+            let until = self.clock.now() + ORDER_SETTLE_TIME;
+            self.pending_order = Some(PendingOrder { until });
         }
     }
 
     /// Whether the engine takes new weights of `model`: it refuses what of the
     /// model has not begun until it has them.
-    pub(super) fn is_changing(&self, model: &str) -> bool {
-        self.is_loading() && self.changed.as_deref() == Some(model)
+    pub(super) fn is_loading_model(&self, model: &str) -> bool {
+        self.is_loading() && self.ordered_model.as_deref() == Some(model)
     }
 
     /// Whether the engine takes new weights, or may.
     pub(super) fn is_loading(&self) -> bool {
         let busy = self.report.as_ref().is_some_and(|(report, _)| report.busy);
-        self.order.is_some() || busy
+        self.pending_order.is_some() || busy
     }
 
     /// Whether a run of `model` here must not change its version midway.
-    fn runs_single(&self, model: &str) -> bool {
+    fn has_single_version_run(&self, model: &str) -> bool {
         let runs = |batch: &&OpenBatch| batch.head.model == model && !batch.running.is_empty();
         let mut running = self.batches.values().filter(runs);
         running.any(|batch| {
@@ -177,8 +186,8 @@
         for batch in self.batches.values().filter(open) {
             // While no claim can be seen, what others have begun or finished is
             // not known: only what falls to this runner waits for it.
-            let waits = match self.away_since {
-                Some(_) => batch.waits_for(standing.place),
+            let waits = match self.outage_start {
+                Some(_) => batch.waits_for(standing.model_rank),
                 None => batch.waiting_bundles().next().is_some(),
             };
             if !waits {
@@ -187,7 +196,7 @@
             needs.waiting = true;
             if batch.head.least_version > needs.version {
                 needs.version = batch.head.least_version;
-                needs.waited = now.since(batch.seen);
+                needs.waited = now.since(batch.seen_at);
             }
         }
         needs
@@ -209,7 +218,7 @@
     /// Bundles that nobody holds.
     fn waiting_bundles(&self) -> impl Iterator<Item = u16> {
         let bundles = 0..self.head.bundles.len() as u16;
-        bundles.filter(|bundle| !self.is_held(*bundle) && !self.left(*bundle).is_empty())
+        bundles.filter(|bundle| !self.is_held(*bundle) && !self.unfinished(*bundle).is_empty())
     }
 
     fn is_held(&self, bundle: u16) -> bool {
@@ -220,8 +229,9 @@
     /// Whether an unclaimed bundle falls to the runner at `place` that it has not
     /// begun.
     fn waits_for(&self, place: Place) -> bool {
-        let mine =
-            |bundle: &u16| place.has(self.order_of(*bundle)) && !self.mine.contains_key(bundle);
+        let mine = |bundle: &u16| {
+            place.has(self.order_of(*bundle)) && !self.own_bundles.contains_key(bundle)
+        };
         self.waiting_bundles().any(|bundle| mine(&bundle))
     }
 }
--- a/src/runner/results.rs
+++ b/src/runner/results.rs
@@ -3,7 +3,7 @@
 use super::{
     event::Event,
     run_item::ItemEnd,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -13,15 +13,15 @@
 };
 
 /// The most results in one transaction: bounded by its size.
-const APPEND_MOST: usize = 24;
-const APPEND_BYTES: usize = 400 * 1024;
+const MAX_APPEND_RESULTS: usize = 24;
+const MAX_APPEND_BYTES: usize = 400 * 1024;
 
 /// The wait before a write that failed is looked at again.
-const WRITE_AGAIN: Millis = Millis(80);
+const READ_BACK_DELAY: Millis = Millis(80);
 
-impl Work {
+impl WorkLoop {
     /// A run has ended: its result waits to be listed, or its bundle is let go.
-    pub(super) fn item_ended(&mut self, batch_id: &str, index: u16, end: ItemEnd) {
+    pub(super) fn on_item_ended(&mut self, batch_id: &str, index: u16, end: ItemEnd) {
         let Some(batch) = self.batches.get_mut(batch_id) else {
             return;
         };
@@ -56,12 +56,12 @@
             let mut bytes = 0;
             let fits = |(_, sample): &&(u16, Sample)| {
                 bytes += sample.text.len();
-                bytes <= APPEND_BYTES
+                bytes <= MAX_APPEND_BYTES
             };
             let mut samples: Vec<(u16, Sample)> = batch
                 .results
                 .iter()
-                .take(APPEND_MOST)
+                .take(MAX_APPEND_RESULTS)
                 .take_while(fits)
                 .cloned()
                 .collect();
@@ -74,7 +74,7 @@
             let (store, events, batch) = (self.store.clone(), self.events.clone(), id.clone());
             tokio::spawn(async move {
                 let outcome = transact_or_read(&store, &batch, &transaction).await;
-                let event = Event::Appended {
+                let event = Event::ResultsAppended {
                     batch,
                     count,
                     log,
@@ -87,7 +87,7 @@
 
     /// Takes the log as the store has it after an append. What was not listed
     /// stays in memory and goes with the next one.
-    pub(super) fn appended(
+    pub(super) fn on_results_appended(
         &mut self,
         id: &str,
         count: usize,
@@ -137,7 +137,7 @@
         Ok(outcome) => return Ok(outcome),
         Err(error) => error,
     };
-    tokio::time::sleep(WRITE_AGAIN.as_duration()).await;
+    tokio::time::sleep(READ_BACK_DELAY.as_duration()).await;
     let key = Key::new(WORK, part_of(batch), WorkKey::Log.to_string());
     match store.row(&key).await {
         Ok(Some(row)) => Ok(Outcome::Conflict { rows: vec![row] }),
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -1,8 +1,8 @@
 //! Runs one item on the engine until its text is whole and scored.
 
 use super::{
-    score::{Score, Scorers},
-    suspects::{Admitted, BrokenRun, Settled},
+    score::{ScoreEnd, ScorerClient},
+    suspects::{Admission, AfterRun, BrokenRun},
     text::Text, //
 };
 use crate::{
@@ -45,28 +45,28 @@
 #[derive(Clone)]
 pub(super) struct Engine {
     /// Held by the suspect whose turn it is to begin here.
-    pub(super) apart: Arc<Semaphore>,
+    pub(super) suspect_turn: Arc<Semaphore>,
     /// Runs that broke off while the engine seemed to live.
-    pub(super) broken: Arc<Mutex<Vec<BrokenRun>>>,
+    pub(super) broken_runs: Arc<Mutex<Vec<BrokenRun>>>,
     pub(super) clock: Clock,
     pub(super) crashes: Arc<Crashes>,
     /// The life whose end a run saw last.
-    pub(super) lost: watch::Sender<Option<Life>>,
+    pub(super) last_crashed: watch::Sender<Option<Life>>,
     /// A life of the engine that refused what was meant for another.
-    pub(super) met: watch::Sender<Option<Met>>,
+    pub(super) mismatch: watch::Sender<Option<Met>>,
     /// What all runs tell of its pace.
     pub(super) pace: Arc<Mutex<Pace>>,
     pub(super) peer: Peer,
     /// Shared by the runs here, but for a suspect that begins, which has it alone.
-    pub(super) places: Arc<RwLock<()>>,
+    pub(super) run_lock: Arc<RwLock<()>>,
     /// What its places take for an expected token.
     pub(super) rate: Arc<Mutex<Rate>>,
     /// The engine's present life while it takes work.
-    pub(super) server: watch::Receiver<Option<Life>>,
-    pub(super) scorers: Arc<Scorers>,
+    pub(super) incarnation: watch::Receiver<Option<Life>>,
+    pub(super) scorer_client: Arc<ScorerClient>,
     pub(super) store: Store,
     /// Items that wait here in quarantine.
-    pub(super) waiting: Arc<AtomicUsize>,
+    pub(super) quarantined: Arc<AtomicUsize>,
 }
 
 impl Engine {
@@ -83,10 +83,10 @@
     /// Waits until the engine has another life than `life`. A connection to an
     /// engine that lost power hangs: its runs began again only 2.5 s later, when
     /// their streams had paused too long.
-    async fn next_life(&self, life: &Life) {
-        let mut server = self.server.clone();
-        let other = |now: &Option<Life>| now.as_ref().is_some_and(|now| now != life);
-        if server.wait_for(other).await.is_err() {
+    async fn wait_replaced(&self, incarnation: &Life) {
+        let mut current = self.incarnation.clone();
+        let other = |now: &Option<Life>| now.as_ref().is_some_and(|now| now != incarnation);
+        if current.wait_for(other).await.is_err() {
             // The work loop has ended, and with it all runs.
             std::future::pending::<()>().await;
         }
@@ -94,7 +94,7 @@
 
     /// Notes the engine's life when an answer says that the request was meant
     /// for another one than `expected`.
-    pub(super) fn meet(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
+    pub(super) fn note_mismatch(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
         if status != StatusCode::MISDIRECTED_REQUEST {
             return;
         }
@@ -106,7 +106,7 @@
             expected: expected.to_owned(),
             found: found.to_owned(),
         };
-        self.met.send_if_modified(|known| {
+        self.mismatch.send_if_modified(|known| {
             let same = |known: &Met| (&known.expected, &known.found) == (&met.expected, &met.found);
             if known.as_ref().is_some_and(same) {
                 return false;
@@ -122,7 +122,7 @@
 pub(super) struct Task {
     pub(super) batch: String,
     /// What an earlier run has left.
-    pub(super) begun: Option<Partial>,
+    pub(super) partial: Option<Partial>,
     /// Names what the item asks of its engine.
     pub(super) fingerprint: Fingerprint,
     pub(super) host: String,
@@ -131,37 +131,37 @@
     /// The oldest weight version that may generate its tokens.
     pub(super) least_version: u64,
     /// The engine's own failures after which the item is given up.
-    pub(super) most_failures: u32,
+    pub(super) max_failures: u32,
     /// Whether a runner had its bundle before; engines may have ended there.
     pub(super) reclaimed: bool,
     pub(super) single_version: bool,
     /// How urgent it is; 0 is the most urgent.
     pub(super) priority: Option<u32>,
-    pub(super) until: Millis,
+    pub(super) deadline: Millis,
     /// The workspace whose batch it belongs to.
     pub(super) workspace: Option<String>,
 }
 
 /// How long the engine may take to begin: a request can wait behind others for
 /// a slot, and behind a load of weights.
-const HEAD_WITHIN: Millis = Millis(6_000);
+const HEADER_TIMEOUT: Millis = Millis(6_000);
 
 /// How long a stream may pause. Events come every few tens of ms; an engine
 /// that is four times as slow, full and preempting pauses longer.
-const PAUSE_MOST: Millis = Millis(2_500);
+const STREAM_IDLE_TIMEOUT: Millis = Millis(2_500);
 
 /// The first wait before an engine that was full, loading or gone is asked
 /// again, and the longest; a load of weights takes about 900 ms.
-const AGAIN: Millis = Millis(60);
-const AGAIN_MOST: Millis = Millis(240);
+const RETRY_DELAY: Millis = Millis(60);
+const MAX_RETRY_DELAY: Millis = Millis(240);
 
 /// How long the rest of a refusal may take to arrive. Reading it keeps the
 /// connection for the next request: without it each refusal cost a new one,
 /// 6,200 on a day of 950 items.
-const REFUSAL_WITHIN: Millis = Millis(100);
+const REFUSAL_BODY_TIMEOUT: Millis = Millis(100);
 
 /// What came of one run.
-pub(super) enum Run {
+pub(super) enum RunEnd {
     /// The stream ended as a whole.
     Whole,
     /// The engine did not take it.
@@ -169,11 +169,11 @@
     /// The engine failed by its own word.
     Failed,
     /// The item can never be done.
-    Impossible,
+    Unprocessable,
     /// The connection broke or fell silent.
     Broken(CallError),
     /// The engine has started anew, and the run is lost with its life before.
-    Outlived,
+    Replaced,
 }
 
 /// Names what `item` of a batch of `host` asks of its engine.
@@ -191,46 +191,46 @@
 /// Runs the item to its end.
 pub(super) async fn run(engine: Engine, task: Task) -> ItemEnd {
     let now = engine.clock.now();
-    let mut text = Text::resume(task.begun.clone(), now);
+    let mut text = Text::resume(task.partial.clone(), now);
     let mut failures = 0;
-    let mut wait = AGAIN;
+    let mut wait = RETRY_DELAY;
     loop {
         // An item that ends each engine that runs it goes from runner to runner,
         // which count its engines' ends together.
-        let Some(Admitted { attempt, place }) = engine.admit(&task).await else {
+        let Some(Admission { attempt, guard }) = engine.admit(&task).await else {
             return ItemEnd::Dropped;
         };
         let now = engine.clock.now();
-        let server = engine.server.borrow().clone();
-        let Some(server) = server.filter(|_| now < task.until) else {
-            engine.let_go(attempt);
+        let incarnation = engine.incarnation.borrow().clone();
+        let Some(incarnation) = incarnation.filter(|_| now < task.deadline) else {
+            engine.release_attempt(attempt);
             return ItemEnd::Dropped;
         };
-        if engine.lost.borrow().as_ref() == Some(&server) {
-            engine.let_go(attempt);
-            drop(place);
+        if engine.last_crashed.borrow().as_ref() == Some(&incarnation) {
+            engine.release_attempt(attempt);
+            drop(guard);
             // The work loop does not know yet. A run that begins now finds an
             // engine that is closing down, whose end would count against it.
-            engine.noticed(&server).await;
+            engine.wait_until_noticed(&incarnation).await;
             continue;
         }
         let begun = text.events.len();
         let running = async {
             tokio::select! {
-                run = run_once(&engine, &task, &server, &mut text) => run,
-                () = engine.next_life(&server) => Run::Outlived,
+                run = run_once(&engine, &task, &incarnation, &mut text) => run,
+                () = engine.wait_replaced(&incarnation) => RunEnd::Replaced,
             }
         };
-        let (run, place) = place.hold(running).await;
-        let admitted = (attempt, place);
-        if engine.settle(&server, &task, &run, admitted).await == Settled::GivenBack {
+        let (run, guard) = guard.hold_during(running).await;
+        let admitted = (attempt, guard);
+        if engine.after_run(&incarnation, &task, &run, admitted).await == AfterRun::GiveBack {
             return ItemEnd::Dropped;
         }
         match run {
-            Run::Whole => {
-                let (item, events, server) = (&task.item.id, text.events.len(), &server.id);
+            RunEnd::Whole => {
+                let (item, events, server) = (&task.item.id, text.events.len(), &incarnation.id);
                 let taken = engine.clock.now().since(now).0;
-                let waited = text.first.map_or(taken, |first| first.since(now).0);
+                let waited = text.first_at.map_or(taken, |first| first.since(now).0);
                 if begun == 0 {
                     let run = (taken - waited) as f64;
                     engine.rate().note(task.item.expected, run);
@@ -246,25 +246,25 @@
                 );
                 break;
             }
-            Run::Failed => {
+            RunEnd::Failed => {
                 failures += 1;
                 tracing::info!(item = task.item.id, failures, "the engine failed the item");
             }
-            Run::Impossible => failures = task.most_failures,
-            Run::Refused => {}
-            Run::Outlived => {
+            RunEnd::Unprocessable => failures = task.max_failures,
+            RunEnd::Refused => {}
+            RunEnd::Replaced => {
                 let events = text.events.len();
-                let (request, server) = (task.fingerprint, &server.id);
+                let (request, server) = (task.fingerprint, &incarnation.id);
                 tracing::info!(item = task.item.id, %request, server, events, "its engine has started anew");
-                wait = AGAIN;
+                wait = RETRY_DELAY;
             }
-            Run::Broken(error) => {
+            RunEnd::Broken(error) => {
                 let events = text.events.len();
-                let (request, server) = (task.fingerprint, &server.id);
+                let (request, server) = (task.fingerprint, &incarnation.id);
                 tracing::info!(item = task.item.id, %request, server, events, %error, "run broke off");
             }
         }
-        if failures >= task.most_failures {
+        if failures >= task.max_failures {
             tracing::warn!(item = task.item.id, failures, "item given up");
             let sample = terminated(&task.item.id);
             return ItemEnd::Done(sample);
@@ -273,7 +273,7 @@
             text = Text::default();
         }
         tokio::time::sleep(wait.as_duration()).await;
-        wait = Millis((wait.0 * 2).min(AGAIN_MOST.0));
+        wait = Millis((wait.0 * 2).min(MAX_RETRY_DELAY.0));
     }
 
     finish(&engine, task, text).await
@@ -283,13 +283,13 @@
 async fn finish(engine: &Engine, task: Task, text: Text) -> ItemEnd {
     let score = match &task.item.scorer {
         None => None,
-        Some(scorer) => match engine.scorers.score(scorer, task.until).await {
-            Score::Given(score) => Some(score),
-            Score::GivenUp => {
+        Some(scorer) => match engine.scorer_client.score(scorer, task.deadline).await {
+            ScoreEnd::Given(score) => Some(score),
+            ScoreEnd::GivenUp => {
                 let sample = terminated(&task.item.id);
                 return ItemEnd::Done(sample);
             }
-            Score::TimedOut => return ItemEnd::Dropped,
+            ScoreEnd::TimedOut => return ItemEnd::Dropped,
         },
     };
     let sample = Sample {
@@ -313,30 +313,34 @@
     }
 }
 
-async fn run_once(engine: &Engine, task: &Task, server: &Life, text: &mut Text) -> Run {
+async fn run_once(engine: &Engine, task: &Task, incarnation: &Life, text: &mut Text) -> RunEnd {
     let request = EngineRequest {
-        after: text.last,
+        after: text.last_id,
         host: &task.host,
         item: &task.item,
-        left: task.until.since(engine.clock.now()),
+        left: task.deadline.since(engine.clock.now()),
         priority: task.priority,
-        server: &server.id,
+        server: &incarnation.id,
         workspace: task.workspace.as_deref(),
     };
-    let opened = match engine.peer.open_stream(request.build(), HEAD_WITHIN).await {
+    let opened = match engine
+        .peer
+        .open_stream(request.build(), HEADER_TIMEOUT)
+        .await
+    {
         Ok(opened) => opened,
-        Err(error) => return Run::Broken(error),
+        Err(error) => return RunEnd::Broken(error),
     };
     let status = opened.status.as_u16();
     if status == 200 {
-        return read(engine, opened, task, text).await;
+        return read_stream(engine, opened, task, text).await;
     }
     let refused = not_executed(&opened.headers);
-    engine.meet(&server.id, opened.status, &opened.headers);
-    read_away(opened).await;
+    engine.note_mismatch(&incarnation.id, opened.status, &opened.headers);
+    drain_body(opened).await;
     match status {
-        422 => Run::Impossible,
-        500 if !refused => Run::Failed,
+        422 => RunEnd::Unprocessable,
+        500 if !refused => RunEnd::Failed,
         _ => {
             tracing::debug!(
                 item = task.item.id,
@@ -344,25 +348,25 @@
                 refused,
                 "the engine did not take the item"
             );
-            Run::Refused
+            RunEnd::Refused
         }
     }
 }
 
 /// Reads the rest of an answer that is not needed.
-async fn read_away(mut opened: Opened) {
-    while let Ok(Some(_)) = opened.body.next(REFUSAL_WITHIN).await {}
+async fn drain_body(mut opened: Opened) {
+    while let Ok(Some(_)) = opened.body.next(REFUSAL_BODY_TIMEOUT).await {}
 }
 
 /// Reads events until the stream ends. Only whole events count: a stream that
 /// breaks off goes on after the last of them.
-async fn read(engine: &Engine, opened: Opened, task: &Task, text: &mut Text) -> Run {
+async fn read_stream(engine: &Engine, opened: Opened, task: &Task, text: &mut Text) -> RunEnd {
     let Opened {
         mut body, headers, ..
     } = opened;
     let Some(mut version) = version_of_head(&headers) else {
         tracing::warn!(item = task.item.id, "an answer names no weight version");
-        return Run::Refused;
+        return RunEnd::Refused;
     };
     if version < task.least_version {
         tracing::warn!(
@@ -370,38 +374,38 @@
             version,
             "the engine's weights are too old"
         );
-        return Run::Refused;
+        return RunEnd::Refused;
     }
 
-    text.first = None;
+    text.first_at = None;
     let mut events = EventReader::default();
     loop {
-        match body.next(PAUSE_MOST).await {
+        match body.next(STREAM_IDLE_TIMEOUT).await {
             Ok(Some(bytes)) => events.push(&bytes),
             Ok(None) if events.is_torn() => {
                 tracing::info!(item = task.item.id, "the stream ended within an event");
-                return Run::Refused;
+                return RunEnd::Refused;
             }
-            Ok(None) => return Run::Whole,
-            Err(error) => return Run::Broken(error),
+            Ok(None) => return RunEnd::Whole,
+            Err(error) => return RunEnd::Broken(error),
         }
         while let Some(event) = events.next_event() {
             version = event.version.unwrap_or(version);
-            let next = text.last.map_or(event.id, |last| Some(last + 1));
+            let next = text.last_id.map_or(event.id, |last| Some(last + 1));
             if event.id.is_none() || event.id != next {
                 tracing::warn!(item = task.item.id, ?event.id, ?next, "an event out of order");
-                return Run::Refused;
+                return RunEnd::Refused;
             }
             let now = engine.clock.now();
-            match text.first {
-                Some(_) => engine.pace().note(now.since(text.newest).0 as f64),
-                None => text.first = Some(now),
+            match text.first_at {
+                Some(_) => engine.pace().note(now.since(text.newest_at).0 as f64),
+                None => text.first_at = Some(now),
             }
-            text.newest = now;
-            text.last = event.id;
+            text.newest_at = now;
+            text.last_id = event.id;
             text.versions.insert(version);
             text.events.push(event.data);
-            text.keep(engine, task);
+            text.save_if_due(engine, task);
         }
     }
 }
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -2,8 +2,8 @@
 
 use super::{
     run_item::Engine,
-    score::Scorers,
-    work::{Seed, Work}, //
+    score::ScorerClient,
+    work::{Setup, WorkLoop}, //
 };
 use crate::{
     base::Clock,
@@ -55,35 +55,35 @@
             instance: common.instance.clone(),
         };
         let relay = Relay::open(seat, store.clone(), clock);
-        let (server, life) = watch::channel(None);
+        let (incarnation, current) = watch::channel(None);
         let (crashes, writes) = Crashes::open(store.clone());
-        let scorers = Scorers {
+        let scorer_client = ScorerClient {
             caller: Caller::new(site.clone(), crashes.clone(), &common.data_centre, None),
             site: site.clone(),
         };
-        let seed = Seed {
+        let setup = Setup {
             clock,
             engine: Engine {
-                apart: Arc::new(Semaphore::new(1)),
-                broken: Arc::default(),
+                suspect_turn: Arc::new(Semaphore::new(1)),
+                broken_runs: Arc::default(),
                 clock,
                 crashes: crashes.clone(),
-                lost: watch::Sender::new(None),
-                met: watch::Sender::new(None),
+                last_crashed: watch::Sender::new(None),
+                mismatch: watch::Sender::new(None),
                 pace: Arc::default(),
                 peer: Peer::open(settings.engine, clock),
-                places: Arc::default(),
+                run_lock: Arc::default(),
                 rate: Arc::default(),
-                scorers: Arc::new(scorers),
-                server: life,
+                scorer_client: Arc::new(scorer_client),
+                incarnation: current,
                 store: store.clone(),
-                waiting: Arc::default(),
+                quarantined: Arc::default(),
             },
             engine_address: settings.engine,
             instance: common.instance,
             relay: relay.clone(),
             retention: common.retention,
-            server,
+            incarnation,
             service: settings.service,
             site: site.clone(),
             store,
@@ -96,12 +96,12 @@
             tokio::spawn(keep_crashes(crashes, writes, relay.clone()));
             tokio::spawn(relay.clone().serve(context.clone(), peers));
             tokio::spawn(relay.keep(context.clone()));
-            Work::run(seed, context).await;
+            WorkLoop::run(setup, context).await;
         };
         handle.add(duty::spawn("work", &supervisor, work)?);
 
-        let none: Route = Arc::new(|_| Box::pin(async { None }));
-        let serve = move |context| admin(context, metrics, health, || true, none);
+        let no_route: Route = Arc::new(|_| Box::pin(async { None }));
+        let serve = move |context| admin(context, metrics, health, || true, no_route);
         handle.add(duty::spawn("admin", &supervisor, serve)?);
         Ok(Self {
             handle,
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -15,14 +15,14 @@
 use std::sync::Arc;
 
 /// Sends texts to the service that scores them.
-pub(super) struct Scorers {
+pub(super) struct ScorerClient {
     pub(super) caller: Arc<Caller>,
     pub(super) site: Arc<Site>,
 }
 
 /// What became of a score.
 #[derive(Debug)]
-pub(super) enum Score {
+pub(super) enum ScoreEnd {
     Given(String),
     /// Scorers answered that they failed as often as the route allows. Calls
     /// that were lost or not taken don't count: an item was given up after one
@@ -33,22 +33,22 @@
 }
 
 /// The wait between two calls for the same score; scores take about 100 ms.
-const AGAIN: Millis = Millis(80);
+const RETRY_DELAY: Millis = Millis(80);
 
 /// The same once two servers have ended under the call. The request that ends them
 /// does so again within a second or is in quarantine: a call that comes back at
 /// once is beside it for a third time, and would be taken for it.
-const AGAIN_SUSPECT: Millis = Millis(1_000);
+const SUSPECT_RETRY_DELAY: Millis = Millis(1_000);
 
-impl Scorers {
+impl ScorerClient {
     /// Calls the scorer until it gives its score.
-    pub(super) async fn score(&self, scorer: &Scorer, until: Millis) -> Score {
+    pub(super) async fn score(&self, scorer: &Scorer, deadline: Millis) -> ScoreEnd {
         let fingerprint = fingerprint(scorer);
         let mut failures = 0;
         loop {
             let now = self.site.now();
-            if now >= until {
-                return Score::TimedOut;
+            if now >= deadline {
+                return ScoreEnd::TimedOut;
             }
             let config = self.site.config();
             let route = config.and_then(|config| config.route(&scorer.host, &scorer.path).cloned());
@@ -58,10 +58,10 @@
                     host = scorer.host,
                     "no route to the scorer"
                 );
-                tokio::time::sleep(AGAIN.as_duration()).await;
+                tokio::time::sleep(RETRY_DELAY.as_duration()).await;
                 continue;
             };
-            let most_failures = route.attempts;
+            let max_failures = route.attempts;
             let call = Call {
                 body: scorer.body.clone(),
                 fingerprint,
@@ -69,7 +69,7 @@
                 id: scorer.id.clone(),
                 method: Method::POST,
                 path: scorer.path.clone(),
-                until: until.min(now + route.timeout),
+                until: deadline.min(now + route.timeout),
                 route,
                 workspace: None,
             };
@@ -77,7 +77,7 @@
                 CallEnd::Answered { answer, .. } if answer.status.is_success() => {
                     let signature = platform::signature(&answer.headers);
                     if let Some(score) = signature.and_then(|value| value.to_str().ok()) {
-                        return Score::Given(score.to_owned());
+                        return ScoreEnd::Given(score.to_owned());
                     }
                 }
                 CallEnd::Answered {
@@ -89,17 +89,17 @@
                     tracing::info!(call = scorer.id, status, failures, "the scorer failed");
                 }
                 CallEnd::NotRun { wait, .. } => {
-                    tokio::time::sleep(wait.min(AGAIN_SUSPECT).as_duration()).await;
+                    tokio::time::sleep(wait.min(SUSPECT_RETRY_DELAY).as_duration()).await;
                 }
                 CallEnd::Lost { failures: more, .. } => failures += more,
                 CallEnd::TimedOut => {}
             }
-            if failures >= most_failures {
-                return Score::GivenUp;
+            if failures >= max_failures {
+                return ScoreEnd::GivenUp;
             }
             let wait = match self.caller.crashes.judge(fingerprint) {
-                Verdict::Clear | Verdict::Watched => AGAIN,
-                Verdict::Suspect | Verdict::Trial | Verdict::Barred => AGAIN_SUSPECT,
+                Verdict::Clear | Verdict::Watched => RETRY_DELAY,
+                Verdict::Suspect | Verdict::Trial | Verdict::Barred => SUSPECT_RETRY_DELAY,
             };
             tokio::time::sleep(wait.as_duration()).await;
         }
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -2,7 +2,7 @@
 
 use super::run_item::{
     Engine,
-    Run,
+    RunEnd,
     Task, //
 };
 use crate::{
@@ -24,10 +24,10 @@
 };
 
 /// A run's place on its engine, free again when this is dropped.
-pub(super) enum Place<'a> {
+pub(super) enum RunGuard<'a> {
     /// A suspect's: nothing else begins there, where it could be had in time.
-    Alone {
-        _alone: Option<RwLockWriteGuard<'a, ()>>,
+    Exclusive {
+        _lock: Option<RwLockWriteGuard<'a, ()>>,
         _turn: Option<SemaphorePermit<'a>>,
     },
     Shared {
@@ -37,32 +37,32 @@
 
 /// How long a suspect has its engine to itself: a request that ends its engine does so
 /// within some tenths of a second of its begin.
-const ALONE_MOST: Millis = Millis(600);
+const MAX_ISOLATION: Millis = Millis(600);
 
 /// How long it waits for the runs before it to end. Texts take seconds: whoever waited
 /// for them, or for suspects with such texts, would lie for longer than a step bears.
-const DRAIN_MOST: Millis = Millis(300);
+const DRAIN_TIMEOUT: Millis = Millis(300);
 
 /// How long it waits for other suspects, of which a bundle has a few.
-const TURN_MOST: Millis = Millis(1_600);
+const SUSPECT_TURN_TIMEOUT: Millis = Millis(1_600);
 
-impl Place<'_> {
+impl RunGuard<'_> {
     /// Whether an item of which `verdict` is known may begin here.
-    fn suits(&self, verdict: Verdict) -> bool {
+    fn permits(&self, verdict: Verdict) -> bool {
         match verdict {
             Verdict::Clear | Verdict::Watched => matches!(self, Self::Shared { .. }),
-            Verdict::Suspect | Verdict::Trial => matches!(self, Self::Alone { .. }),
+            Verdict::Suspect | Verdict::Trial => matches!(self, Self::Exclusive { .. }),
             Verdict::Barred => false,
         }
     }
 
     /// Waits for `run`, which holds this place: a suspect's for a while only.
-    pub(super) async fn hold<T>(self, run: impl Future<Output = T>) -> (T, Option<Self>) {
+    pub(super) async fn hold_during<T>(self, run: impl Future<Output = T>) -> (T, Option<Self>) {
         let mut run = std::pin::pin!(run);
         if matches!(self, Self::Shared { .. }) {
             return (run.await, Some(self));
         }
-        match tokio::time::timeout(ALONE_MOST.as_duration(), &mut run).await {
+        match tokio::time::timeout(MAX_ISOLATION.as_duration(), &mut run).await {
             Ok(end) => (end, Some(self)),
             Err(_) => {
                 drop(self);
@@ -74,34 +74,34 @@
 
 /// How long a runner has for an attempt: longer than an item takes to end its engine,
 /// and shorter than it may lie when its runner was killed.
-const ATTEMPT_KEPT: Millis = Millis(3_000);
+const ATTEMPT_TTL: Millis = Millis(3_000);
 
 /// What lets an item begin.
-pub(super) struct Admitted<'a> {
+pub(super) struct Admission<'a> {
     /// `None` for an item under which no engine has ended, or while the store is away.
     pub(super) attempt: Option<Attempt>,
-    pub(super) place: Place<'a>,
+    pub(super) guard: RunGuard<'a>,
 }
 
 /// Whose turn it is to run an item.
-enum Turn {
+enum AttemptClaim {
     /// More engines have ended under it meanwhile.
-    Again,
-    Mine(Option<Attempt>),
-    Others,
+    Retry,
+    Granted(Option<Attempt>),
+    Denied,
 }
 
 /// Counts an item as waiting in quarantine until it is dropped.
-struct Waiting<'a>(&'a AtomicUsize);
+struct QuarantineGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waiting<'a> {
+impl<'a> QuarantineGuard<'a> {
     fn begin(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QuarantineGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -112,40 +112,40 @@
 pub(super) struct BrokenRun {
     at: Millis,
     attempt: Option<Attempt>,
-    life: Life,
+    incarnation: Life,
     request: Fingerprint,
 }
 
 /// A report may have been made so long before it came.
-const REPORT_LATE: Millis = Millis(100);
+const REPORT_DELAY: Millis = Millis(100);
 
 /// The most of them that are kept: some times what an engine runs at once.
-const BROKEN_MOST: usize = 64;
+const MAX_BROKEN_RUNS: usize = 64;
 
 /// Whether `next` began after `life`. Where engines don't tell when they started, ids
 /// tell lives apart.
-fn is_later(next: &Life, life: &Life) -> bool {
-    let untold = next.born == Millis(0) && next.id != life.id;
-    next.born > life.born || untold
+fn is_later(next: &Life, incarnation: &Life) -> bool {
+    let untold = next.born == Millis(0) && next.id != incarnation.id;
+    next.born > incarnation.born || untold
 }
 
 /// What becomes of an item after a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Settled {
+pub(super) enum AfterRun {
     /// It is given back, to be claimed anew.
-    GivenBack,
+    GiveBack,
     /// Its run goes on as that run's end says.
-    Kept,
+    Continue,
 }
 
 /// When an engine that gives no report counts as lost, and a little more.
-const NOTICED_WITHIN: Millis = Millis(1_200);
+const NOTICE_TIMEOUT: Millis = Millis(1_200);
 
 /// How often an item in quarantine looks whether it may be tried.
-const LOOK_AGAIN: Millis = Millis(500);
+const QUARANTINE_CHECK_INTERVAL: Millis = Millis(500);
 
 /// How long the look whether the engine beside this runner listens may take.
-const LOOK_WITHIN: Millis = Millis(100);
+const PROBE_TIMEOUT: Millis = Millis(100);
 
 impl Engine {
     /// Waits until `task` may run; `None` when its time is over before.
@@ -154,8 +154,8 @@
     /// bundle may have two runners, and it would end both their engines. A suspect also
     /// begins with the engine to itself, so that the engine's next end tells of it
     /// alone: beside it, items that did nothing wrong had their third end.
-    pub(super) async fn admit(&self, task: &Task) -> Option<Admitted<'_>> {
-        let end = self.end_of(task);
+    pub(super) async fn admit(&self, task: &Task) -> Option<Admission<'_>> {
+        let deadline = self.deadline_of(task);
         let request = task.fingerprint;
         let mut waiting = None;
         self.crashes.wait_listed().await;
@@ -163,10 +163,10 @@
             self.crashes.refresh(request).await;
         }
         loop {
-            let place = match self.crashes.judge(request) {
+            let guard = match self.crashes.judge(request) {
                 Verdict::Clear | Verdict::Watched => {
-                    let shared = tokio::time::timeout_at(end, self.places.read()).await;
-                    Some(Place::Shared {
+                    let shared = tokio::time::timeout_at(deadline, self.run_lock.read()).await;
+                    Some(RunGuard::Shared {
                         _guard: shared.ok()?,
                     })
                 }
@@ -175,11 +175,14 @@
             };
             // Whoever ran before may have shown what this one is.
             let verdict = self.crashes.judge(request);
-            match place {
-                Some(place) if place.suits(verdict) => match self.claim(request, verdict).await {
-                    Turn::Mine(attempt) => return Some(Admitted { attempt, place }),
-                    Turn::Again => continue,
-                    Turn::Others => {}
+            match guard {
+                Some(guard) if guard.permits(verdict) => match self
+                    .claim_attempt(request, verdict)
+                    .await
+                {
+                    AttemptClaim::Granted(attempt) => return Some(Admission { attempt, guard }),
+                    AttemptClaim::Retry => continue,
+                    AttemptClaim::Denied => {}
                 },
                 Some(_) if verdict != Verdict::Barred => continue,
                 Some(_) | None => {}
@@ -187,90 +190,95 @@
             if waiting.is_none() {
                 let item = &task.item.id;
                 tracing::warn!(item, %request, ?verdict, "the item waits: engines have ended under it");
-                waiting = Some(Waiting::begin(&self.waiting));
+                waiting = Some(QuarantineGuard::begin(&self.quarantined));
             }
             // It keeps its bundle, which would be offered and taken again and again.
-            let again = tokio::time::sleep(LOOK_AGAIN.as_duration());
-            tokio::time::timeout_at(end, again).await.ok()?;
+            let again = tokio::time::sleep(QUARANTINE_CHECK_INTERVAL.as_duration());
+            tokio::time::timeout_at(deadline, again).await.ok()?;
         }
     }
 
     /// Takes the attempt of a request of which `verdict` was known, unless it is clear.
-    async fn claim(&self, request: Fingerprint, verdict: Verdict) -> Turn {
+    async fn claim_attempt(&self, request: Fingerprint, verdict: Verdict) -> AttemptClaim {
         let claimed = match verdict {
-            Verdict::Clear => return Turn::Mine(None),
+            Verdict::Clear => return AttemptClaim::Granted(None),
             Verdict::Watched | Verdict::Suspect => {
-                self.crashes.claim_attempt(request, ATTEMPT_KEPT).await
+                self.crashes.claim_attempt(request, ATTEMPT_TTL).await
             }
             Verdict::Trial => match self.crashes.claim_trial(request).await {
                 Some(attempt) => Claimed::Here(attempt),
                 None => Claimed::Elsewhere,
             },
-            Verdict::Barred => return Turn::Others,
+            Verdict::Barred => return AttemptClaim::Denied,
         };
         match claimed {
             // The claim has read what others saw meanwhile.
             Claimed::Here(attempt) if self.crashes.judge(request) == verdict => {
-                Turn::Mine(Some(attempt))
+                AttemptClaim::Granted(Some(attempt))
             }
             Claimed::Here(attempt) => {
                 self.crashes.release_attempt(attempt);
-                Turn::Again
+                AttemptClaim::Retry
             }
             // Without the store each runner goes by what it knows.
-            Claimed::Unknown => Turn::Mine(None),
-            Claimed::Elsewhere => Turn::Others,
+            Claimed::Unknown => AttemptClaim::Granted(None),
+            Claimed::Elsewhere => AttemptClaim::Denied,
         }
     }
 
     /// A suspect's place: other suspects go before it, and the runs before it end, as
     /// far as that takes no longer than an item may lie.
-    async fn isolate(&self) -> Place<'_> {
-        let turn = tokio::time::timeout(TURN_MOST.as_duration(), self.apart.acquire());
+    async fn isolate(&self) -> RunGuard<'_> {
+        let turn = tokio::time::timeout(
+            SUSPECT_TURN_TIMEOUT.as_duration(),
+            self.suspect_turn.acquire(),
+        );
         let turn = turn.await.ok().and_then(Result::ok);
-        let alone = tokio::time::timeout(DRAIN_MOST.as_duration(), self.places.write());
-        Place::Alone {
-            _alone: alone.await.ok(),
+        let alone = tokio::time::timeout(DRAIN_TIMEOUT.as_duration(), self.run_lock.write());
+        RunGuard::Exclusive {
+            _lock: alone.await.ok(),
             _turn: turn,
         }
     }
 
     /// Whether a suspect has the engine to itself, or waits for that.
     pub(super) fn is_isolating(&self) -> bool {
-        self.places.try_read().is_err()
+        self.run_lock.try_read().is_err()
     }
 
-    fn end_of(&self, task: &Task) -> tokio::time::Instant {
-        let left = task.until.since(self.clock.now());
+    fn deadline_of(&self, task: &Task) -> tokio::time::Instant {
+        let left = task.deadline.since(self.clock.now());
         tokio::time::Instant::now() + left.as_duration()
     }
 
     /// Counts the end of the life `server` against `task` if it was not planned;
     /// true if so.
-    async fn look_after(&self, server: &Life, task: &Task, run: &Run) -> bool {
-        let has_ended = match run {
-            Run::Outlived => self.is_outlived(server),
-            Run::Broken(CallError::Broken { .. }) => self.has_ended(server).await,
+    async fn record_crash(&self, incarnation: &Life, task: &Task, run: &RunEnd) -> bool {
+        let has_crashed = match run {
+            RunEnd::Replaced => self.is_replaced(incarnation),
+            RunEnd::Broken(CallError::Broken { .. }) => self.has_crashed(incarnation).await,
             _ => false,
         };
-        if has_ended {
-            self.lost.send_replace(Some(server.clone()));
-            self.crashes.note(server, &[task.fingerprint]);
+        if has_crashed {
+            self.last_crashed.send_replace(Some(incarnation.clone()));
+            self.crashes.note(incarnation, &[task.fingerprint]);
         }
-        has_ended
+        has_crashed
     }
 
     /// Whether the life `server`, whose connection broke, has ended and was not to.
-    async fn has_ended(&self, server: &Life) -> bool {
+    async fn has_crashed(&self, incarnation: &Life) -> bool {
         // Several runs lose their engine at once: what one of them found, and the work
         // loop by it, holds for all.
-        let found = self.lost.borrow().as_ref() == Some(server);
-        let present = self.server.borrow().clone();
+        let found = self.last_crashed.borrow().as_ref() == Some(incarnation);
+        let present = self.incarnation.borrow().clone();
         match present {
-            Some(present) if present == *server => found || self.peer.is_gone(LOOK_WITHIN).await,
-            Some(_) => self.is_outlived(server),
-            None if self.is_leaving(server) != Some(false) => false,
-            None => found || self.peer.is_gone(LOOK_WITHIN).await,
+            Some(present) if present == *incarnation => {
+                found || self.peer.is_gone(PROBE_TIMEOUT).await
+            }
+            Some(_) => self.is_replaced(incarnation),
+            None if self.is_draining(incarnation) != Some(false) => false,
+            None => found || self.peer.is_gone(PROBE_TIMEOUT).await,
         }
     }
 
@@ -279,95 +287,97 @@
     ///
     /// An engine that is back at once looks as if it had not ended. Another attempt of
     /// the item before that is known would end another engine.
-    pub(super) fn settle_broken(&self, present: &Life, seen: Millis) {
-        self.broken().retain(|run| {
-            let lives = run.life == *present && seen > run.at + REPORT_LATE;
-            let ended = is_later(present, &run.life);
-            if ended && self.is_leaving(&run.life) != Some(true) {
-                self.crashes.note(&run.life, &[run.request]);
+    pub(super) fn resolve_broken_runs(&self, present: &Life, seen: Millis) {
+        self.broken_runs().retain(|run| {
+            let lives = run.incarnation == *present && seen > run.at + REPORT_DELAY;
+            let ended = is_later(present, &run.incarnation);
+            if ended && self.is_draining(&run.incarnation) != Some(true) {
+                self.crashes.note(&run.incarnation, &[run.request]);
             }
             if lives || ended {
-                self.let_go(run.attempt);
+                self.release_attempt(run.attempt);
             }
             !lives && !ended
         });
     }
 
     /// Keeps a run that broke off until it is known whether its engine has ended.
-    fn note_broken(&self, run: BrokenRun) {
-        let mut broken = self.broken();
-        if broken.len() < BROKEN_MOST {
+    fn add_broken_run(&self, run: BrokenRun) {
+        let mut broken = self.broken_runs();
+        if broken.len() < MAX_BROKEN_RUNS {
             broken.push(run);
         }
     }
 
-    fn broken(&self) -> MutexGuard<'_, Vec<BrokenRun>> {
-        self.broken.lock().unwrap_or_else(PoisonError::into_inner)
+    fn broken_runs(&self) -> MutexGuard<'_, Vec<BrokenRun>> {
+        self.broken_runs
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether a later life has taken the place of `server`, which was not to end.
-    fn is_outlived(&self, server: &Life) -> bool {
-        let next = self.server.borrow().clone();
-        let is_later = next.is_some_and(|next| is_later(&next, server));
-        is_later && self.is_leaving(server) != Some(true)
+    fn is_replaced(&self, incarnation: &Life) -> bool {
+        let next = self.incarnation.borrow().clone();
+        let is_later = next.is_some_and(|next| is_later(&next, incarnation));
+        is_later && self.is_draining(incarnation) != Some(true)
     }
 
     /// Whether a server called as `server` leaves; `None` where none is announced.
-    fn is_leaving(&self, server: &Life) -> Option<bool> {
-        let directory = self.scorers.site.directory();
-        directory.get(&server.id).map(|known| known.draining)
+    fn is_draining(&self, incarnation: &Life) -> Option<bool> {
+        let directory = self.scorer_client.site.directory();
+        directory.get(&incarnation.id).map(|known| known.draining)
     }
 
     /// Waits until the end of the life `server` is known to the work loop.
-    pub(super) async fn noticed(&self, server: &Life) {
-        let mut known = self.server.clone();
-        let other = known.wait_for(|known| known.as_ref() != Some(server));
+    pub(super) async fn wait_until_noticed(&self, incarnation: &Life) {
+        let mut known = self.incarnation.clone();
+        let other = known.wait_for(|known| known.as_ref() != Some(incarnation));
         // The work loop looks at the engine's reports; past this they are stale.
-        let _ = tokio::time::timeout(NOTICED_WITHIN.as_duration(), other).await;
+        let _ = tokio::time::timeout(NOTICE_TIMEOUT.as_duration(), other).await;
     }
 
     /// Gives back the attempt of an item that is over or did not begin: whoever runs it
     /// next would wait for it until it is free by itself, and the item would lie.
-    pub(super) fn let_go(&self, attempt: Option<Attempt>) {
+    pub(super) fn release_attempt(&self, attempt: Option<Attempt>) {
         if let Some(attempt) = attempt {
             self.crashes.release_attempt(attempt);
         }
     }
 
     /// Takes what a run tells of its item; `admitted` may have given its place back.
-    pub(super) async fn settle(
+    pub(super) async fn after_run(
         &self,
-        server: &Life,
+        incarnation: &Life,
         task: &Task,
-        run: &Run,
-        admitted: (Option<Attempt>, Option<Place<'_>>),
-    ) -> Settled {
+        run: &RunEnd,
+        admitted: (Option<Attempt>, Option<RunGuard<'_>>),
+    ) -> AfterRun {
         let request = task.fingerprint;
-        let (attempt, place) = admitted;
-        let ended = self.look_after(server, task, run).await;
-        drop(place);
+        let (attempt, guard) = admitted;
+        let ended = self.record_crash(incarnation, task, run).await;
+        drop(guard);
         match run {
-            Run::Broken(CallError::Broken { .. }) if !ended => self.note_broken(BrokenRun {
+            RunEnd::Broken(CallError::Broken { .. }) if !ended => self.add_broken_run(BrokenRun {
                 at: self.clock.now(),
                 attempt,
-                life: server.clone(),
+                incarnation: incarnation.clone(),
                 request,
             }),
-            _ => self.let_go(attempt),
+            _ => self.release_attempt(attempt),
         }
-        if matches!(run, Run::Whole | Run::Failed | Run::Impossible) {
+        if matches!(run, RunEnd::Whole | RunEnd::Failed | RunEnd::Unprocessable) {
             self.crashes.survived(request);
         }
         let verdict = self.crashes.judge(request);
         if !ended || matches!(verdict, Verdict::Clear | Verdict::Watched) {
-            return Settled::Kept;
+            return AfterRun::Continue;
         }
         // Others take its bundle over by now. It is claimed anew, so that it does
         // not run here and there at once, and ends two engines.
         let item = &task.item.id;
         tracing::info!(item, %request, "a suspect is given back after its run broke off");
         // Before that the bundle would be claimed here again at once.
-        self.noticed(server).await;
-        Settled::GivenBack
+        self.wait_until_noticed(incarnation).await;
+        AfterRun::GiveBack
     }
 }
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -4,7 +4,7 @@
 use super::{
     open_batch::OpenBatch,
     run_item::terminated,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::{Millis, stable_hash},
@@ -15,25 +15,25 @@
 };
 
 /// How often batches are looked at.
-const EVERY: Millis = Millis(1_000);
+const SWEEP_INTERVAL: Millis = Millis(1_000);
 
 /// The most rows that one transaction removes; the store takes 100.
-const ROWS_MOST: usize = 90;
+const MAX_REMOVED_ROWS: usize = 90;
 
 /// How long an item may be run when its route names no time.
-const TTL_DEFAULT: Millis = Millis(600_000);
+const DEFAULT_ITEM_TTL: Millis = Millis(600_000);
 
-impl Work {
+impl WorkLoop {
     /// Looks for batches whose time is over.
     pub(super) fn plan_sweep(&mut self, now: Millis) {
-        if now.since(self.swept) < EVERY {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         let Some(config) = self.site.config() else {
             return;
         };
-        let runners = self.heartbeats.working(&self.service, now);
+        let runners = self.heartbeats.working_runners(&self.service, now);
         let store_now = self.store.now();
         let mut old = Vec::new();
         for (id, batch) in &mut self.batches {
@@ -47,10 +47,10 @@
                 age: store_now.since(batch.head.accepted),
                 over: batch.is_over(),
                 retention: self.retention,
-                ttl: route.map_or(TTL_DEFAULT, |route| route.item_ttl),
+                ttl: route.map_or(DEFAULT_ITEM_TTL, |route| route.item_ttl),
             };
             match judge(age) {
-                Verdict::GiveUp if batch.results.is_empty() => batch.give_up(id),
+                Verdict::GiveUp if batch.results.is_empty() => batch.give_up_items(id),
                 Verdict::GiveUp | Verdict::Keep => {}
                 Verdict::Remove => old.push(id.clone()),
             }
@@ -59,7 +59,7 @@
             tracing::info!(batch = id, "batch removed: its retention is over");
             let store = self.store.clone();
             tokio::spawn(async move {
-                if let Err(error) = remove(&store, &id).await {
+                if let Err(error) = remove_batch(&store, &id).await {
                     tracing::warn!(batch = id, %error, "batch not removed yet");
                 }
             });
@@ -69,7 +69,7 @@
 
 impl OpenBatch {
     /// Takes every item that is not listed for given up.
-    fn give_up(&mut self, id: &str) {
+    fn give_up_items(&mut self, id: &str) {
         let items = self.head.items.iter().enumerate();
         let open = items.filter(|(index, _)| !self.log.has(*index as u16));
         self.results = open
@@ -81,11 +81,11 @@
 }
 
 /// Removes all rows of a batch; those that make it known go last.
-async fn remove(store: &Store, id: &str) -> Result<(), StoreError> {
+async fn remove_batch(store: &Store, id: &str) -> Result<(), StoreError> {
     let part = part_of(id);
     for table in [PARTIALS, RESULTS, BODIES, WORK] {
         let rows = store.whole_part(table, &part).await?.rows;
-        for few in rows.chunks(ROWS_MOST) {
+        for few in rows.chunks(MAX_REMOVED_ROWS) {
             let keys = few
                 .iter()
                 .map(|row| Key::new(table, &part, row.key.as_str()));
--- a/src/runner/text.rs
+++ b/src/runner/text.rs
@@ -15,59 +15,59 @@
 /// on instead of beginning anew. Most items end before the first time; the
 /// longest run for five seconds, and steps waited for them twice over when
 /// their engine crashed or left.
-const KEEP_EVERY: Millis = Millis(700);
+const SAVE_INTERVAL: Millis = Millis(700);
 
 /// The least new events for which a text is kept again.
-const KEEP_EVENTS: usize = 6;
+const MIN_NEW_EVENTS: usize = 6;
 
 /// The most bytes of a kept text: one row of the store.
-const KEEP_BYTES: usize = 44 * 1024;
+const MAX_SAVED_BYTES: usize = 44 * 1024;
 
 /// What has been generated so far.
 #[derive(Default)]
 pub(super) struct Text {
     pub(super) events: Vec<String>,
     /// When the last run's first and newest events came.
-    pub(super) first: Option<Millis>,
-    pub(super) newest: Millis,
-    pub(super) last: Option<u64>,
+    pub(super) first_at: Option<Millis>,
+    pub(super) newest_at: Millis,
+    pub(super) last_id: Option<u64>,
     /// When it was last kept, and how many events it had.
-    kept: Millis,
-    kept_events: usize,
+    saved_at: Millis,
+    saved_events: usize,
     pub(super) versions: BTreeSet<u64>,
 }
 
 impl Text {
     /// The text that an earlier run has left.
-    pub(super) fn resume(begun: Option<Partial>, now: Millis) -> Self {
-        let begun = begun.unwrap_or_default();
+    pub(super) fn resume(partial: Option<Partial>, now: Millis) -> Self {
+        let partial = partial.unwrap_or_default();
         Self {
-            kept: now,
-            kept_events: begun.events.len(),
-            last: (!begun.events.is_empty()).then_some(begun.last),
-            versions: begun.versions.into_iter().collect(),
-            events: begun.events,
+            saved_at: now,
+            saved_events: partial.events.len(),
+            last_id: (!partial.events.is_empty()).then_some(partial.last),
+            versions: partial.versions.into_iter().collect(),
+            events: partial.events,
             ..Self::default()
         }
     }
 
     /// Keeps what there is in the store if that is due. Nobody waits for it,
     /// and losing it costs time only.
-    pub(super) fn keep(&mut self, engine: &Engine, task: &Task) {
-        let due = self.newest.since(self.kept) >= KEEP_EVERY;
-        let grown = self.events.len() >= self.kept_events + KEEP_EVENTS;
-        let Some(last) = self.last.filter(|_| due && grown) else {
+    pub(super) fn save_if_due(&mut self, engine: &Engine, task: &Task) {
+        let due = self.newest_at.since(self.saved_at) >= SAVE_INTERVAL;
+        let grown = self.events.len() >= self.saved_events + MIN_NEW_EVENTS;
+        let Some(last) = self.last_id.filter(|_| due && grown) else {
             return;
         };
-        self.kept = self.newest;
-        self.kept_events = self.events.len();
+        self.saved_at = self.newest_at;
+        self.saved_events = self.events.len();
         let partial = Partial {
             events: self.events.clone(),
             last,
             versions: self.versions.iter().copied().collect(),
         };
         let value = encode(&partial);
-        if value.len() > KEEP_BYTES {
+        if value.len() > MAX_SAVED_BYTES {
             return;
         }
         let key = Key::new(PARTIALS, part_of(&task.batch), partial_key(task.index));
