--- a/src/runner/event.rs
+++ b/src/runner/event.rs
@@ -1,4 +1,4 @@
-//! What the work loop is told.
+//! The events that the work loop receives.
 
 use super::run_item::ItemEnd;
 use crate::{
@@ -9,54 +9,60 @@
 };
 use std::collections::HashMap;
 
-/// Names a bundle of a batch.
+/// Identifies a bundle by its batch and its index there.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct BundleId {
     pub(super) batch: String,
     pub(super) bundle: u16,
 }
 
-/// Something happened that the work loop has to know.
+/// A message from a background task to the work loop.
 pub(super) enum Event {
+    /// An append of results to a batch's log has ended.
     ResultsAppended {
         batch: String,
-        /// The results that the append lists: the last ones of `log`.
+        /// How many of the last entries of `log` this append added.
         count: usize,
+        /// The log as this append wrote it.
         log: Log,
         outcome: Result<Outcome, StoreError>,
     },
+    /// The write of this runner's heartbeat has ended.
     HeartbeatWritten(Result<Outcome, StoreError>),
+    /// The write of a claim has ended.
     ClaimWritten {
         claim: Claim,
         bundle: BundleId,
         outcome: Result<Outcome, StoreError>,
     },
-    /// The chunk of items with this number was read.
+    /// The read of a chunk of items has ended.
     ItemsRead {
         batch: String,
         chunk: u16,
         items: Result<Vec<Item>, StoreError>,
     },
+    /// The run of an item has ended.
     ItemEnded {
         batch: String,
         index: u16,
         end: ItemEnd,
     },
-    /// What earlier runs have left of a batch's items, by index.
+    /// The partial texts of a bundle's items were read; by item index.
     PartialsRead {
         bundle: BundleId,
         partials: HashMap<u16, Partial>,
     },
-    /// What the engine made of an order; `None` when it did not answer.
+    /// The engine's answer to an order; `None` when there was none.
     OrderAnswered {
         answer: Option<OrderAnswer>,
         model: String,
         version: u64,
     },
-    /// The engine's report; `None` when it did not answer.
+    /// The engine's report; `None` when there was none.
     Report(Option<EngineReport>),
+    /// A change of the work table, or of the connection to the store.
     Feed(Followed),
 }
 
-/// The events that may wait; who reports more of them waits.
+/// The capacity of the work loop's channels; senders wait while one is full.
 pub(super) const EVENT_CAPACITY: usize = 512;
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -1,4 +1,4 @@
-//! A running runner.
+//! Starts the runner and the tasks that it consists of.
 
 use super::{
     run_item::Engine,
@@ -27,11 +27,16 @@
 /// A running `redwing-runner`; dropping it ends it.
 pub struct Runner {
     pub handle: Handle,
+    /// The address of its metrics and health endpoints.
     pub metrics: SocketAddr,
 }
 
 impl Runner {
     /// Starts a runner.
+    ///
+    /// # Errors
+    ///
+    /// A [`DutyError`] if an address can't be bound or a thread can't be started.
     pub fn open(settings: RunnerSettings) -> Result<Self, DutyError> {
         let common = settings.common;
         let mut handle = Handle::open(common.stop_bound())?;
@@ -43,7 +48,7 @@
             version = env!("CARGO_PKG_VERSION"),
             engine = %settings.engine,
             store = %common.store,
-            "runner up"
+            "runner started"
         );
 
         let clock = Clock::open();
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -1,4 +1,4 @@
-//! The work loop: owns what this runner knows and does.
+//! The work loop: the runner's state, changed only by one task in response to events.
 
 use super::{
     event::{EVENT_CAPACITY, Event},
@@ -28,59 +28,67 @@
     watch, //
 };
 
-/// What this runner knows and does.
+/// The runner's state and its event loop.
 pub(super) struct WorkLoop {
-    /// Since when the store does not answer this runner; `None` while it does.
+    /// When the store became unreachable for this runner; `None` while it answers.
     pub(super) outage_start: Option<Millis>,
+    /// The batches in the store, by id.
     pub(super) batches: BTreeMap<String, OpenBatch>,
     pub(super) heartbeats: Heartbeats,
-    /// No bundle is claimed before, as the store did not take the last claim.
+    /// No bundle is claimed and no items are read again before this time, because the last
+    /// such request to the store failed.
     pub(super) retry_at: Millis,
     pub(super) clock: Clock,
     pub(super) engine: Engine,
     pub(super) engine_address: SocketAddr,
+    /// Sends events to this loop.
     pub(super) events: mpsc::Sender<Event>,
     pub(super) instance: String,
-    /// The model that this runner serves first.
+    /// This runner's home model; `None` until it has one.
     pub(super) home: Option<String>,
-    /// The model is changed from then on, if it should be.
+    /// An existing home model does not change before this time.
     pub(super) move_at: Millis,
-    /// How fast the engine is among others.
+    /// Whether the engine is slower than the other engines of the service.
     pub(super) kind: Kind,
+    /// Whether this runner is shutting down and claims nothing new.
     pub(super) leaving: bool,
-    /// The engine's newest life that took work; `None` before the first.
+    /// The last incarnation of the engine that accepted work; `None` before the first.
     pub(super) last_incarnation: Option<Life>,
-    /// The model whose weights the engine was ordered to take last.
+    /// The model of the last order to load weights.
     pub(super) ordered_model: Option<String>,
+    /// The last order, while the reports may not show its effect yet.
     pub(super) pending_order: Option<super::orders::PendingOrder>,
-    /// Rows of batches whose head was not seen yet.
+    /// Rows of batches whose head was not seen yet, by batch id.
     pub(super) orphans: BTreeMap<String, Vec<Row>>,
-    /// Models whose trainers were seen to keep two steps under way.
+    /// Models whose trainers were seen to keep two steps in progress.
     pub(super) overlapping: HashSet<String>,
-    /// What the engine takes for an event, in ms; 0 before enough is known.
+    /// The engine's pace, in ms per event; 0 before enough is known.
     pub(super) pace: f64,
+    /// The engine's last report and when it arrived.
     pub(super) report: Option<(EngineReport, Millis)>,
+    /// How long a finished batch must stay readable.
     pub(super) retention: Millis,
-    /// The engine's present life while it takes work.
+    /// The engine's current incarnation; `None` while it accepts no work.
     pub(super) incarnation: watch::Sender<Option<Life>>,
     pub(super) service: String,
     pub(super) site: Arc<Site>,
+    /// The items that the engine can run at once.
     pub(super) slots: u32,
     pub(super) store: Store,
     pub(super) last_sweep: Millis,
-    /// Names this life of the runner; the number under which it gives orders.
+    /// Identifies this incarnation of the runner; also the fencing token of its orders.
     pub(super) token: u64,
     pub(super) heartbeat: HeartbeatState,
 }
 
-/// How often the loop looks around when nothing happens.
+/// How often the loop plans when no event arrives.
 const TICK_INTERVAL: Millis = Millis(50);
 
-/// The wait after a batch of changes in which more gather: a step's claims and
-/// results come in hundreds, and each call for changes costs every runner.
+/// The wait after a batch of changes from the store, in which more accumulate: a step's
+/// claims and results come in hundreds, and every runner pays for each call.
 const CHANGES_DELAY: Millis = Millis(40);
 
-/// What a work loop begins with.
+/// The dependencies and settings of a new work loop.
 pub(super) struct Setup {
     pub(super) clock: Clock,
     pub(super) engine: Engine,
@@ -95,7 +103,7 @@
 }
 
 impl WorkLoop {
-    /// Takes a number for this life, then works until the program has stopped.
+    /// Gets a token for this incarnation, then runs the loop until the program stops.
     pub(super) async fn run(setup: Setup, context: Context) {
         let (events, mut receiver) = mpsc::channel(EVENT_CAPACITY);
         let first = first_heartbeat(&setup.store, &setup.instance, &setup.service);
@@ -110,7 +118,7 @@
             instance = setup.instance,
             token,
             ?home,
-            "runner has its number"
+            "runner got its token"
         );
         let polling = super::engine_watch::poll_reports(setup.engine.peer.clone(), events.clone());
         tokio::spawn(polling);
@@ -168,6 +176,7 @@
         }
     }
 
+    /// Applies an event to the state.
     fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
@@ -206,9 +215,9 @@
                 }
             }
             Event::Feed(Followed::Changes { changes, .. }) => {
-                // Who hears of changes reaches the store, though its follower
-                // tells so only after them: batches that came with the store's
-                // return were run unclaimed, and half of their items twice.
+                // Changes show that the store is reachable, although the follower
+                // reports that only after them. Otherwise batches that arrived with the
+                // store's return were run without claims, and half of their items twice.
                 self.outage_start = None;
                 for change in changes {
                     self.apply_change(change, now);
@@ -219,11 +228,11 @@
         }
     }
 
-    /// Does what is due.
+    /// Starts all actions that are due.
     fn plan(&mut self) {
         let now = self.clock.now();
         if self.outage_start.is_some() {
-            // No heartbeat can arrive, so none is late.
+            // Heartbeats can't arrive, so a missing one does not mean a dead runner.
             self.heartbeats.reset_ages(now);
         }
         self.update_engine(now);
@@ -237,12 +246,14 @@
         self.plan_heartbeat(now);
     }
 
+    /// Whether no run is in progress and no result waits to be listed.
     fn is_idle(&self) -> bool {
         let busy = |batch: &OpenBatch| !batch.running.is_empty() || !batch.results.is_empty();
         !self.batches.values().any(busy)
     }
 }
 
+/// Follows the work table and passes its changes to the work loop.
 async fn follow_work(relay: Arc<Relay>, events: mpsc::Sender<Event>) {
     let (sender, mut feed) = mpsc::channel(EVENT_CAPACITY);
     let following = Following {
