--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -1,4 +1,4 @@
-//! Takes bundles for this runner.
+//! Chooses bundles for this runner and claims them in the store.
 
 use super::{
     event::{BundleId, Event},
@@ -17,18 +17,18 @@
 };
 use std::sync::atomic::Ordering;
 
-/// The wait after a claim that the store did not take. Without it a store that
-/// refuses at once was asked 35,000 times in 16 s of outage by nine runners.
+/// The wait after a claim or read that the store failed. Without it, nine runners sent
+/// 35,000 requests in a 16 s outage to a store that refused each one immediately.
 pub(super) const STORE_RETRY_DELAY: Millis = Millis(200);
 
 impl WorkLoop {
-    /// Takes bundles while the engine has room; `usual` is the usual pace of the
-    /// service's engines, in ms an event.
+    /// Claims bundles while the engine has free slots; `usual` is the usual pace of the
+    /// service's engines, in ms per event.
     pub(super) fn plan_claims(&mut self, standing: &Standing, usual: f64, now: Millis) {
         if !self.is_working() || self.leaving {
             return;
         }
-        // What is taken now would wait until a suspect has run alone.
+        // A bundle claimed now would have to wait until the suspect's exclusive run ends.
         if self.engine.is_isolating() {
             return;
         }
@@ -37,8 +37,9 @@
             self.start_ready(id);
         }
         let held: usize = self.batches.values().map(OpenBatch::load).sum();
-        // Items in quarantine take no place of the engine. Counted in, those of some
-        // batches kept all others from running until they were given up.
+        // Items in quarantine, or otherwise waiting for admission, use no engine slot. When
+        // they were counted as load, those of a few batches kept all other batches from
+        // running until they were given up.
         let load = held.saturating_sub(self.engine.quarantined.load(Ordering::Relaxed));
         let mut room = capacity(self.slots, self.pace, usual).saturating_sub(load as u32);
         if room == 0 {
@@ -77,9 +78,9 @@
         }
     }
 
-    /// Runs a bundle without a claim, as the store can't take one. Its results
-    /// wait here until the store is back: on a day with 12 s of outages this
-    /// is what lets steps that were accepted before finish in time.
+    /// Runs a bundle without a claim while the store is unreachable. The results stay in
+    /// memory until it is back. On a day with 12 s of outages this is what lets steps
+    /// that were accepted before an outage finish in time.
     fn run_unclaimed(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -87,12 +88,14 @@
         tracing::info!(
             batch = id,
             bundle,
-            "runs a bundle unclaimed: the store is away"
+            "running a bundle without a claim: the store is unreachable"
         );
         batch.own_bundles.insert(bundle, BundleState::Fetching);
         self.start(id, bundle);
     }
 
+    /// Writes a claim on the offered bundle, or joins its holder as the second runner,
+    /// and reads the bundle's items meanwhile.
     fn claim(&mut self, id: &str, offer: &Offer) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -109,7 +112,7 @@
                     holder,
                     pace,
                     since,
-                    "joins a late bundle"
+                    "joining the holder of a late bundle"
                 );
                 Claim {
                     second: Some(self.instance.clone()),
@@ -119,7 +122,7 @@
             _ => {
                 let before = held.map(|held| held.claim.holder.as_str());
                 let (bundle, age) = (offer.bundle, offer.age.0);
-                tracing::info!(batch = id, bundle, ?before, age, "takes a bundle");
+                tracing::info!(batch = id, bundle, ?before, age, "claiming a bundle");
                 Claim {
                     holder: self.instance.clone(),
                     second: None,
@@ -153,7 +156,7 @@
         self.fetch(id, offer.bundle);
     }
 
-    /// Takes the outcome of a claim: runs the bundle, or leaves it to its holder.
+    /// Runs the bundle if the claim was written; otherwise leaves it to its holder.
     pub(super) fn on_claim_written(
         &mut self,
         claim: Claim,
@@ -191,7 +194,7 @@
                         batch.claims.remove(&bundle);
                         continue;
                     };
-                    // The answer to an earlier try of the same claim was lost.
+                    // The claim was written by an earlier attempt whose answer was lost.
                     ours |= held.is_same_run(&claim);
                     batch.set_claim(bundle, held, row.revision, now);
                 }
@@ -203,7 +206,7 @@
                 }
             }
             Err(error) => {
-                tracing::info!(batch = id, bundle, %error, "claim not known to be written");
+                tracing::info!(batch = id, bundle, %error, "outcome of a claim unknown");
                 batch.own_bundles.remove(&bundle);
                 self.retry_at = now + STORE_RETRY_DELAY;
             }
--- a/src/runner/give_back.rs
+++ b/src/runner/give_back.rs
@@ -1,4 +1,4 @@
-//! Gives bundles back that this runner has taken and does not run.
+//! Releases claims on bundles that this runner does not run.
 
 use super::{
     heartbeat::CRASH_SHARE_TIMEOUT,
@@ -10,10 +10,11 @@
 };
 
 impl WorkLoop {
-    /// Writes that nobody holds `bundle` any more, unless another runner runs it as well.
+    /// Writes a free claim for `bundle`, unless a second runner runs it as well.
     ///
-    /// An engine may be back before a heartbeat could say that it was gone: others took
-    /// the bundle for held, and its runner had no room left for it.
+    /// An engine may be back before any heartbeat has said that it was gone. Without the
+    /// release, other runners took the bundle for held, while this runner had no free
+    /// slot for it.
     pub(super) fn give_back(&self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get(id) else {
             return;
--- a/src/runner/line.rs
+++ b/src/runner/line.rs
@@ -1,4 +1,4 @@
-//! How the bundles that wait for this runner's model begin.
+//! The order in which the waiting bundles of this runner's home model start.
 
 use super::{
     open_batch::OpenBatch,
@@ -11,8 +11,8 @@
 };
 
 impl WorkLoop {
-    /// Lines up the offers that wait for this runner's model; `places` are those of
-    /// its engines.
+    /// Sets the start order of the offers that wait for this runner's home model;
+    /// `places` is the number of slots of the model's engines.
     pub(super) fn line_up(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
         let supply = Supply {
             places,
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Logs and remembers that the start order of a step's bundles has changed.
     fn note_mode(&mut self, id: &str, step: StepLine, supply: Supply) {
         let StepLine { turn, work, .. } = step;
         let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.mode != turn) else {
@@ -37,14 +38,14 @@
             work,
             places,
             token,
-            "a step's order changes"
+            "start order of a step's bundles changed"
         );
         batch.mode = turn;
     }
 }
 
 impl OpenBatch {
-    /// The expected tokens of some of its items; 1 for each without an estimate.
+    /// The expected output tokens of some of its items; 1 for each without an estimate.
     pub(super) fn expected_tokens(&self, items: &[u16]) -> u64 {
         let expected = |index: &u16| self.head.items[usize::from(*index)].expected;
         let items = items.iter();
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -1,4 +1,4 @@
-//! What this runner could take, by what it knows.
+//! The bundles that this runner could claim, and its rank among the runners.
 
 use super::{
     open_batch::OpenBatch,
@@ -15,26 +15,26 @@
 };
 use std::sync::Arc;
 
-/// Where a runner stands among all runners of its service.
+/// This runner's home model and its rank among the runners of its service.
 pub(super) struct Standing {
-    /// Its place among all runners of the service.
+    /// Its rank among the working runners of the service, itself included.
     pub(super) service_rank: Place,
-    /// The model that it serves first.
+    /// The home model that it should have; `None` while no models are known.
     pub(super) home: Option<String>,
-    /// Its place among those that serve the same model first.
+    /// Its rank among those with the same home model.
     pub(super) model_rank: Place,
-    /// The runners that work.
+    /// The number of runners of the service that claim bundles.
     pub(super) working: usize,
-    /// Its place among those of its model whose engines are as fast as its own.
+    /// Its rank among those of the same home model and engine kind (usual or slower).
     pub(super) class_rank: Place,
-    /// Whether faster engines of its model go before its own.
+    /// Whether its engine leaves new bundles to faster ones of the same home model.
     pub(super) yields: bool,
 }
 
-/// How long a runner should serve another model before it does.
+/// How long another home model must be due before this runner changes to it.
 const HOME_CHANGE_DELAY: Millis = Millis(1_500);
 
-/// The place of `rank` among `ranks`.
+/// The rank of the runner with `rank` when only the runners with `ranks` are counted.
 fn place_among(ranks: &[usize], rank: usize) -> Place {
     let before = ranks.iter().filter(|other| **other < rank);
     Place {
@@ -44,8 +44,8 @@
 }
 
 impl WorkLoop {
-    /// Where this runner stands. All runners work it out alike from heartbeats
-    /// and batches.
+    /// This runner's ranks and the home model that it should have. Each runner computes
+    /// the assignment of all runners from the same heartbeats and batches.
     pub(super) fn standing(&self, now: Millis) -> Standing {
         let mut runners = self.heartbeats.working_runners(&self.service, now);
         let working = runners.len();
@@ -90,10 +90,9 @@
         }
     }
 
-    /// Takes the model that this runner should serve first, once it should have
-    /// done so for a while. Runners that start again come within a second or so of
-    /// each other: the first of them changed their models for those that were not
-    /// there yet, and back.
+    /// Changes the home model once another one has been due for a while. Runners that
+    /// restart together appear within about a second of each other: without the delay
+    /// the first ones changed their models to cover for missing runners, and back.
     pub(super) fn update_home(&mut self, standing: &Standing, now: Millis) {
         if standing.home == self.home {
             self.move_at = now + HOME_CHANGE_DELAY;
@@ -101,12 +100,12 @@
         let due = self.home.is_none() || now >= self.move_at;
         if standing.home.is_some() && self.home != standing.home && due {
             let (home, before) = (&standing.home, &self.home);
-            tracing::info!(?home, ?before, "serves another model first");
+            tracing::info!(?home, ?before, "home model changed");
             self.home.clone_from(&standing.home);
         }
     }
 
-    /// The model that the runner `name` serves first.
+    /// The home model of the runner `name`.
     fn home_of(&self, name: &str) -> Option<&String> {
         match name == self.instance {
             true => self.home.as_ref(),
@@ -122,7 +121,7 @@
         }
     }
 
-    /// The same, for a while already.
+    /// Whether the engine of the runner `name` has been slower than usual for a while.
     fn is_steadily_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.steady,
@@ -130,7 +129,7 @@
         }
     }
 
-    /// What each model's newest batches asked for.
+    /// The demand for each of the service's models, by its newest batches.
     pub(super) fn demands(&self) -> Vec<Demand> {
         let config = self.site.config();
         let service = config
@@ -153,13 +152,15 @@
         route.serves(&self.service).then(|| route.clone())
     }
 
-    /// The version that this runner's engine holds of `model`.
+    /// The weight version that this runner's engine holds of `model`.
     pub(super) fn held_version(&self, model: &str) -> Option<u64> {
         let (report, _) = self.report.as_ref()?;
         let weights = report.weights.iter().find(|held| held.model == model)?;
         Some(weights.version)
     }
 
+    /// The unfinished bundles of the batches `ids` that this runner could claim or join;
+    /// `home` is its home model, or `None` for a straggler, which prefers none.
     pub(super) fn offers(&self, ids: &[String], home: Option<&str>, now: Millis) -> Vec<Offer> {
         let mut offers = Vec::new();
         for (number, id) in ids.iter().enumerate() {
@@ -207,7 +208,7 @@
         offers
     }
 
-    /// Who runs `bundle`; `None` when this runner has joined it before.
+    /// Who runs `bundle`; `None` if this runner is its second runner.
     pub(super) fn holder(&self, batch: &OpenBatch, bundle: u16, now: Millis) -> Option<Holder> {
         let Some(held) = batch.claims.get(&bundle) else {
             return Some(Holder::Nobody);
