--- a/src/runner/changes.rs
+++ b/src/runner/changes.rs
@@ -1,4 +1,4 @@
-//! Takes what the store tells of batches, claims and runners.
+//! Applies changes of the store's work table to the runner's view of it.
 
 use super::{
     open_batch::OpenBatch,
@@ -11,7 +11,7 @@
 };
 
 impl WorkLoop {
-    /// Takes one change of the table of work.
+    /// Applies one change of the work table.
     pub(super) fn apply_change(&mut self, change: Change, now: Millis) {
         match change {
             Change::Put {
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Applies a new or changed row: a heartbeat, or a batch's head, log or claim.
     pub(super) fn apply_row(
         &mut self,
         part: &str,
@@ -78,7 +79,7 @@
                     let ended = log.ended && !batch.log.ended;
                     batch.set_log(log, revision);
                     if ended {
-                        tracing::info!(batch = id, "batch ended, its runs are stopped");
+                        tracing::info!(batch = id, "batch ended, stopping its runs");
                     }
                 }
             }
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Rows of a batch can come before its head, as a listing orders its rows
-    /// by key: they are taken once the head is there.
+    /// Keeps a row that arrived before the head of its batch. A listing returns rows
+    /// in key order, so claims come before the head.
     pub(super) fn add_orphan(&mut self, id: &str, key: &str, value: &[u8], revision: u64) {
         let row = Row {
             part: part_of(id),
@@ -104,6 +105,7 @@
         self.orphans.entry(id.to_owned()).or_default().push(row);
     }
 
+    /// Applies the rows of batch `id` that arrived before its head.
     pub(super) fn apply_orphans(&mut self, id: &str) {
         let now = self.clock.now();
         for row in self.orphans.remove(id).unwrap_or_default() {
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -1,4 +1,4 @@
-//! Reads the items of taken bundles and starts their runs.
+//! Reads the items of this runner's bundles and starts their runs.
 
 use super::{
     claims::STORE_RETRY_DELAY,
@@ -18,12 +18,13 @@
     sync::Arc, //
 };
 
-/// The most that one run of an item may take before the engine may stop it.
+/// The time that an item has here, retries and scoring included. The engine gets the
+/// deadline with each request and may stop a run there; no attempt starts after it.
 const MAX_RUN_TIME: Millis = Millis(30_000);
 
 impl WorkLoop {
-    /// Reads the items of the bundles that are this runner's by the rule, so
-    /// that it can run them also while the store is away.
+    /// Reads the items of the bundles that are assigned to this runner by rank, so that
+    /// it can run them even while the store is unreachable.
     pub(super) fn prefetch(&mut self, id: &str) {
         let standing = self.standing(self.clock.now());
         let place = standing.model_rank;
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Reads what earlier runs have left of a bundle that was claimed before.
+    /// Reads the partial texts of a bundle that a runner had claimed before.
     pub(super) fn resume(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -60,7 +61,7 @@
         });
     }
 
-    /// Takes what earlier runs have left of a bundle, and runs it.
+    /// Starts the runs of a bundle whose partial texts were read.
     pub(super) fn on_partials_read(&mut self, bundle: BundleId, partials: HashMap<u16, Partial>) {
         let BundleId { batch: id, bundle } = bundle;
         let Some(batch) = self.batches.get_mut(&id) else {
@@ -71,14 +72,19 @@
         }
         if !partials.is_empty() {
             let count = partials.len();
-            tracing::info!(batch = id, bundle, count, "goes on with kept texts");
+            tracing::info!(
+                batch = id,
+                bundle,
+                count,
+                "continuing from saved partial texts"
+            );
         }
         batch.partials.extend(partials);
         batch.own_bundles.insert(bundle, BundleState::Fetching);
         self.start(&id, bundle);
     }
 
-    /// Reads the chunks with the bundle's items that are not here yet.
+    /// Reads the chunks of the bundle's unfinished items, except those read before.
     pub(super) fn fetch(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -111,7 +117,7 @@
         }
     }
 
-    /// Takes a chunk of items that was read.
+    /// Stores a chunk of items in memory and starts the bundles that it completes.
     pub(super) fn on_items_read(
         &mut self,
         id: &str,
@@ -136,7 +142,8 @@
         self.start_ready(id);
     }
 
-    /// Starts the runs of a bundle once all its items are here.
+    /// Starts the runs of a bundle if all its items are in memory; otherwise reads the
+    /// missing ones.
     pub(super) fn start(&mut self, id: &str, bundle: u16) {
         let now = self.clock.now();
         let Some(batch) = self.batches.get(id) else {
@@ -202,7 +209,7 @@
         }
     }
 
-    /// Starts the bundles whose items are here, and reads the items of others.
+    /// Calls [`Self::start`] for each bundle in state [`BundleState::Fetching`].
     pub(super) fn start_ready(&mut self, id: &str) {
         let bundles = self.batches.get(id).map(OpenBatch::fetching_bundles);
         for bundle in bundles.unwrap_or_default() {
@@ -211,7 +218,8 @@
     }
 }
 
-/// Reads the kept texts of some items; one that can't be read begins anew.
+/// Reads the partial texts of some items. An item whose text can't be read starts from
+/// the beginning.
 async fn read_partials(store: &Store, batch: &str, items: &[u16]) -> HashMap<u16, Partial> {
     let reading = items.iter().map(|index| async move {
         let key = Key::new(PARTIALS, part_of(batch), partial_key(*index));
@@ -221,7 +229,7 @@
                 Some((*index, decode::<Partial>("partial", &value)?))
             }
             Err(error) => {
-                tracing::info!(batch, index, %error, "a kept text was not read");
+                tracing::info!(batch, index, %error, "partial text not read");
                 None
             }
         }
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -1,4 +1,4 @@
-//! A batch as this runner sees it.
+//! A batch in the store and this runner's work on it.
 
 use crate::{
     base::Millis,
@@ -11,53 +11,61 @@
 };
 use tokio::task::AbortHandle;
 
-/// A claim as the store holds it.
+/// A claim in the store.
 #[derive(Clone, Debug)]
 pub(super) struct HeldClaim {
     pub(super) claim: Claim,
     pub(super) revision: u64,
-    /// When this runner saw it.
+    /// When this runner saw this revision.
     pub(super) seen_at: Millis,
-    /// When its holder wrote it.
+    /// The last time that its holder, rather than a second runner, wrote it.
     pub(super) write: Sign,
 }
 
-/// A bundle that this runner has taken.
+/// The state of a bundle that this runner has claimed or runs without a claim.
 #[derive(Debug)]
 pub(super) enum BundleState {
-    /// The claim is on its way to the store.
+    /// The claim is being written.
     Claiming,
     /// Its items are being read.
     Fetching,
-    /// What earlier runs have left of it is being read.
+    /// The partial texts that earlier runs saved are being read.
     Resuming,
+    /// The runs of its items have started.
     Running,
 }
 
-/// A batch and what this runner does for it.
+/// A batch that is in the store.
 pub(super) struct OpenBatch {
-    /// Whether results are on their way to the store.
+    /// Whether an append of results is in flight.
     pub(super) appending: bool,
-    /// What it asks for, as all runners weigh it.
+    /// What it adds to its model's demand.
     pub(super) demand: Asked,
+    /// The items that were read, by chunk number.
     pub(super) chunks: HashMap<u16, Arc<Vec<Item>>>,
+    /// The newest known claim on each bundle, by bundle index.
     pub(super) claims: BTreeMap<u16, HeldClaim>,
+    /// The chunks that are being read.
     pub(super) fetching_chunks: Vec<u16>,
     pub(super) head: Arc<Head>,
     pub(super) log: Log,
+    /// The store's revision of `log`; 0 before the log was seen.
     pub(super) log_revision: u64,
-    /// What earlier runs have left of items, by index.
+    /// Partial texts that earlier runs saved, by item index.
     pub(super) partials: HashMap<u16, Partial>,
+    /// The bundles that this runner has claimed or runs, by bundle index.
     pub(super) own_bundles: BTreeMap<u16, BundleState>,
-    /// Each bundle's place in the order in which bundles should begin.
+    /// Each bundle's position in the order in which bundles should start.
     start_order: Vec<u16>,
-    /// Bundles that this runner took and that a runner had before.
+    /// Bundles that some runner had claimed before this runner claimed them.
     pub(super) reclaimed: BTreeSet<u16>,
-    /// Results that are not listed yet.
+    /// Results that are not in the log yet, with their item indices.
     pub(super) results: Vec<(u16, Sample)>,
+    /// The item runs in progress, by item index.
     pub(super) running: HashMap<u16, AbortHandle>,
+    /// When this runner first saw the batch.
     pub(super) seen_at: Millis,
-    /// How its waiting bundles begin, as this runner last worked it out.
+    /// How its waiting bundles start, as last computed.
     pub(super) mode: Turn,
 }
 
@@ -92,12 +100,12 @@
         }
     }
 
-    /// Whether nothing more has to be listed.
+    /// Whether no more results are needed.
     pub(super) fn is_over(&self) -> bool {
         self.log.ended || self.log.listed.len() >= self.head.items.len()
     }
 
-    /// The items of `bundle` that have no result yet, here or in the store.
+    /// The items of `bundle` without a result in the log or in memory.
     pub(super) fn unfinished(&self, bundle: u16) -> Vec<u16> {
         let Some(bundle) = self.head.bundles.get(usize::from(bundle)) else {
             return Vec::new();
@@ -106,11 +114,12 @@
         bundle.items.iter().filter(open).copied().collect()
     }
 
+    /// Whether a result that is not in the log yet is in memory.
     fn has_result(&self, index: u16) -> bool {
         self.results.iter().any(|(done, _)| *done == index)
     }
 
-    /// The place of `bundle` in the order in which bundles should begin.
+    /// The position of `bundle` in the order in which bundles should start.
     pub(super) fn order_of(&self, bundle: u16) -> u16 {
         self.start_order
             .get(usize::from(bundle))
@@ -118,7 +127,7 @@
             .unwrap_or(bundle)
     }
 
-    /// Groups that are claimed and whose items are not all here.
+    /// This runner's bundles that wait for their items.
     pub(super) fn fetching_bundles(&self) -> Vec<u16> {
         let fetching = self
             .own_bundles
@@ -127,13 +136,13 @@
         fetching.map(|(bundle, _)| *bundle).collect()
     }
 
-    /// Items of bundles that this runner has taken and that have no result yet.
+    /// The number of unfinished items in this runner's bundles.
     pub(super) fn load(&self) -> usize {
         let bundles = self.own_bundles.keys();
         bundles.map(|bundle| self.unfinished(*bundle).len()).sum()
     }
 
-    /// Takes a newer log; stops the runs of items that others have listed.
+    /// Applies a newer log; stops the runs of items whose results it lists.
     pub(super) fn set_log(&mut self, log: Log, revision: u64) {
         if revision <= self.log_revision {
             return;
@@ -164,7 +173,7 @@
         }
     }
 
-    /// Ends all that this runner does for the batch.
+    /// Stops all work on the batch and discards its results and items.
     pub(super) fn stop(&mut self) {
         self.running.drain().for_each(|(_, run)| run.abort());
         self.own_bundles.clear();
@@ -173,8 +182,8 @@
         self.partials.clear();
     }
 
-    /// Takes a newer claim; a bundle that another runner has taken over is
-    /// still run here, as the first whole result wins.
+    /// Applies a newer claim. A bundle that another runner has taken over still runs
+    /// here: the first complete result wins.
     pub(super) fn set_claim(&mut self, bundle: u16, claim: Claim, revision: u64, now: Millis) {
         let newer = self
             .claims
@@ -191,8 +200,8 @@
         }
     }
 
-    /// When the holder of `claim` wrote it. A second runner that joins writes the row
-    /// as well, which is no sign of life of its holder.
+    /// The last write of the claim by its holder. A second runner writes the row as well
+    /// when it joins, which does not show that the holder is alive.
     fn last_write(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
         let token = claim.token;
         if claim.second.is_none() {
@@ -212,13 +221,14 @@
         before.map_or(unknown, |held| held.write)
     }
 
-    /// Whether the runner `instance`, in its life `token`, is known to hold `bundle`.
+    /// Whether `bundle` is held by the incarnation `token` of the runner `instance`.
     pub(super) fn is_claimed_by(&self, bundle: u16, instance: &str, token: u64) -> bool {
         let held = self.claims.get(&bundle);
         held.is_some_and(|held| held.claim.holder == instance && held.claim.token == token)
     }
 
-    /// Gives up the bundles of which nothing runs and something is left; returns them.
+    /// Removes the started bundles that have unfinished items but no running ones from
+    /// this runner's bundles; returns them.
     pub(super) fn release_idle(&mut self) -> Vec<u16> {
         let mut released = Vec::new();
         let running = &self.running;
--- a/src/runner/results.rs
+++ b/src/runner/results.rs
@@ -1,4 +1,4 @@
-//! Lists the results of finished items.
+//! Appends the results of finished items to the batches' logs.
 
 use super::{
     event::Event,
@@ -12,15 +12,17 @@
     store::{Key, Outcome, StoreError, Transaction}, //
 };
 
-/// The most results in one transaction: bounded by its size.
+/// The most results in one transaction, and the most bytes of their texts: the store
+/// limits the size of a transaction.
 const MAX_APPEND_RESULTS: usize = 24;
 const MAX_APPEND_BYTES: usize = 400 * 1024;
 
-/// The wait before a write that failed is looked at again.
+/// The wait after a failed write before the log is read to learn its outcome.
 const READ_BACK_DELAY: Millis = Millis(80);
 
 impl WorkLoop {
-    /// A run has ended: its result waits to be listed, or its bundle is let go.
+    /// Keeps the result of an ended run until it is listed, and releases the bundles that
+    /// have nothing running any more.
     pub(super) fn on_item_ended(&mut self, batch_id: &str, index: u16, end: ItemEnd) {
         let Some(batch) = self.batches.get_mut(batch_id) else {
             return;
@@ -33,21 +35,17 @@
                 }
             }
             ItemEnd::Dropped => {
-                tracing::info!(
-                    batch = batch_id,
-                    index,
-                    "run dropped: the engine takes no work"
-                );
+                tracing::info!(batch = batch_id, index, "run dropped without a result");
             }
         }
-        // Also after a whole run: items of the bundle that were dropped before it
-        // ended stayed taken here and ran nowhere until they were given up.
+        // Also after a complete run. Otherwise the bundle's items that were dropped before
+        // it ended stayed claimed here and ran nowhere until they were given up.
         for bundle in batch.release_idle() {
             self.give_back(batch_id, bundle);
         }
     }
 
-    /// Sends the results of each batch to the store, one transaction at a time.
+    /// Appends the waiting results of each batch to its log, one transaction at a time.
     pub(super) fn append_results(&mut self) {
         for (id, batch) in &mut self.batches {
             if batch.appending || batch.results.is_empty() || batch.log_revision == 0 {
@@ -85,8 +83,8 @@
         }
     }
 
-    /// Takes the log as the store has it after an append. What was not listed
-    /// stays in memory and goes with the next one.
+    /// Applies the log as the store has it after an append. Results that were not listed
+    /// stay in memory for the next append.
     pub(super) fn on_results_appended(
         &mut self,
         id: &str,
@@ -100,7 +98,7 @@
         batch.appending = false;
         match outcome {
             Ok(Outcome::Done { revision }) => {
-                // The feed may have brought the same log before this answer.
+                // Counted from `log`: the feed may have set the batch's log to it already.
                 let new = &log.listed[log.listed.len().saturating_sub(count)..];
                 let (count, total) = (log.listed.len(), batch.head.items.len());
                 let ids = new
@@ -120,14 +118,15 @@
             }
             Err(error) => {
                 let waiting = batch.results.len();
-                tracing::warn!(batch = id, waiting, %error, "results wait for the store");
+                tracing::warn!(batch = id, waiting, %error, "results not appended, kept in memory");
             }
         }
     }
 }
 
-/// Does an append. When its outcome is unknown, the log row tells: a late copy
-/// of the write expects a revision that will be gone after the next one.
+/// Writes an append. If its outcome is unknown, reads the log row and returns it as a
+/// conflict. A late copy of the write does no harm: it expects a log revision that the
+/// next append replaces.
 async fn transact_or_read(
     store: &Store,
     batch: &str,
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -1,5 +1,4 @@
-//! Gives up items whose time is over, and removes batches that nobody may read
-//! any more.
+//! Gives up items whose time is over, and removes batches whose retention is over.
 
 use super::{
     open_batch::OpenBatch,
@@ -14,17 +13,17 @@
     store::{Key, StoreError, Transaction}, //
 };
 
-/// How often batches are looked at.
+/// How often the age of the batches is checked.
 const SWEEP_INTERVAL: Millis = Millis(1_000);
 
-/// The most rows that one transaction removes; the store takes 100.
+/// The most rows that one transaction removes; the store's limit is 100.
 const MAX_REMOVED_ROWS: usize = 90;
 
-/// How long an item may be run when its route names no time.
+/// How long after its batch was accepted an item may run, if the batch has no route.
 const DEFAULT_ITEM_TTL: Millis = Millis(600_000);
 
 impl WorkLoop {
-    /// Looks for batches whose time is over.
+    /// Gives up expired items and removes expired batches, once every [`SWEEP_INTERVAL`].
     pub(super) fn plan_sweep(&mut self, now: Millis) {
         if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
@@ -37,7 +36,8 @@
         let store_now = self.store.now();
         let mut old = Vec::new();
         for (id, batch) in &mut self.batches {
-            // One runner sees to each batch; if two do, the store settles it.
+            // One runner is responsible for each batch. If two act, which can happen while
+            // their views differ, the store accepts one of their appends.
             let turn = stable_hash(&[id.as_bytes()]) as usize % runners.len().max(1);
             if runners.get(turn).is_some_and(|name| *name != self.instance) {
                 continue;
@@ -56,11 +56,11 @@
             }
         }
         for id in old {
-            tracing::info!(batch = id, "batch removed: its retention is over");
+            tracing::info!(batch = id, "removing batch: its retention is over");
             let store = self.store.clone();
             tokio::spawn(async move {
                 if let Err(error) = remove_batch(&store, &id).await {
-                    tracing::warn!(batch = id, %error, "batch not removed yet");
+                    tracing::warn!(batch = id, %error, "batch not removed");
                 }
             });
         }
@@ -68,7 +68,7 @@
 }
 
 impl OpenBatch {
-    /// Takes every item that is not listed for given up.
+    /// Sets the result of every item that is not listed to "given up".
     fn give_up_items(&mut self, id: &str) {
         let items = self.head.items.iter().enumerate();
         let open = items.filter(|(index, _)| !self.log.has(*index as u16));
@@ -76,11 +76,12 @@
             .map(|(index, item)| (index as u16, terminated(&item.id)))
             .collect();
         let count = self.results.len();
-        tracing::warn!(batch = id, count, "items given up: their time is over");
+        tracing::warn!(batch = id, count, "giving items up: their time is over");
     }
 }
 
-/// Removes all rows of a batch; those that make it known go last.
+/// Removes all rows of a batch. Those in the work table, by which the batch is found, go
+/// last, so that a removal that fails midway is repeated.
 async fn remove_batch(store: &Store, id: &str) -> Result<(), StoreError> {
     let part = part_of(id);
     for table in [PARTIALS, RESULTS, BODIES, WORK] {
