--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -1,4 +1,4 @@
-//! What this runner knows of its engine: which life takes work, and how fast.
+//! The engine's state as its runner knows it: the current incarnation and its pace.
 
 use super::work::WorkLoop;
 use crate::{
@@ -10,16 +10,16 @@
     routing::Life, //
 };
 
-/// A report this old says nothing of the engine any more.
+/// An engine without a report for this long does not count as accepting work.
 const MAX_REPORT_AGE: Millis = Millis(900);
 
 impl WorkLoop {
-    /// Whether the engine takes work by all that is known of it.
+    /// Whether the engine accepts work, by its reports and announcements.
     pub(super) fn is_working(&self) -> bool {
         self.incarnation.borrow().is_some()
     }
 
-    /// Works out which life of the engine gets requests, and tells of a change.
+    /// Determines which incarnation of the engine gets requests, and publishes a change.
     pub(super) fn update_engine(&mut self, now: Millis) {
         let announced = self.site.server_at(self.engine_address, &self.service);
         if let Some(server) = &announced {
@@ -36,9 +36,9 @@
             .as_ref()
             .map_or(Millis(0), |server| server.life.born);
         let fresh = self.report.as_ref().is_some_and(|(report, at)| {
-            // A report from before the announced start is of the life before. With
-            // the new id it made up a life that never was, and whose end counted
-            // against the items that had just begun.
+            // A report from before the announced start belongs to the previous
+            // incarnation. Combined with the new id it named an incarnation that never
+            // existed, and whose apparent crash counted against items just started.
             let is_before = report.born.0 > 0 && report.born < started;
             now.since(*at) < MAX_REPORT_AGE && !is_before
         });
@@ -68,15 +68,21 @@
                 let id_of = |known: &Option<Life>| known.as_ref().map(|known| known.id.clone());
                 let (engine, before) = (id_of(&incarnation), id_of(current));
                 let born = born.0;
-                tracing::info!(?engine, born, ?before, fresh, "engine takes work or not");
+                tracing::info!(
+                    ?engine,
+                    born,
+                    ?before,
+                    fresh,
+                    "engine's available incarnation changed"
+                );
                 current.clone_from(&incarnation);
             }
             changed
         });
     }
 
-    /// Forgets what was learnt of the engine's life before: its next life knows
-    /// nothing of an order that was under way, and may be faster or slower.
+    /// Resets what was learnt about the engine's previous incarnation: the next one
+    /// knows nothing of a pending order, and may be faster or slower.
     fn reset_engine(&mut self) {
         self.pending_order = None;
         self.pace = 0.0;
@@ -84,7 +90,7 @@
         *self.engine.pace() = Pace::default();
     }
 
-    /// Whether a report after `at` shows the models of this runner's service.
+    /// Whether a report later than `at` lists only models of this runner's service.
     fn has_own_report_since(&self, at: Millis) -> bool {
         let Some((report, seen)) = &self.report else {
             return false;
@@ -99,14 +105,14 @@
         *seen > at && !shown.is_empty() && shown.iter().all(|held| ours(&held.model))
     }
 
-    /// Takes what the runs under way tell of the engine's pace; returns the usual
-    /// one, in ms an event.
+    /// Updates the engine's pace from the current runs; returns the usual pace of the
+    /// service's engines, in ms per event.
     pub(super) fn update_pace(&mut self, now: Millis) -> f64 {
         self.pace = self.engine.pace().settle(now);
         let usual = self.heartbeats.usual_pace(&self.service);
         if self.kind.note(self.pace, usual, now) {
             let (pace, slower) = (self.pace, self.kind.slower);
-            tracing::info!(slower, pace, usual, "the engine's kind by its pace");
+            tracing::info!(slower, pace, usual, "engine's speed class changed");
         }
         usual
     }
--- a/src/runner/engine_watch.rs
+++ b/src/runner/engine_watch.rs
@@ -1,4 +1,4 @@
-//! Asks the engine beside this runner how it is.
+//! Polls the engine for its report.
 
 use super::event::Event;
 use crate::{
@@ -8,14 +8,14 @@
 };
 use tokio::sync::mpsc;
 
-/// How often the engine is asked: its report is free and fresh on its own
-/// instance, and a crash should be seen before a group's time is lost.
+/// The wait between two polls. The engine is on the same instance, so a poll costs
+/// almost nothing, and a crash should be seen before the work of a group is lost.
 const REPORT_INTERVAL: Millis = Millis(200);
 
-/// An engine on the same instance answers in about a millisecond.
+/// How long a report may take; an engine on the same instance answers in about 1 ms.
 const REPORT_TIMEOUT: Millis = Millis(400);
 
-/// Reports on the engine until the work loop ends.
+/// Sends the engine's reports to the work loop until the loop ends.
 pub(super) async fn poll_reports(peer: Peer, events: mpsc::Sender<Event>) {
     loop {
         let report = match peer.call(report_request(), REPORT_TIMEOUT).await {
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -1,4 +1,4 @@
-//! This runner's own signs of life.
+//! Writes this runner's heartbeats.
 
 use super::{
     event::Event,
@@ -11,22 +11,24 @@
     store::{Key, Outcome, Transaction}, //
 };
 
-/// The time between heartbeats.
+/// The time between heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
-/// How long the word that an engine or a bundle is free may wait for the crashes of the
-/// engine to be shared: some tries of a write, and less than makes others take this runner
-/// for gone.
+/// How long the news that an engine is gone or a bundle released may wait until the
+/// engine's crashes are in the store: enough for a few write attempts, and too short for
+/// others to take this runner for gone.
 pub(super) const CRASH_SHARE_TIMEOUT: Millis = Millis(600);
 
-/// The wait before the first heartbeat is tried again.
+/// The wait before another attempt to write the first heartbeat.
 const FIRST_RETRY_DELAY: Millis = Millis(80);
 
-/// The last heartbeat, and whether it is on its way.
+/// The last heartbeat and the state of its write.
 #[derive(Default)]
 pub(super) struct HeartbeatState {
     pub(super) last: Heartbeat,
+    /// Whether a write is in flight.
     pub(super) sending: bool,
+    /// When the last write began.
     pub(super) sent: Millis,
 }
 
@@ -51,7 +53,7 @@
             token: self.token,
             working: self.is_working(),
         };
-        // The pace alone is worth no heartbeat: it changes all the time.
+        // A change of the pace alone triggers no heartbeat: it changes all the time.
         let comparable = Heartbeat {
             pace: last.pace,
             ..next.clone()
@@ -76,9 +78,9 @@
 }
 
 impl WorkLoop {
-    /// Whether the word that the engine is gone waits until its end is known under
-    /// the items that ran there: those who take them over would run them beside
-    /// others, as if nothing had happened.
+    /// Whether the heartbeat that reports the engine gone waits until its crash is
+    /// recorded for the items that ran there. Otherwise the runners that take these
+    /// items over would run them next to others, as if nothing had happened.
     fn is_withheld(&self, now: Millis) -> bool {
         let ends = self.heartbeat.last.working && !self.is_working();
         let late = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL + CRASH_SHARE_TIMEOUT;
@@ -98,9 +100,10 @@
     }
 }
 
-/// Writes the first heartbeat of this life; its revision is higher than that of any
-/// life before, on whatever instance, and becomes the life's number. Returns it with
-/// the model that the life before served first: its engine has that one's weights.
+/// Writes the first heartbeat of this incarnation and returns its revision, which becomes
+/// the incarnation's token: it is higher than that of any earlier incarnation on any
+/// instance. Also returns the previous incarnation's home model, whose weights the engine
+/// holds.
 pub(super) async fn first_heartbeat(
     store: &Store,
     instance: &str,
@@ -115,7 +118,7 @@
                 before.and_then(|before| before.home)
             }
             Err(error) => {
-                tracing::warn!(%error, "the life before is not known yet");
+                tracing::warn!(%error, "previous heartbeat not read");
                 tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
                 continue;
             }
@@ -128,7 +131,7 @@
         match store.transact(&heartbeat_write(instance, &heartbeat)).await {
             Ok(Outcome::Done { revision }) => return (revision, home),
             Ok(Outcome::Conflict { .. }) => {}
-            Err(error) => tracing::warn!(%error, "no number for this life yet"),
+            Err(error) => tracing::warn!(%error, "first heartbeat not written"),
         }
         tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
     }
--- a/src/runner/heartbeats.rs
+++ b/src/runner/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Which other runners are alive.
+//! The last heartbeat of each runner, and what follows from it.
 
 use crate::{
     base::Millis,
@@ -10,23 +10,24 @@
 };
 use std::collections::BTreeMap;
 
-/// A runner's last heartbeat and when this runner saw it.
+/// A runner's last heartbeat.
 #[derive(Clone, Debug)]
 struct SeenHeartbeat {
+    /// When this runner saw it.
     at: Millis,
     heartbeat: Heartbeat,
-    /// When the store took it; 0 for this runner's own.
+    /// The store's revision of it; 0 for this runner's own.
     revision: u64,
 }
 
-/// All runners by instance, this one included.
+/// The last heartbeats of all runners, including this one.
 #[derive(Debug, Default)]
 pub(super) struct Heartbeats {
     by_instance: BTreeMap<String, SeenHeartbeat>,
 }
 
 impl SeenHeartbeat {
-    /// What it tells of the runner's life.
+    /// The fields that decide whether the runner still works.
     fn beat(&self) -> Beat {
         Beat {
             at: self.at,
@@ -36,15 +37,15 @@
         }
     }
 
-    /// Whether the runner lives and takes new bundles.
+    /// Whether the runner is alive and claims new bundles.
     fn takes_work(&self, now: Millis) -> bool {
         is_alive(self.at, now) && self.heartbeat.working && !self.heartbeat.leaving
     }
 }
 
 impl Heartbeats {
-    /// Takes a heartbeat of `instance` that the store took at `revision`; an older
-    /// one than known changes nothing.
+    /// Records a heartbeat of `instance` with the store's `revision` of it; one that is
+    /// not newer than the known one changes nothing.
     pub(super) fn record(
         &mut self,
         instance: &str,
@@ -62,7 +63,7 @@
             tracing::info!(
                 runner = instance,
                 working = heartbeat.working,
-                "runner seen"
+                "runner appeared or changed state"
             );
         }
         let seen = SeenHeartbeat {
@@ -73,12 +74,13 @@
         self.by_instance.insert(instance.to_owned(), seen);
     }
 
-    /// The store was away: no heartbeat could arrive, so none is late.
+    /// Counts all heartbeats as just seen: while the store is unreachable none can
+    /// arrive, so none is late.
     pub(super) fn reset_ages(&mut self, now: Millis) {
         self.by_instance.values_mut().for_each(|seen| seen.at = now);
     }
 
-    /// Whether the runner `instance`, which wrote `sign`, still works.
+    /// Whether the runner `instance`, whose last claim was `write`, still works.
     pub(super) fn is_working(&self, instance: &str, write: Sign, now: Millis) -> bool {
         let beat = self.by_instance.get(instance).map(SeenHeartbeat::beat);
         liveness::works(write, beat, now)
@@ -89,15 +91,16 @@
         self.by_instance.get(instance).map(|seen| &seen.heartbeat)
     }
 
-    /// What the engines of `service` usually take for an event, in ms; 0 when
-    /// none is known.
+    /// The usual pace of the engines of `service`, in ms per event; 0 when none is
+    /// known.
     pub(super) fn usual_pace(&self, service: &str) -> f64 {
         let beats = self.by_instance.values().map(|seen| &seen.heartbeat);
         let ours = beats.filter(|beat| beat.service == service);
         usual(ours.map(|beat| beat.pace).collect())
     }
 
-    /// The instances that work for `service`, in one order for all runners.
+    /// The instances that claim work for `service`, in an order that is the same for
+    /// all runners.
     pub(super) fn working_runners(&self, service: &str, now: Millis) -> Vec<String> {
         let works =
             |seen: &SeenHeartbeat| seen.takes_work(now) && seen.heartbeat.service == service;
@@ -111,8 +114,8 @@
         names
     }
 
-    /// Engines of runners that serve `model` first and hold `version` or a newer
-    /// one, beside that of `me`.
+    /// How many runners other than `me` have `model` as home model and hold `version`
+    /// or a newer one.
     pub(super) fn count_ready(&self, model: &str, version: u64, me: &str, now: Millis) -> usize {
         let is_ready = |(name, seen): &(&String, &SeenHeartbeat)| {
             let beat = &seen.heartbeat;
@@ -122,7 +125,7 @@
         self.by_instance.iter().filter(is_ready).count()
     }
 
-    /// Engines that change weights, beside that of `me`.
+    /// How many runners other than `me` have an engine that is loading weights.
     pub(super) fn count_loading(&self, me: &str, now: Millis) -> usize {
         let loads = |(name, seen): &(&String, &SeenHeartbeat)| {
             is_alive(seen.at, now) && seen.heartbeat.loading && name.as_str() != me
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders the engine to take new weights.
+//! Orders the engine to load new weights.
 
 use super::{
     event::Event,
@@ -15,22 +15,22 @@
     },
 };
 
-/// An order that the engine has not been seen to carry out.
+/// An order whose effect the engine's reports may not show yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingOrder {
-    /// No other order is given before.
+    /// No other order is sent before this time.
     pub(super) until: Millis,
 }
 
-/// How long the engine may take to answer an order. One whose answer is lost
-/// may be carried out seconds later; it then finds another count of orders.
+/// How long the engine may take to answer an order. An order whose answer was lost may
+/// arrive seconds later; the engine refuses it if its count of orders has changed since.
 const ORDER_TIMEOUT: Millis = Millis(1_000);
 
-/// After an answer, the reports show what came of the order within this time.
+/// After an answer, the engine's reports show the order's effect within this time.
 const ORDER_SETTLE_TIME: Millis = Millis(450);
 
 impl WorkLoop {
-    /// Gives an order if one is due.
+    /// Sends an order if the engine should load a new version of one of its models.
     pub(super) fn plan_order(&mut self, standing: &Standing, now: Millis) {
         if self
             .pending_order
@@ -94,7 +94,7 @@
             needed,
             orders,
             fence,
-            "orders new weights"
+            "ordering new weights"
         );
         let order = VersionOrder {
             fence,
@@ -118,7 +118,7 @@
                     Some(order_answer(&answer))
                 }
                 Err(error) => {
-                    tracing::info!(%error, "an order's answer is lost");
+                    tracing::info!(%error, "no answer to an order");
                     None
                 }
             };
@@ -131,7 +131,7 @@
         });
     }
 
-    /// Takes the engine's answer to an order; the reports show what came of it.
+    /// Logs the engine's answer and waits for the reports to show the order's effect.
     pub(super) fn on_order_answered(
         &mut self,
         answer: Option<OrderAnswer>,
@@ -145,19 +145,19 @@
         }
     }
 
-    /// Whether the engine takes new weights of `model`: it refuses what of the
-    /// model has not begun until it has them.
+    /// Whether the engine is loading new weights of `model`: until it has them it refuses
+    /// new runs of that model.
     pub(super) fn is_loading_model(&self, model: &str) -> bool {
         self.is_loading() && self.ordered_model.as_deref() == Some(model)
     }
 
-    /// Whether the engine takes new weights, or may.
+    /// Whether the engine is loading new weights, or may be.
     pub(super) fn is_loading(&self) -> bool {
         let busy = self.report.as_ref().is_some_and(|(report, _)| report.busy);
         self.pending_order.is_some() || busy
     }
 
-    /// Whether a run of `model` here must not change its version midway.
+    /// Whether a current run of `model` must keep the weight version it started with.
     fn has_single_version_run(&self, model: &str) -> bool {
         let runs = |batch: &&OpenBatch| batch.head.model == model && !batch.running.is_empty();
         let mut running = self.batches.values().filter(runs);
@@ -167,9 +167,9 @@
         })
     }
 
-    /// Whether the next step of `model` is near: its trainer keeps two under
-    /// way, and all before the one that was asked with the version `named` are
-    /// over.
+    /// Whether the next step of `model` will be submitted soon: its trainer keeps two
+    /// steps in progress, and all steps before the one submitted with the version
+    /// `named` are over.
     fn is_step_near(&self, model: &str, named: u64) -> bool {
         let older = |batch: &OpenBatch| {
             batch.head.model == model && !batch.is_over() && batch.head.least_version + 1 < named
@@ -177,15 +177,15 @@
         self.overlapping.contains(model) && !self.batches.values().any(older)
     }
 
-    /// What work of `model` at hand needs.
+    /// What the open batches of `model` need from the engine.
     fn needs(&self, model: &str, standing: &Standing, now: Millis) -> Needs {
         let open = |batch: &&OpenBatch| {
             batch.head.model == model && !batch.is_over() && batch.log_revision > 0
         };
         let mut needs = Needs::default();
         for batch in self.batches.values().filter(open) {
-            // While no claim can be seen, what others have begun or finished is
-            // not known: only what falls to this runner waits for it.
+            // While the store is unreachable, the claims and results of others are
+            // unknown: only bundles that are assigned to this runner by rank count.
             let waits = match self.outage_start {
                 Some(_) => batch.waits_for(standing.model_rank),
                 None => batch.waiting_bundles().next().is_some(),
@@ -203,31 +203,32 @@
     }
 }
 
-/// What work of one model at hand needs.
+/// What the open batches of one model need from the engine.
 #[derive(Default)]
 struct Needs {
-    /// The oldest version that may run it; 0 when nothing waits.
+    /// The oldest version that may run all waiting bundles; 0 when none wait.
     version: u64,
-    /// How long that work has waited.
+    /// How long the batch that needs this version has been known.
     waited: Millis,
     /// Whether bundles wait for a runner.
     waiting: bool,
 }
 
 impl OpenBatch {
-    /// Bundles that nobody holds.
+    /// Unfinished bundles that no runner holds.
     fn waiting_bundles(&self) -> impl Iterator<Item = u16> {
         let bundles = 0..self.head.bundles.len() as u16;
         bundles.filter(|bundle| !self.is_held(*bundle) && !self.unfinished(*bundle).is_empty())
     }
 
+    /// Whether a runner holds `bundle`.
     fn is_held(&self, bundle: u16) -> bool {
         let held = self.claims.get(&bundle);
         held.is_some_and(|held| !held.claim.is_free())
     }
 
-    /// Whether an unclaimed bundle falls to the runner at `place` that it has not
-    /// begun.
+    /// Whether an unclaimed bundle is assigned by rank to this runner, whose rank is
+    /// `place`, and not among its bundles yet.
     fn waits_for(&self, place: Place) -> bool {
         let mine = |bundle: &u16| {
             place.has(self.order_of(*bundle)) && !self.own_bundles.contains_key(bundle)
