--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -1,4 +1,4 @@
-//! Runs one item on the engine until its text is whole and scored.
+//! Runs one item on the engine until its text is complete and scored.
 
 use super::{
     score::{ScoreEnd, ScorerClient},
@@ -35,54 +35,56 @@
 /// How an item's run ended.
 #[derive(Debug)]
 pub(super) enum ItemEnd {
-    /// The result.
+    /// The item has its result, to be listed.
     Done(Sample),
-    /// The engine takes nothing any more, or the item's time is over.
+    /// The item is left to another run: the engine accepts no work, the item's time is
+    /// over, or it may have crashed its engine.
     Dropped,
 }
 
-/// What the runs of all items on one engine share.
+/// The engine and the state that all item runs on it share.
 #[derive(Clone)]
 pub(super) struct Engine {
-    /// Held by the suspect whose turn it is to begin here.
+    /// Held by the one suspect that may start exclusively.
     pub(super) suspect_turn: Arc<Semaphore>,
-    /// Runs that broke off while the engine seemed to live.
+    /// Runs whose connection broke while the engine seemed to be alive.
     pub(super) broken_runs: Arc<Mutex<Vec<BrokenRun>>>,
     pub(super) clock: Clock,
     pub(super) crashes: Arc<Crashes>,
-    /// The life whose end a run saw last.
+    /// The incarnation whose crash a run detected last.
     pub(super) last_crashed: watch::Sender<Option<Life>>,
-    /// A life of the engine that refused what was meant for another.
+    /// The last refusal by another incarnation than the one that was addressed.
     pub(super) mismatch: watch::Sender<Option<Met>>,
-    /// What all runs tell of its pace.
+    /// Its pace, measured by all runs.
     pub(super) pace: Arc<Mutex<Pace>>,
     pub(super) peer: Peer,
-    /// Shared by the runs here, but for a suspect that begins, which has it alone.
+    /// Held shared by each run, and exclusively by a suspect while it starts.
     pub(super) run_lock: Arc<RwLock<()>>,
-    /// What its places take for an expected token.
+    /// The time that its slots take per expected token.
     pub(super) rate: Arc<Mutex<Rate>>,
-    /// The engine's present life while it takes work.
+    /// The engine's current incarnation; `None` while it accepts no work.
     pub(super) incarnation: watch::Receiver<Option<Life>>,
     pub(super) scorer_client: Arc<ScorerClient>,
     pub(super) store: Store,
-    /// Items that wait here in quarantine.
+    /// The number of items that wait for admission: in quarantine, or while another runner
+    /// has their attempt.
     pub(super) quarantined: Arc<AtomicUsize>,
 }
 
 impl Engine {
-    /// The engine's pace; held only for a moment.
+    /// Locks the engine's pace; callers hold the lock only briefly.
     pub(super) fn pace(&self) -> MutexGuard<'_, Pace> {
         self.pace.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What its places take for an expected token; held only for a moment.
+    /// Locks the time per expected token; callers hold the lock only briefly.
     pub(super) fn rate(&self) -> MutexGuard<'_, Rate> {
         self.rate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the engine has another life than `life`. A connection to an
-    /// engine that lost power hangs: its runs began again only 2.5 s later, when
-    /// their streams had paused too long.
+    /// Waits until the engine has another incarnation than `incarnation`. The connection
+    /// to an engine that lost power hangs: without this wait its runs restarted only
+    /// after the idle timeout of their streams, 2.5 s later.
     async fn wait_replaced(&self, incarnation: &Life) {
         let mut current = self.incarnation.clone();
         let other = |now: &Option<Life>| now.as_ref().is_some_and(|now| now != incarnation);
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Notes the engine's life when an answer says that the request was meant
-    /// for another one than `expected`.
+    /// Records the answering incarnation if an answer refuses a request because it was
+    /// addressed to another one, `expected`.
     pub(super) fn note_mismatch(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
         if status != StatusCode::MISDIRECTED_REQUEST {
             return;
@@ -111,7 +113,11 @@
             if known.as_ref().is_some_and(same) {
                 return false;
             }
-            tracing::info!(expected, found, "the engine has another life");
+            tracing::info!(
+                expected,
+                found,
+                "the engine has another incarnation than expected"
+            );
             *known = Some(met);
             true
         });
@@ -121,62 +127,66 @@
 /// One item to run.
 pub(super) struct Task {
     pub(super) batch: String,
-    /// What an earlier run has left.
+    /// The partial text that an earlier run saved.
     pub(super) partial: Option<Partial>,
-    /// Names what the item asks of its engine.
+    /// Identifies the request in the crash records.
     pub(super) fingerprint: Fingerprint,
+    /// The host that its batch was submitted to.
     pub(super) host: String,
+    /// Its index in the batch.
     pub(super) index: u16,
     pub(super) item: Item,
     /// The oldest weight version that may generate its tokens.
     pub(super) least_version: u64,
-    /// The engine's own failures after which the item is given up.
+    /// The number of failures answered by engines after which the item is given up.
     pub(super) max_failures: u32,
-    /// Whether a runner had its bundle before; engines may have ended there.
+    /// Whether a runner had claimed its bundle before; engines may have crashed there.
     pub(super) reclaimed: bool,
+    /// Whether all its tokens must come from one weight version.
     pub(super) single_version: bool,
     /// How urgent it is; 0 is the most urgent.
     pub(super) priority: Option<u32>,
+    /// No attempt starts after this time.
     pub(super) deadline: Millis,
     /// The workspace whose batch it belongs to.
     pub(super) workspace: Option<String>,
 }
 
-/// How long the engine may take to begin: a request can wait behind others for
-/// a slot, and behind a load of weights.
+/// How long the engine may take to answer with headers: a request can wait for a slot,
+/// or for a load of weights.
 const HEADER_TIMEOUT: Millis = Millis(6_000);
 
-/// How long a stream may pause. Events come every few tens of ms; an engine
-/// that is four times as slow, full and preempting pauses longer.
+/// How long a stream may send nothing. Events come every few tens of ms; the pauses of an
+/// engine that is four times as slow, full and preempting are longer.
 const STREAM_IDLE_TIMEOUT: Millis = Millis(2_500);
 
-/// The first wait before an engine that was full, loading or gone is asked
-/// again, and the longest; a load of weights takes about 900 ms.
+/// The first and the longest wait before the next attempt at an engine that was full,
+/// loading or gone; a load of weights takes about 900 ms.
 const RETRY_DELAY: Millis = Millis(60);
 const MAX_RETRY_DELAY: Millis = Millis(240);
 
-/// How long the rest of a refusal may take to arrive. Reading it keeps the
-/// connection for the next request: without it each refusal cost a new one,
-/// 6,200 on a day of 950 items.
+/// How long each read of a refusal's body may take. Reading it to the end lets the next
+/// request reuse the connection: without it each refusal cost a new connection, 6,200 in
+/// a day of 950 items.
 const REFUSAL_BODY_TIMEOUT: Millis = Millis(100);
 
-/// What came of one run.
+/// How one attempt at the engine ended.
 pub(super) enum RunEnd {
-    /// The stream ended as a whole.
+    /// The stream ended after a complete event.
     Whole,
-    /// The engine did not take it.
+    /// The engine did not run it, or its answer was unusable; it is tried again.
     Refused,
-    /// The engine failed by its own word.
+    /// The engine answered that it failed.
     Failed,
-    /// The item can never be done.
+    /// The engine answered that the item can never succeed.
     Unprocessable,
-    /// The connection broke or fell silent.
+    /// The connection failed, broke or fell silent.
     Broken(CallError),
-    /// The engine has started anew, and the run is lost with its life before.
+    /// The engine has restarted, and the run is lost with its previous incarnation.
     Replaced,
 }
 
-/// Names what `item` of a batch of `host` asks of its engine.
+/// Identifies the request of `item`, from a batch for `host`, in the crash records.
 pub(super) fn fingerprint(host: &str, item: &Item) -> Fingerprint {
     Fingerprint::of(Asked {
         body: &item.body,
@@ -188,15 +198,15 @@
     })
 }
 
-/// Runs the item to its end.
+/// Runs the item, with retries, until it has a result or is dropped.
 pub(super) async fn run(engine: Engine, task: Task) -> ItemEnd {
     let now = engine.clock.now();
     let mut text = Text::resume(task.partial.clone(), now);
     let mut failures = 0;
     let mut wait = RETRY_DELAY;
     loop {
-        // An item that ends each engine that runs it goes from runner to runner,
-        // which count its engines' ends together.
+        // An item that crashes every engine goes from runner to runner; they count the
+        // crashes together, and the admission below reads that count.
         let Some(Admission { attempt, guard }) = engine.admit(&task).await else {
             return ItemEnd::Dropped;
         };
@@ -209,8 +219,8 @@
         if engine.last_crashed.borrow().as_ref() == Some(&incarnation) {
             engine.release_attempt(attempt);
             drop(guard);
-            // The work loop does not know yet. A run that begins now finds an
-            // engine that is closing down, whose end would count against it.
+            // The work loop has not noticed the crash yet. A run started now would meet an
+            // engine that is closing down, and the crash would count against the item.
             engine.wait_until_noticed(&incarnation).await;
             continue;
         }
@@ -248,20 +258,24 @@
             }
             RunEnd::Failed => {
                 failures += 1;
-                tracing::info!(item = task.item.id, failures, "the engine failed the item");
+                tracing::info!(
+                    item = task.item.id,
+                    failures,
+                    "engine answered with a failure"
+                );
             }
             RunEnd::Unprocessable => failures = task.max_failures,
             RunEnd::Refused => {}
             RunEnd::Replaced => {
                 let events = text.events.len();
                 let (request, server) = (task.fingerprint, &incarnation.id);
-                tracing::info!(item = task.item.id, %request, server, events, "its engine has started anew");
+                tracing::info!(item = task.item.id, %request, server, events, "run lost: the engine restarted");
                 wait = RETRY_DELAY;
             }
             RunEnd::Broken(error) => {
                 let events = text.events.len();
                 let (request, server) = (task.fingerprint, &incarnation.id);
-                tracing::info!(item = task.item.id, %request, server, events, %error, "run broke off");
+                tracing::info!(item = task.item.id, %request, server, events, %error, "run interrupted");
             }
         }
         if failures >= task.max_failures {
@@ -279,7 +293,7 @@
     finish(&engine, task, text).await
 }
 
-/// Has a whole text scored; its result is complete then.
+/// Has a complete text scored and builds the item's result.
 async fn finish(engine: &Engine, task: Task, text: Text) -> ItemEnd {
     let score = match &task.item.scorer {
         None => None,
@@ -313,6 +327,7 @@
     }
 }
 
+/// Sends one request for the item to the engine and reads the answer.
 async fn run_once(engine: &Engine, task: &Task, incarnation: &Life, text: &mut Text) -> RunEnd {
     let request = EngineRequest {
         after: text.last_id,
@@ -346,33 +361,36 @@
                 item = task.item.id,
                 status,
                 refused,
-                "the engine did not take the item"
+                "engine did not run the item"
             );
             RunEnd::Refused
         }
     }
 }
 
-/// Reads the rest of an answer that is not needed.
+/// Reads and discards the body of an answer.
 async fn drain_body(mut opened: Opened) {
     while let Ok(Some(_)) = opened.body.next(REFUSAL_BODY_TIMEOUT).await {}
 }
 
-/// Reads events until the stream ends. Only whole events count: a stream that
-/// breaks off goes on after the last of them.
+/// Reads events into `text` until the stream ends. Only complete events count: after an
+/// interruption the next attempt continues after the last of them.
 async fn read_stream(engine: &Engine, opened: Opened, task: &Task, text: &mut Text) -> RunEnd {
     let Opened {
         mut body, headers, ..
     } = opened;
     let Some(mut version) = version_of_head(&headers) else {
-        tracing::warn!(item = task.item.id, "an answer names no weight version");
+        tracing::warn!(
+            item = task.item.id,
+            "engine's answer names no weight version"
+        );
         return RunEnd::Refused;
     };
     if version < task.least_version {
         tracing::warn!(
             item = task.item.id,
             version,
-            "the engine's weights are too old"
+            "engine's weights are older than the item requires"
         );
         return RunEnd::Refused;
     }
@@ -383,7 +401,7 @@
         match body.next(STREAM_IDLE_TIMEOUT).await {
             Ok(Some(bytes)) => events.push(&bytes),
             Ok(None) if events.is_torn() => {
-                tracing::info!(item = task.item.id, "the stream ended within an event");
+                tracing::info!(item = task.item.id, "stream ended within an event");
                 return RunEnd::Refused;
             }
             Ok(None) => return RunEnd::Whole,
@@ -393,7 +411,7 @@
             version = event.version.unwrap_or(version);
             let next = text.last_id.map_or(event.id, |last| Some(last + 1));
             if event.id.is_none() || event.id != next {
-                tracing::warn!(item = task.item.id, ?event.id, ?next, "an event out of order");
+                tracing::warn!(item = task.item.id, ?event.id, ?next, "stream event out of order");
                 return RunEnd::Refused;
             }
             let now = engine.clock.now();
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -1,4 +1,4 @@
-//! Has texts scored.
+//! Calls the scorer of an item's text.
 
 use crate::{
     base::{Asked, Fingerprint, Millis},
@@ -14,34 +14,36 @@
 };
 use std::sync::Arc;
 
-/// Sends texts to the service that scores them.
+/// Sends texts to the scorers that their items name.
 pub(super) struct ScorerClient {
     pub(super) caller: Arc<Caller>,
     pub(super) site: Arc<Site>,
 }
 
-/// What became of a score.
+/// How a request for a score ended.
 #[derive(Debug)]
 pub(super) enum ScoreEnd {
+    /// The scorer's signature of its answer.
     Given(String),
-    /// Scorers answered that they failed as often as the route allows. Calls
-    /// that were lost or not taken don't count: an item was given up after one
-    /// failure while another server was full.
+    /// Scorers answered that they failed as often as the route allows. Calls that were
+    /// lost or not run don't count: when they did, an item was given up after one failure
+    /// while another server was full.
     GivenUp,
     /// The item's time is over.
     TimedOut,
 }
 
-/// The wait between two calls for the same score; scores take about 100 ms.
+/// The wait between two calls for the same score; scoring takes about 100 ms.
 const RETRY_DELAY: Millis = Millis(80);
 
-/// The same once two servers have ended under the call. The request that ends them
-/// does so again within a second or is in quarantine: a call that comes back at
-/// once is beside it for a third time, and would be taken for it.
+/// The same wait once two servers have crashed under the call, perhaps because of another
+/// request. That request crashes a third server within a second or is in quarantine by
+/// then; a call repeated at once would be on that server as well and would share the
+/// blame.
 const SUSPECT_RETRY_DELAY: Millis = Millis(1_000);
 
 impl ScorerClient {
-    /// Calls the scorer until it gives its score.
+    /// Calls the scorer until it gives a score, has failed too often or time is up.
     pub(super) async fn score(&self, scorer: &Scorer, deadline: Millis) -> ScoreEnd {
         let fingerprint = fingerprint(scorer);
         let mut failures = 0;
@@ -86,7 +88,7 @@
                 } => {
                     failures += more;
                     let status = answer.status.as_u16();
-                    tracing::info!(call = scorer.id, status, failures, "the scorer failed");
+                    tracing::info!(call = scorer.id, status, failures, "scorer failed");
                 }
                 CallEnd::NotRun { wait, .. } => {
                     tokio::time::sleep(wait.min(SUSPECT_RETRY_DELAY).as_duration()).await;
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -1,4 +1,8 @@
-//! Items under which engines end: who may run, and what a run's end tells.
+//! Admits item runs to the engine and records which items its crashes count against.
+//!
+//! An item may crash the engines that run it. One that has lost two engines is a
+//! suspect: it starts with the engine to itself, so that a crash can be attributed to
+//! it. After three it is in quarantine.
 
 use super::run_item::{
     Engine,
@@ -23,31 +27,31 @@
     SemaphorePermit, //
 };
 
-/// A run's place on its engine, free again when this is dropped.
+/// The lock that a run holds on its engine.
 pub(super) enum RunGuard<'a> {
-    /// A suspect's: nothing else begins there, where it could be had in time.
+    /// Held by a suspect, so that nothing else starts. A lock that could not be acquired
+    /// in time is `None`; the suspect starts all the same.
     Exclusive {
         _lock: Option<RwLockWriteGuard<'a, ()>>,
         _turn: Option<SemaphorePermit<'a>>,
     },
-    Shared {
-        _guard: RwLockReadGuard<'a, ()>,
-    },
+    /// Held by any other run.
+    Shared { _guard: RwLockReadGuard<'a, ()> },
 }
 
-/// How long a suspect has its engine to itself: a request that ends its engine does so
-/// within some tenths of a second of its begin.
+/// How long a suspect has its engine to itself: a request that crashes its engine does so
+/// within some tenths of a second of its start.
 const MAX_ISOLATION: Millis = Millis(600);
 
-/// How long it waits for the runs before it to end. Texts take seconds: whoever waited
-/// for them, or for suspects with such texts, would lie for longer than a step bears.
+/// How long a suspect waits for the current runs to end. Their texts take seconds: a
+/// suspect that waited for all of them would make its step late.
 const DRAIN_TIMEOUT: Millis = Millis(300);
 
-/// How long it waits for other suspects, of which a bundle has a few.
+/// How long a suspect waits for its turn after others; a bundle has a few suspects.
 const SUSPECT_TURN_TIMEOUT: Millis = Millis(1_600);
 
 impl RunGuard<'_> {
-    /// Whether an item of which `verdict` is known may begin here.
+    /// Whether an item with this `verdict` may start under this lock.
     fn permits(&self, verdict: Verdict) -> bool {
         match verdict {
             Verdict::Clear | Verdict::Watched => matches!(self, Self::Shared { .. }),
@@ -56,7 +60,8 @@
         }
     }
 
-    /// Waits for `run`, which holds this place: a suspect's for a while only.
+    /// Waits for `run` while holding this lock, a suspect's for [`MAX_ISOLATION`] at most.
+    /// Returns the lock if it is still held.
     pub(super) async fn hold_during<T>(self, run: impl Future<Output = T>) -> (T, Option<Self>) {
         let mut run = std::pin::pin!(run);
         if matches!(self, Self::Shared { .. }) {
@@ -72,26 +77,30 @@
     }
 }
 
-/// How long a runner has for an attempt: longer than an item takes to end its engine,
-/// and shorter than it may lie when its runner was killed.
+/// How long an attempt stays claimed at most: longer than an item takes to crash its
+/// engine, and shorter than the item may wait after its runner was killed.
 const ATTEMPT_TTL: Millis = Millis(3_000);
 
-/// What lets an item begin.
+/// The permission to start an item's run.
 pub(super) struct Admission<'a> {
-    /// `None` for an item under which no engine has ended, or while the store is away.
+    /// `None` for an item that no engine has crashed under, or while the store is
+    /// unreachable.
     pub(super) attempt: Option<Attempt>,
     pub(super) guard: RunGuard<'a>,
 }
 
-/// Whose turn it is to run an item.
+/// The outcome of claiming the one attempt that all runners may make at a time.
 enum AttemptClaim {
-    /// More engines have ended under it meanwhile.
+    /// The item's crash count has changed meanwhile; its verdict is to be read again.
     Retry,
+    /// This runner may start; without an attempt if none is needed or the store is
+    /// unreachable.
     Granted(Option<Attempt>),
+    /// Another runner has the attempt, or the item is in quarantine.
     Denied,
 }
 
-/// Counts an item as waiting in quarantine until it is dropped.
+/// Counts an item as waiting for admission until this is dropped.
 struct QuarantineGuard<'a>(&'a AtomicUsize);
 
 impl<'a> QuarantineGuard<'a> {
@@ -107,53 +116,54 @@
     }
 }
 
-/// A run whose connection broke.
+/// A run whose connection broke while it is not known whether its engine crashed.
 #[derive(Clone, Debug)]
 pub(super) struct BrokenRun {
+    /// When the connection broke.
     at: Millis,
     attempt: Option<Attempt>,
     incarnation: Life,
     request: Fingerprint,
 }
 
-/// A report may have been made so long before it came.
+/// How long before its arrival a report may have been made.
 const REPORT_DELAY: Millis = Millis(100);
 
-/// The most of them that are kept: some times what an engine runs at once.
+/// The most broken runs that are kept: a few times what an engine runs at once.
 const MAX_BROKEN_RUNS: usize = 64;
 
-/// Whether `next` began after `life`. Where engines don't tell when they started, ids
-/// tell lives apart.
+/// Whether `next` started after `incarnation`. Engines that don't report their start time
+/// are told apart by their ids.
 fn is_later(next: &Life, incarnation: &Life) -> bool {
     let untold = next.born == Millis(0) && next.id != incarnation.id;
     next.born > incarnation.born || untold
 }
 
-/// What becomes of an item after a run.
+/// What to do with an item after a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum AfterRun {
-    /// It is given back, to be claimed anew.
+    /// Drop it here, so that its bundle is released and claimed again.
     GiveBack,
-    /// Its run goes on as that run's end says.
+    /// Act on the [`RunEnd`].
     Continue,
 }
 
-/// When an engine that gives no report counts as lost, and a little more.
+/// Slightly longer than the time after which an engine without reports counts as gone.
 const NOTICE_TIMEOUT: Millis = Millis(1_200);
 
-/// How often an item in quarantine looks whether it may be tried.
+/// How often an item that waits for admission checks whether it may start.
 const QUARANTINE_CHECK_INTERVAL: Millis = Millis(500);
 
-/// How long the look whether the engine beside this runner listens may take.
+/// How long the check whether the engine still listens may take.
 const PROBE_TIMEOUT: Millis = Millis(100);
 
 impl Engine {
     /// Waits until `task` may run; `None` when its time is over before.
     ///
-    /// An item under which an engine has ended runs at one instance at a time: its
-    /// bundle may have two runners, and it would end both their engines. A suspect also
-    /// begins with the engine to itself, so that the engine's next end tells of it
-    /// alone: beside it, items that did nothing wrong had their third end.
+    /// An item that an engine has crashed under runs at one instance at a time: its bundle
+    /// may have two runners, and it would crash both their engines. A suspect also starts
+    /// with the engine to itself, so that the next crash counts against it alone:
+    /// before, innocent items that ran next to it reached their third crash.
     pub(super) async fn admit(&self, task: &Task) -> Option<Admission<'_>> {
         let deadline = self.deadline_of(task);
         let request = task.fingerprint;
@@ -173,7 +183,7 @@
                 Verdict::Suspect | Verdict::Trial => Some(self.isolate().await),
                 Verdict::Barred => None,
             };
-            // Whoever ran before may have shown what this one is.
+            // A run that ended during the wait may have changed the verdict.
             let verdict = self.crashes.judge(request);
             match guard {
                 Some(guard) if guard.permits(verdict) => match self
@@ -189,16 +199,16 @@
             }
             if waiting.is_none() {
                 let item = &task.item.id;
-                tracing::warn!(item, %request, ?verdict, "the item waits: engines have ended under it");
+                tracing::warn!(item, %request, ?verdict, "item waits: engines have crashed under it");
                 waiting = Some(QuarantineGuard::begin(&self.quarantined));
             }
-            // It keeps its bundle, which would be offered and taken again and again.
+            // The bundle stays claimed: released, it would be claimed again and again.
             let again = tokio::time::sleep(QUARANTINE_CHECK_INTERVAL.as_duration());
             tokio::time::timeout_at(deadline, again).await.ok()?;
         }
     }
 
-    /// Takes the attempt of a request of which `verdict` was known, unless it is clear.
+    /// Claims the attempt at a request with this `verdict`; a clear one needs none.
     async fn claim_attempt(&self, request: Fingerprint, verdict: Verdict) -> AttemptClaim {
         let claimed = match verdict {
             Verdict::Clear => return AttemptClaim::Granted(None),
@@ -212,7 +222,7 @@
             Verdict::Barred => return AttemptClaim::Denied,
         };
         match claimed {
-            // The claim has read what others saw meanwhile.
+            // Claiming has read the crashes that others have recorded meanwhile.
             Claimed::Here(attempt) if self.crashes.judge(request) == verdict => {
                 AttemptClaim::Granted(Some(attempt))
             }
@@ -220,14 +230,14 @@
                 self.crashes.release_attempt(attempt);
                 AttemptClaim::Retry
             }
-            // Without the store each runner goes by what it knows.
+            // While the store is unreachable, each runner decides by what it knows.
             Claimed::Unknown => AttemptClaim::Granted(None),
             Claimed::Elsewhere => AttemptClaim::Denied,
         }
     }
 
-    /// A suspect's place: other suspects go before it, and the runs before it end, as
-    /// far as that takes no longer than an item may lie.
+    /// Acquires a suspect's exclusive lock: waits for other suspects and then for the
+    /// current runs, both with a timeout, and goes ahead without what it did not get.
     async fn isolate(&self) -> RunGuard<'_> {
         let turn = tokio::time::timeout(
             SUSPECT_TURN_TIMEOUT.as_duration(),
@@ -246,13 +256,14 @@
         self.run_lock.try_read().is_err()
     }
 
+    /// The deadline of `task` on the clock of tokio's timers.
     fn deadline_of(&self, task: &Task) -> tokio::time::Instant {
         let left = task.deadline.since(self.clock.now());
         tokio::time::Instant::now() + left.as_duration()
     }
 
-    /// Counts the end of the life `server` against `task` if it was not planned;
-    /// true if so.
+    /// If the run ended because the engine crashed, counts the crash of `incarnation`
+    /// against `task` and returns true.
     async fn record_crash(&self, incarnation: &Life, task: &Task, run: &RunEnd) -> bool {
         let has_crashed = match run {
             RunEnd::Replaced => self.is_replaced(incarnation),
@@ -266,10 +277,10 @@
         has_crashed
     }
 
-    /// Whether the life `server`, whose connection broke, has ended and was not to.
+    /// Whether `incarnation`, to which the connection broke, has ended unplanned.
     async fn has_crashed(&self, incarnation: &Life) -> bool {
-        // Several runs lose their engine at once: what one of them found, and the work
-        // loop by it, holds for all.
+        // Several runs lose their engine at once: what one of them has detected holds for
+        // all, even if the engine listens again by now.
         let found = self.last_crashed.borrow().as_ref() == Some(incarnation);
         let present = self.incarnation.borrow().clone();
         match present {
@@ -282,11 +293,12 @@
         }
     }
 
-    /// Settles the runs that broke off, by a report that came at `seen` of the life
-    /// `present`: it lives, or is a later one.
+    /// Decides for each broken run whether its engine has crashed, by a report of the
+    /// incarnation `present` that arrived at `seen`: either it is the run's incarnation,
+    /// which is alive, or a later one.
     ///
-    /// An engine that is back at once looks as if it had not ended. Another attempt of
-    /// the item before that is known would end another engine.
+    /// An engine that restarts at once looks as if it had not ended. The run's attempt
+    /// stays claimed until this is decided: another one could crash another engine.
     pub(super) fn resolve_broken_runs(&self, present: &Life, seen: Millis) {
         self.broken_runs().retain(|run| {
             let lives = run.incarnation == *present && seen > run.at + REPORT_DELAY;
@@ -301,7 +313,7 @@
         });
     }
 
-    /// Keeps a run that broke off until it is known whether its engine has ended.
+    /// Keeps a broken run until it is known whether its engine has crashed.
     fn add_broken_run(&self, run: BrokenRun) {
         let mut broken = self.broken_runs();
         if broken.len() < MAX_BROKEN_RUNS {
@@ -315,36 +327,38 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a later life has taken the place of `server`, which was not to end.
+    /// Whether a later incarnation has replaced `incarnation`, which was not draining.
     fn is_replaced(&self, incarnation: &Life) -> bool {
         let next = self.incarnation.borrow().clone();
         let is_later = next.is_some_and(|next| is_later(&next, incarnation));
         is_later && self.is_draining(incarnation) != Some(true)
     }
 
-    /// Whether a server called as `server` leaves; `None` where none is announced.
+    /// Whether the server with the id of `incarnation` is draining; `None` if none is
+    /// announced.
     fn is_draining(&self, incarnation: &Life) -> Option<bool> {
         let directory = self.scorer_client.site.directory();
         directory.get(&incarnation.id).map(|known| known.draining)
     }
 
-    /// Waits until the end of the life `server` is known to the work loop.
+    /// Waits until the work loop has noticed the end of `incarnation`.
     pub(super) async fn wait_until_noticed(&self, incarnation: &Life) {
         let mut known = self.incarnation.clone();
         let other = known.wait_for(|known| known.as_ref() != Some(incarnation));
-        // The work loop looks at the engine's reports; past this they are stale.
+        // The work loop goes by the engine's reports; after this time they are stale.
         let _ = tokio::time::timeout(NOTICE_TIMEOUT.as_duration(), other).await;
     }
 
-    /// Gives back the attempt of an item that is over or did not begin: whoever runs it
-    /// next would wait for it until it is free by itself, and the item would lie.
+    /// Releases the attempt of an item whose run is over or did not start. Otherwise the
+    /// next run of the item would have to wait until the attempt expires.
     pub(super) fn release_attempt(&self, attempt: Option<Attempt>) {
         if let Some(attempt) = attempt {
             self.crashes.release_attempt(attempt);
         }
     }
 
-    /// Takes what a run tells of its item; `admitted` may have given its place back.
+    /// Records what the end of a run shows about its item, and releases `admitted`, whose
+    /// lock may be released already.
     pub(super) async fn after_run(
         &self,
         incarnation: &Life,
@@ -372,11 +386,11 @@
         if !ended || matches!(verdict, Verdict::Clear | Verdict::Watched) {
             return AfterRun::Continue;
         }
-        // Others take its bundle over by now. It is claimed anew, so that it does
-        // not run here and there at once, and ends two engines.
+        // Other runners may take its bundle over by now. The bundle has to be claimed
+        // again, so that the item does not run twice at once and crash two engines.
         let item = &task.item.id;
-        tracing::info!(item, %request, "a suspect is given back after its run broke off");
-        // Before that the bundle would be claimed here again at once.
+        tracing::info!(item, %request, "giving a suspect back after its engine crashed");
+        // Given back before that, the bundle would be claimed here again at once.
         self.wait_until_noticed(incarnation).await;
         AfterRun::GiveBack
     }
--- a/src/runner/text.rs
+++ b/src/runner/text.rs
@@ -1,4 +1,4 @@
-//! What has been generated of an item so far.
+//! The text of an item while it is generated, and its saved copy in the store.
 
 use super::run_item::{
     Engine,
@@ -11,34 +11,38 @@
 };
 use std::collections::BTreeSet;
 
-/// Long texts are kept this often while they grow, so that another engine goes
-/// on instead of beginning anew. Most items end before the first time; the
-/// longest run for five seconds, and steps waited for them twice over when
-/// their engine crashed or left.
+/// How often a growing text is saved, so that another engine can continue it. Most items
+/// end before the first save. The longest run for five seconds; without a saved text,
+/// steps waited twice as long for them when their engine crashed or was drained.
 const SAVE_INTERVAL: Millis = Millis(700);
 
-/// The least new events for which a text is kept again.
+/// The fewest new events for which a text is saved again.
 const MIN_NEW_EVENTS: usize = 6;
 
-/// The most bytes of a kept text: one row of the store.
+/// The most bytes of a saved text, which has to fit into one row of the store.
 const MAX_SAVED_BYTES: usize = 44 * 1024;
 
-/// What has been generated so far.
+/// The events that were generated so far, over all attempts.
 #[derive(Default)]
 pub(super) struct Text {
+    /// The data of each event.
     pub(super) events: Vec<String>,
-    /// When the last run's first and newest events came.
+    /// When the latest attempt's first event arrived.
     pub(super) first_at: Option<Millis>,
+    /// When the newest event arrived.
     pub(super) newest_at: Millis,
+    /// The number of the newest event.
     pub(super) last_id: Option<u64>,
-    /// When it was last kept, and how many events it had.
+    /// When it was last saved.
     saved_at: Millis,
+    /// How many events it had when it was last saved.
     saved_events: usize,
+    /// The weight versions that generated its events.
     pub(super) versions: BTreeSet<u64>,
 }
 
 impl Text {
-    /// The text that an earlier run has left.
+    /// Continues the text that an earlier run saved, or starts an empty one.
     pub(super) fn resume(partial: Option<Partial>, now: Millis) -> Self {
         let partial = partial.unwrap_or_default();
         Self {
@@ -51,8 +55,8 @@
         }
     }
 
-    /// Keeps what there is in the store if that is due. Nobody waits for it,
-    /// and losing it costs time only.
+    /// Saves the text in the store if that is due. Nothing waits for the write; a lost one
+    /// only costs the time to generate the events again.
     pub(super) fn save_if_due(&mut self, engine: &Engine, task: &Task) {
         let due = self.newest_at.since(self.saved_at) >= SAVE_INTERVAL;
         let grown = self.events.len() >= self.saved_events + MIN_NEW_EVENTS;
@@ -79,7 +83,7 @@
         let item = task.item.id.clone();
         tokio::spawn(async move {
             if let Err(error) = store.transact(&transaction).await {
-                tracing::debug!(item, %error, "a partial text was not kept");
+                tracing::debug!(item, %error, "partial text not saved");
             }
         });
     }
--- a/standins/tests/integration/crashes.rs
+++ b/standins/tests/integration/crashes.rs
@@ -323,7 +323,7 @@
 /// engine is back, and other runners take its bundle over: every engine ended for as
 /// long as the step was open, and the items beside it never became whole. A runner
 /// counted what its engine answered, failures included, and nothing when the engine
-/// ended: `run broke off`, and the item was offered again 60 ms later. 21 engines ended
+/// ended: `run interrupted`, and the item was offered again 60 ms later. 21 engines ended
 /// in 12 s. The items of its bundle share its engines, so that two ends speak against
 /// all of them alike: from then on each runs apart from the others, and is claimed
 /// anew once its engine has ended, since another runner may have taken it over.
