--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -40,7 +40,7 @@
         // Items in quarantine, or otherwise waiting for admission, use no engine slot. When
         // they were counted as load, those of a few batches kept all other batches from
         // running until they were given up.
-        let load = held.saturating_sub(self.engine.quarantined.load(Ordering::Relaxed));
+        let load = held.saturating_sub(self.engine.waiting_items.load(Ordering::Relaxed));
         let mut room = capacity(self.slots, self.pace, usual).saturating_sub(load as u32);
         if room == 0 {
             return;
@@ -64,7 +64,7 @@
             return;
         }
         let places = place.count as u32 * self.slots;
-        self.line_up(&ids, &mut offers, places);
+        self.set_start_order(&ids, &mut offers, places);
         let mut taker = Taker {
             place: standing.class_rank,
             room,
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -26,11 +26,11 @@
             self.slots = server.slots.max(1);
         }
         let announced_id = announced.as_ref().map(|server| server.life.id.as_str());
-        let met = self.engine.mismatch.borrow().clone();
-        let confirmed = met
+        let mismatch = self.engine.mismatch.borrow().clone();
+        let confirmed = mismatch
             .as_ref()
-            .is_some_and(|met| self.has_own_report_since(met.at));
-        let present = present(announced_id, met.as_ref(), confirmed);
+            .is_some_and(|mismatch| self.has_own_report_since(mismatch.at));
+        let present = present(announced_id, mismatch.as_ref(), confirmed);
 
         let started = announced
             .as_ref()
@@ -52,7 +52,7 @@
             .map_or(Millis(0), |(report, _)| report.born);
         let id = present.filter(|id| fresh && !draining(id));
         let incarnation = id.map(|id| Life::new(id, born));
-        if met.is_some_and(|met| is_settled(announced_id, &met)) {
+        if mismatch.is_some_and(|mismatch| is_settled(announced_id, &mismatch)) {
             self.engine.mismatch.send_replace(None);
         }
         if let (Some(present), Some((_, seen))) = (&incarnation, &self.report) {
--- a/src/runner/line.rs
+++ b/src/runner/line.rs
@@ -13,7 +13,7 @@
 impl WorkLoop {
     /// Sets the start order of the offers that wait for this runner's home model;
     /// `places` is the number of slots of the model's engines.
-    pub(super) fn line_up(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
+    pub(super) fn set_start_order(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
         let supply = Supply {
             places,
             token: self.engine.rate().token(),
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -68,7 +68,7 @@
     pub(super) store: Store,
     /// The number of items that wait for admission: in quarantine, or while another runner
     /// has their attempt.
-    pub(super) quarantined: Arc<AtomicUsize>,
+    pub(super) waiting_items: Arc<AtomicUsize>,
 }
 
 impl Engine {
@@ -103,13 +103,13 @@
         let Some(found) = instance_of(headers).filter(|found| *found != expected) else {
             return;
         };
-        let met = Met {
+        let new = Met {
             at: self.clock.now(),
             expected: expected.to_owned(),
             found: found.to_owned(),
         };
         self.mismatch.send_if_modified(|known| {
-            let same = |known: &Met| (&known.expected, &known.found) == (&met.expected, &met.found);
+            let same = |known: &Met| (&known.expected, &known.found) == (&new.expected, &new.found);
             if known.as_ref().is_some_and(same) {
                 return false;
             }
@@ -118,7 +118,7 @@
                 found,
                 "the engine has another incarnation than expected"
             );
-            *known = Some(met);
+            *known = Some(new);
             true
         });
     }
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -82,7 +82,7 @@
                 scorer_client: Arc::new(scorer_client),
                 incarnation: current,
                 store: store.clone(),
-                quarantined: Arc::default(),
+                waiting_items: Arc::default(),
             },
             engine_address: settings.engine,
             instance: common.instance,
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -101,16 +101,16 @@
 }
 
 /// Counts an item as waiting for admission until this is dropped.
-struct QuarantineGuard<'a>(&'a AtomicUsize);
+struct WaitingItem<'a>(&'a AtomicUsize);
 
-impl<'a> QuarantineGuard<'a> {
+impl<'a> WaitingItem<'a> {
     fn begin(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for QuarantineGuard<'_> {
+impl Drop for WaitingItem<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -135,8 +135,8 @@
 /// Whether `next` started after `incarnation`. Engines that don't report their start time
 /// are told apart by their ids.
 fn is_later(next: &Life, incarnation: &Life) -> bool {
-    let untold = next.born == Millis(0) && next.id != incarnation.id;
-    next.born > incarnation.born || untold
+    let by_id = next.born == Millis(0) && next.id != incarnation.id;
+    next.born > incarnation.born || by_id
 }
 
 /// What to do with an item after a run.
@@ -152,7 +152,7 @@
 const NOTICE_TIMEOUT: Millis = Millis(1_200);
 
 /// How often an item that waits for admission checks whether it may start.
-const QUARANTINE_CHECK_INTERVAL: Millis = Millis(500);
+const ADMISSION_CHECK_INTERVAL: Millis = Millis(500);
 
 /// How long the check whether the engine still listens may take.
 const PROBE_TIMEOUT: Millis = Millis(100);
@@ -200,10 +200,10 @@
             if waiting.is_none() {
                 let item = &task.item.id;
                 tracing::warn!(item, %request, ?verdict, "item waits: engines have crashed under it");
-                waiting = Some(QuarantineGuard::begin(&self.quarantined));
+                waiting = Some(WaitingItem::begin(&self.waiting_items));
             }
             // The bundle stays claimed: released, it would be claimed again and again.
-            let again = tokio::time::sleep(QUARANTINE_CHECK_INTERVAL.as_duration());
+            let again = tokio::time::sleep(ADMISSION_CHECK_INTERVAL.as_duration());
             tokio::time::timeout_at(deadline, again).await.ok()?;
         }
     }
