--- a/src/runner/changes.rs
+++ b/src/runner/changes.rs
@@ -1,8 +1,8 @@
-//! Takes what the store tells of batches, claims and runners.
+//! Applies changes of the store's work table to the runner's view of it.
 
 use super::{
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -10,16 +10,16 @@
     store::{Change, Row}, //
 };
 
-impl Work {
-    /// Takes one change of the table of work.
-    pub(super) fn change(&mut self, change: Change, now: Millis) {
+impl WorkLoop {
+    /// Applies one change of the work table.
+    pub(super) fn apply_change(&mut self, change: Change, now: Millis) {
         match change {
             Change::Put {
                 part,
                 key,
                 value,
                 revision,
-            } => self.put(&part, &key, &value, revision, now),
+            } => self.apply_row(&part, &key, &value, revision, now),
             Change::Removed { part, key } => {
                 let Some(id) = part.strip_prefix("batch-") else {
                     return;
@@ -41,10 +41,18 @@
         }
     }
 
-    pub(super) fn put(&mut self, part: &str, key: &str, value: &[u8], revision: u64, now: Millis) {
+    /// Applies a new or changed row: a heartbeat, or a batch's head, log or claim.
+    pub(super) fn apply_row(
+        &mut self,
+        part: &str,
+        key: &str,
+        value: &[u8],
+        revision: u64,
+        now: Millis,
+    ) {
         if is_heartbeat_part(part) {
             if let Some(heartbeat) = decode::<Heartbeat>("heartbeat", value) {
-                self.heartbeats.take(key, heartbeat, revision, now);
+                self.heartbeats.record(key, heartbeat, revision, now);
             }
             return;
         }
@@ -62,7 +70,7 @@
                     }
                     self.batches
                         .insert(id.to_owned(), OpenBatch::new(head, now));
-                    self.settle_orphans(id);
+                    self.apply_orphans(id);
                     self.prefetch(id);
                 }
             }
@@ -71,7 +79,7 @@
                     let ended = log.ended && !batch.log.ended;
                     batch.set_log(log, revision);
                     if ended {
-                        tracing::info!(batch = id, "batch ended, its runs are stopped");
+                        tracing::info!(batch = id, "batch ended, stopping its runs");
                     }
                 }
             }
@@ -80,14 +88,14 @@
                     batch.set_claim(bundle, claim, revision, now);
                 }
             }
-            (Some(_), None) => self.orphan(id, key, value, revision),
+            (Some(_), None) => self.add_orphan(id, key, value, revision),
             (Some(WorkKey::Head), Some(_)) | (None, _) => {}
         }
     }
 
-    /// Rows of a batch can come before its head, as a listing orders its rows
-    /// by key: they are taken once the head is there.
-    pub(super) fn orphan(&mut self, id: &str, key: &str, value: &[u8], revision: u64) {
+    /// Keeps a row that arrived before the head of its batch. A listing returns rows
+    /// in key order, so claims come before the head.
+    pub(super) fn add_orphan(&mut self, id: &str, key: &str, value: &[u8], revision: u64) {
         let row = Row {
             part: batch_part(id),
             key: key.to_owned(),
@@ -97,11 +105,12 @@
         self.orphans.entry(id.to_owned()).or_default().push(row);
     }
 
-    pub(super) fn settle_orphans(&mut self, id: &str) {
+    /// Applies the rows of batch `id` that arrived before its head.
+    pub(super) fn apply_orphans(&mut self, id: &str) {
         let now = self.clock.now();
         for row in self.orphans.remove(id).unwrap_or_default() {
             let value = row.value.unwrap_or_default();
-            self.put(&row.part, &row.key, &value, row.revision, now);
+            self.apply_row(&row.part, &row.key, &value, row.revision, now);
         }
     }
 }
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -1,10 +1,10 @@
-//! Takes bundles for this runner.
+//! Chooses bundles for this runner and claims them in the store.
 
 use super::{
     event::{BundleId, Event},
     offers::Standing,
-    open_batch::{Mine, OpenBatch},
-    work::Work, //
+    open_batch::{BundleState, OpenBatch},
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -17,38 +17,39 @@
 };
 use std::sync::atomic::Ordering;
 
-/// The wait after a claim that the store did not take. Without it a store that
-/// refuses at once was asked 35,000 times in 16 s of outage by nine runners.
-pub(super) const CLAIM_AGAIN: Millis = Millis(200);
+/// The wait after a claim or read that the store failed. Without it, nine runners sent
+/// 35,000 requests in a 16 s outage to a store that refused each one immediately.
+pub(super) const STORE_RETRY_DELAY: Millis = Millis(200);
 
-impl Work {
-    /// Takes bundles while the engine has room; `usual` is the usual pace of the
-    /// service's engines, in ms an event.
+impl WorkLoop {
+    /// Claims bundles while the engine has free slots; `usual` is the usual pace of the
+    /// service's engines, in ms per event.
     pub(super) fn plan_claims(&mut self, standing: &Standing, usual: f64, now: Millis) {
         if !self.is_working() || self.leaving {
             return;
         }
-        // What is taken now would wait until a suspect has run alone.
+        // A bundle claimed now would have to wait until the suspect's exclusive run ends.
         if self.engine.is_isolating() {
             return;
         }
         let ids: Vec<String> = self.batches.keys().cloned().collect();
         for id in &ids {
-            self.start_fetching(id);
+            self.start_ready(id);
         }
         let held: usize = self.batches.values().map(OpenBatch::load).sum();
-        // Items in quarantine take no place of the engine. Counted in, those of some
-        // batches kept all others from running until they were given up.
-        let load = held.saturating_sub(self.engine.waiting.load(Ordering::Relaxed));
+        // Items in quarantine, or otherwise waiting for admission, use no engine slot. When
+        // they were counted as load, those of a few batches kept all other batches from
+        // running until they were given up.
+        let load = held.saturating_sub(self.engine.waiting_items.load(Ordering::Relaxed));
         let mut room = capacity(self.slots, self.pace, usual).saturating_sub(load as u32);
         if room == 0 {
             return;
         }
-        let place = standing.place;
+        let place = standing.model_rank;
         let home = standing.home.as_deref();
         let home = home.filter(|_| !is_slow(self.pace, usual));
         let mut offers = self.offers(&ids, home, now);
-        if self.away_since.is_some() {
+        if self.outage_start.is_some() {
             offers.retain(|offer| is_mine_by_rule(offer, place));
             offers.sort_by_key(|offer| (offer.due, offer.order));
             for offer in offers {
@@ -59,13 +60,13 @@
             }
             return;
         }
-        if now < self.claims_from {
+        if now < self.retry_at {
             return;
         }
         let places = place.count as u32 * self.slots;
-        self.line_up(&ids, &mut offers, places);
+        self.set_start_order(&ids, &mut offers, places);
         let mut taker = Taker {
-            place: standing.share,
+            place: standing.class_rank,
             room,
             slower: self.kind.slower,
             yields: standing.yields,
@@ -77,9 +78,9 @@
         }
     }
 
-    /// Runs a bundle without a claim, as the store can't take one. Its results
-    /// wait here until the store is back: on a day with 12 s of outages this
-    /// is what lets steps that were accepted before finish in time.
+    /// Runs a bundle without a claim while the store is unreachable. The results stay in
+    /// memory until it is back. On a day with 12 s of outages this is what lets steps
+    /// that were accepted before an outage finish in time.
     fn run_unclaimed(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -87,12 +88,14 @@
         tracing::info!(
             batch = id,
             bundle,
-            "runs a bundle unclaimed: the store is away"
+            "running a bundle without a claim: the store is unreachable"
         );
-        batch.mine.insert(bundle, Mine::Fetching);
+        batch.own_bundles.insert(bundle, BundleState::Fetching);
         self.start(id, bundle);
     }
 
+    /// Writes a claim on the offered bundle, or joins its holder as the second runner,
+    /// and reads the bundle's items meanwhile.
     fn claim(&mut self, id: &str, offer: &Offer) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -109,7 +112,7 @@
                     holder,
                     pace,
                     since,
-                    "joins a late bundle"
+                    "joining the holder of a late bundle"
                 );
                 Claim {
                     second: Some(self.instance.clone()),
@@ -119,7 +122,7 @@
             _ => {
                 let before = held.map(|held| held.claim.holder.as_str());
                 let (bundle, age) = (offer.bundle, offer.age.0);
-                tracing::info!(batch = id, bundle, ?before, age, "takes a bundle");
+                tracing::info!(batch = id, bundle, ?before, age, "claiming a bundle");
                 Claim {
                     holder: self.instance.clone(),
                     second: None,
@@ -127,7 +130,9 @@
                 }
             }
         };
-        batch.mine.insert(offer.bundle, Mine::Claiming);
+        batch
+            .own_bundles
+            .insert(offer.bundle, BundleState::Claiming);
         let key = Key::new(
             WORK,
             batch_part(id),
@@ -145,7 +150,7 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
             let outcome = store.transact(&transaction).await;
-            let event = Event::Claimed {
+            let event = Event::ClaimWritten {
                 claim,
                 bundle,
                 outcome,
@@ -155,8 +160,8 @@
         self.fetch(id, offer.bundle);
     }
 
-    /// Takes the outcome of a claim: runs the bundle, or leaves it to its holder.
-    pub(super) fn claimed(
+    /// Runs the bundle if the claim was written; otherwise leaves it to its holder.
+    pub(super) fn on_claim_written(
         &mut self,
         claim: Claim,
         bundle: BundleId,
@@ -167,7 +172,7 @@
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        if !batch.mine.contains_key(&bundle) {
+        if !batch.own_bundles.contains_key(&bundle) {
             return;
         }
         match outcome {
@@ -180,7 +185,7 @@
                         self.resume(&id, bundle);
                     }
                     false => {
-                        batch.mine.insert(bundle, Mine::Fetching);
+                        batch.own_bundles.insert(bundle, BundleState::Fetching);
                         self.start(&id, bundle);
                     }
                 }
@@ -193,21 +198,21 @@
                         batch.claims.remove(&bundle);
                         continue;
                     };
-                    // The answer to an earlier try of the same claim was lost.
+                    // The claim was written by an earlier attempt whose answer was lost.
                     ours |= held.is_same_claim(&claim);
                     batch.set_claim(bundle, held, row.revision, now);
                 }
                 if ours {
-                    batch.mine.insert(bundle, Mine::Fetching);
+                    batch.own_bundles.insert(bundle, BundleState::Fetching);
                     self.start(&id, bundle);
                 } else {
-                    batch.mine.remove(&bundle);
+                    batch.own_bundles.remove(&bundle);
                 }
             }
             Err(error) => {
-                tracing::info!(batch = id, bundle, %error, "claim not known to be written");
-                batch.mine.remove(&bundle);
-                self.claims_from = now + CLAIM_AGAIN;
+                tracing::info!(batch = id, bundle, %error, "outcome of a claim unknown");
+                batch.own_bundles.remove(&bundle);
+                self.retry_at = now + STORE_RETRY_DELAY;
             }
         }
     }
--- a/src/runner/give_back.rs
+++ b/src/runner/give_back.rs
@@ -1,19 +1,20 @@
-//! Gives bundles back that this runner has taken and does not run.
+//! Releases claims on bundles that this runner does not run.
 
 use super::{
-    heartbeat::SHARED_WITHIN,
-    work::Work, //
+    heartbeat::CRASH_SHARE_TIMEOUT,
+    work::WorkLoop, //
 };
 use crate::{
     batch::{Claim, WORK, WorkKey, batch_part, encode},
     store::{Key, Outcome, Transaction}, //
 };
 
-impl Work {
-    /// Writes that nobody holds `bundle` any more, unless another runner runs it as well.
+impl WorkLoop {
+    /// Writes a free claim for `bundle`, unless a second runner runs it as well.
     ///
-    /// An engine may be back before a heartbeat could say that it was gone: others took
-    /// the bundle for held, and its runner had no room left for it.
+    /// An engine may be back before any heartbeat has said that it was gone. Without the
+    /// release, other runners took the bundle for held, while this runner had no free
+    /// slot for it.
     pub(super) fn give_back(&self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get(id) else {
             return;
@@ -34,7 +35,7 @@
         let (store, crashes) = (self.store.clone(), self.engine.crashes.clone());
         let id = id.to_owned();
         tokio::spawn(async move {
-            crashes.wait_shared(SHARED_WITHIN).await;
+            crashes.wait_shared(CRASH_SHARE_TIMEOUT).await;
             match store.transact(&transaction).await {
                 Ok(Outcome::Done { .. }) => tracing::info!(batch = id, bundle, "bundle given back"),
                 Ok(Outcome::Conflict { .. }) => {}
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -1,8 +1,8 @@
-//! This runner's own signs of life.
+//! Writes this runner's heartbeats.
 
 use super::{
     event::Event,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -11,26 +11,28 @@
     store::{Key, Outcome, Transaction}, //
 };
 
-/// The time between heartbeats.
-const HEARTBEAT_EVERY: Millis = Millis(1_000);
+/// The time between heartbeats while nothing changes.
+const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
-/// How long the word that an engine or a bundle is free may wait for the crashes of the
-/// engine to be shared: some tries of a write, and less than makes others take this runner
-/// for gone.
-pub(super) const SHARED_WITHIN: Millis = Millis(600);
+/// How long the news that an engine is gone or a bundle released may wait until the
+/// engine's crashes are in the store: enough for a few write attempts, and too short for
+/// others to take this runner for gone.
+pub(super) const CRASH_SHARE_TIMEOUT: Millis = Millis(600);
 
-/// The wait before the first heartbeat is tried again.
-const FIRST_AGAIN: Millis = Millis(80);
+/// The wait before another attempt to write the first heartbeat.
+const FIRST_RETRY_DELAY: Millis = Millis(80);
 
-/// The last heartbeat, and whether it is on its way.
+/// The last heartbeat and the state of its write.
 #[derive(Default)]
 pub(super) struct HeartbeatState {
     pub(super) last: Heartbeat,
+    /// Whether a write is in flight.
     pub(super) sending: bool,
+    /// When the last write began.
     pub(super) sent: Millis,
 }
 
-impl Work {
+impl WorkLoop {
     /// Writes a heartbeat when one is due or something in it has changed.
     pub(super) fn plan_heartbeat(&mut self, now: Millis) {
         let last = &self.heartbeat.last;
@@ -38,7 +40,7 @@
             held: self
                 .home
                 .as_ref()
-                .and_then(|home| self.held(home))
+                .and_then(|home| self.held_version(home))
                 .unwrap_or(0),
             home: self.home.clone(),
             leaving: self.leaving,
@@ -51,21 +53,21 @@
             token: self.token,
             working: self.is_working(),
         };
-        // The pace alone is worth no heartbeat: it changes all the time.
-        let told = Heartbeat {
+        // A change of the pace alone triggers no heartbeat: it changes all the time.
+        let comparable = Heartbeat {
             pace: last.pace,
             ..next.clone()
         };
-        let changed = told != *last;
-        let due = now.since(self.heartbeat.sent) >= HEARTBEAT_EVERY || changed;
-        if self.heartbeat.sending || !due || self.holds_back(now) {
+        let changed = comparable != *last;
+        let due = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL || changed;
+        if self.heartbeat.sending || !due || self.is_withheld(now) {
             return;
         }
         next.sequence += 1;
         self.heartbeat.last = next.clone();
         self.heartbeat.sending = true;
         self.heartbeat.sent = now;
-        self.heartbeats.take(&self.instance, next.clone(), 0, now);
+        self.heartbeats.record(&self.instance, next.clone(), 0, now);
         let (store, events) = (self.store.clone(), self.events.clone());
         let transaction = heartbeat_write(&self.instance, &next);
         tokio::spawn(async move {
@@ -75,13 +77,13 @@
     }
 }
 
-impl Work {
-    /// Whether the word that the engine is gone waits until its end is known under
-    /// the items that ran there: those who take them over would run them beside
-    /// others, as if nothing had happened.
-    fn holds_back(&self, now: Millis) -> bool {
+impl WorkLoop {
+    /// Whether the heartbeat that reports the engine gone waits until its crash is
+    /// recorded for the items that ran there. Otherwise the runners that take these
+    /// items over would run them next to others, as if nothing had happened.
+    fn is_withheld(&self, now: Millis) -> bool {
         let ends = self.heartbeat.last.working && !self.is_working();
-        let late = now.since(self.heartbeat.sent) >= HEARTBEAT_EVERY + SHARED_WITHIN;
+        let late = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL + CRASH_SHARE_TIMEOUT;
         ends && !late && !self.engine.crashes.are_shared()
     }
 }
@@ -98,9 +100,10 @@
     }
 }
 
-/// Writes the first heartbeat of this life; its revision is higher than that of any
-/// life before, on whatever instance, and becomes the life's number. Returns it with
-/// the model that the life before served first: its engine has that one's weights.
+/// Writes the first heartbeat of this incarnation and returns its revision, which becomes
+/// the incarnation's token: it is higher than that of any earlier incarnation on any
+/// instance. Also returns the previous incarnation's home model, whose weights the engine
+/// holds.
 pub(super) async fn first_heartbeat(
     store: &Store,
     instance: &str,
@@ -115,8 +118,8 @@
                 before.and_then(|before| before.home)
             }
             Err(error) => {
-                tracing::warn!(%error, "the life before is not known yet");
-                tokio::time::sleep(FIRST_AGAIN.as_duration()).await;
+                tracing::warn!(%error, "previous heartbeat not read");
+                tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
                 continue;
             }
         };
@@ -128,8 +131,8 @@
         match store.transact(&heartbeat_write(instance, &heartbeat)).await {
             Ok(Outcome::Done { revision }) => return (revision, home),
             Ok(Outcome::Conflict { .. }) => {}
-            Err(error) => tracing::warn!(%error, "no number for this life yet"),
+            Err(error) => tracing::warn!(%error, "first heartbeat not written"),
         }
-        tokio::time::sleep(FIRST_AGAIN.as_duration()).await;
+        tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
     }
 }
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -1,11 +1,11 @@
-//! Reads the items of taken bundles and starts their runs.
+//! Reads the items of this runner's bundles and starts their runs.
 
 use super::{
-    claims::CLAIM_AGAIN,
+    claims::STORE_RETRY_DELAY,
     event::{BundleId, Event},
-    open_batch::{Mine, OpenBatch},
+    open_batch::{BundleState, OpenBatch},
     run_item::{self, Task},
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -18,15 +18,16 @@
     sync::Arc, //
 };
 
-/// The most that one run of an item may take before the engine may stop it.
-const RUN_MOST: Millis = Millis(30_000);
+/// The time that an item has here, retries and scoring included. The engine gets the
+/// deadline with each request and may stop a run there; no attempt starts after it.
+const MAX_RUN_TIME: Millis = Millis(30_000);
 
-impl Work {
-    /// Reads the items of the bundles that are this runner's by the rule, so
-    /// that it can run them also while the store is away.
+impl WorkLoop {
+    /// Reads the items of the bundles that are assigned to this runner by rank, so that
+    /// it can run them even while the store is unreachable.
     pub(super) fn prefetch(&mut self, id: &str) {
         let standing = self.standing(self.clock.now());
-        let place = standing.place;
+        let place = standing.model_rank;
         let Some(batch) = self.batches.get(id) else {
             return;
         };
@@ -42,13 +43,13 @@
         }
     }
 
-    /// Reads what earlier runs have left of a bundle that was claimed before.
+    /// Reads the partial texts of a bundle that a runner had claimed before.
     pub(super) fn resume(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
-        batch.mine.insert(bundle, Mine::Resuming);
-        let left = batch.left(bundle);
+        batch.own_bundles.insert(bundle, BundleState::Resuming);
+        let left = batch.unfinished(bundle);
         let bundle = BundleId {
             batch: id.to_owned(),
             bundle,
@@ -56,44 +57,49 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
             let partials = read_partials(&store, &bundle.batch, &left).await;
-            let _ = events.send(Event::Partials { bundle, partials }).await;
+            let _ = events.send(Event::PartialsRead { bundle, partials }).await;
         });
     }
 
-    /// Takes what earlier runs have left of a bundle, and runs it.
-    pub(super) fn resumed(&mut self, bundle: BundleId, partials: HashMap<u16, Partial>) {
+    /// Starts the runs of a bundle whose partial texts were read.
+    pub(super) fn on_partials_read(&mut self, bundle: BundleId, partials: HashMap<u16, Partial>) {
         let BundleId { batch: id, bundle } = bundle;
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        if !matches!(batch.mine.get(&bundle), Some(Mine::Resuming)) {
+        if !matches!(batch.own_bundles.get(&bundle), Some(BundleState::Resuming)) {
             return;
         }
         if !partials.is_empty() {
             let count = partials.len();
-            tracing::info!(batch = id, bundle, count, "goes on with kept texts");
+            tracing::info!(
+                batch = id,
+                bundle,
+                count,
+                "continuing from saved partial texts"
+            );
         }
         batch.partials.extend(partials);
-        batch.mine.insert(bundle, Mine::Fetching);
+        batch.own_bundles.insert(bundle, BundleState::Fetching);
         self.start(&id, bundle);
     }
 
-    /// Reads the chunks with the bundle's items that are not here yet.
+    /// Reads the chunks of the bundle's unfinished items, except those read before.
     pub(super) fn fetch(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
         let mut chunks: Vec<u16> = batch
-            .left(bundle)
+            .unfinished(bundle)
             .iter()
             .map(|index| batch.head.items[usize::from(*index)].chunk)
             .collect();
         chunks.dedup();
         for chunk in chunks {
-            if batch.chunks.contains_key(&chunk) || batch.fetching.contains(&chunk) {
+            if batch.chunks.contains_key(&chunk) || batch.fetching_chunks.contains(&chunk) {
                 continue;
             }
-            batch.fetching.push(chunk);
+            batch.fetching_chunks.push(chunk);
             let key = Key::new(BODIES, batch_part(id), chunk_key(chunk));
             let (store, events, batch) = (self.store.clone(), self.events.clone(), id.to_owned());
             tokio::spawn(async move {
@@ -101,7 +107,7 @@
                     let value = row.and_then(|row| row.value).unwrap_or_default();
                     decode::<Vec<Item>>("items", &value).unwrap_or_default()
                 });
-                let event = Event::Fetched {
+                let event = Event::ItemsRead {
                     batch,
                     chunk,
                     items,
@@ -111,27 +117,33 @@
         }
     }
 
-    /// Takes a chunk of items that was read.
-    pub(super) fn fetched(&mut self, id: &str, chunk: u16, items: Result<Vec<Item>, StoreError>) {
+    /// Stores a chunk of items in memory and starts the bundles that it completes.
+    pub(super) fn on_items_read(
+        &mut self,
+        id: &str,
+        chunk: u16,
+        items: Result<Vec<Item>, StoreError>,
+    ) {
         let now = self.clock.now();
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
-        batch.fetching.retain(|number| *number != chunk);
+        batch.fetching_chunks.retain(|number| *number != chunk);
         match items {
             Ok(items) => {
                 batch.chunks.insert(chunk, Arc::new(items));
             }
             Err(error) => {
                 tracing::info!(batch = id, chunk, %error, "items not read");
-                self.claims_from = now + CLAIM_AGAIN;
+                self.retry_at = now + STORE_RETRY_DELAY;
                 return;
             }
         }
-        self.start_fetching(id);
+        self.start_ready(id);
     }
 
-    /// Starts the runs of a bundle once all its items are here.
+    /// Starts the runs of a bundle if all its items are in memory; otherwise reads the
+    /// missing ones.
     pub(super) fn start(&mut self, id: &str, bundle: u16) {
         let now = self.clock.now();
         let Some(batch) = self.batches.get(id) else {
@@ -140,7 +152,7 @@
         let Some(route) = self.route_of(batch) else {
             return;
         };
-        let left = batch.left(bundle);
+        let left = batch.unfinished(bundle);
         let found: Option<Vec<(u16, Item)>> = left
             .iter()
             .map(|index| {
@@ -151,7 +163,7 @@
             })
             .collect();
         let Some(items) = found else {
-            if now >= self.claims_from {
+            if now >= self.retry_at {
                 self.fetch(id, bundle);
             }
             return;
@@ -163,23 +175,23 @@
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
-        batch.mine.insert(bundle, Mine::Running);
+        batch.own_bundles.insert(bundle, BundleState::Running);
         for (index, item) in items {
-            let begun = batch.partials.remove(&index);
-            let begun = begun.filter(|_| !route.single_version);
+            let partial = batch.partials.remove(&index);
+            let partial = partial.filter(|_| !route.single_version);
             let task = Task {
                 batch: id.to_owned(),
-                begun,
+                partial,
                 fingerprint: run_item::fingerprint(&head.host, &item),
                 host: head.host.clone(),
                 index,
                 item,
                 least_version: head.least_version,
-                most_failures: route.max_attempts,
+                max_failures: route.max_attempts,
                 priority: head.priority.or(route.priority),
                 reclaimed: batch.reclaimed.contains(&bundle),
                 single_version: route.single_version,
-                until: now + RUN_MOST.min(route.item_ttl),
+                deadline: now + MAX_RUN_TIME.min(route.item_ttl),
                 workspace: head.workspace.clone(),
             };
             let (engine, events, batch_id) =
@@ -197,8 +209,8 @@
         }
     }
 
-    /// Starts the bundles whose items are here, and reads the items of others.
-    pub(super) fn start_fetching(&mut self, id: &str) {
+    /// Calls [`Self::start`] for each bundle in state [`BundleState::Fetching`].
+    pub(super) fn start_ready(&mut self, id: &str) {
         let bundles = self.batches.get(id).map(OpenBatch::fetching_bundles);
         for bundle in bundles.unwrap_or_default() {
             self.start(id, bundle);
@@ -206,7 +218,8 @@
     }
 }
 
-/// Reads the kept texts of some items; one that can't be read begins anew.
+/// Reads the partial texts of some items. An item whose text can't be read starts from
+/// the beginning.
 async fn read_partials(store: &Store, batch: &str, items: &[u16]) -> HashMap<u16, Partial> {
     let reading = items.iter().map(|index| async move {
         let key = Key::new(PARTIALS, batch_part(batch), partial_key(*index));
@@ -216,7 +229,7 @@
                 Some((*index, decode::<Partial>("partial", &value)?))
             }
             Err(error) => {
-                tracing::info!(batch, index, %error, "a kept text was not read");
+                tracing::info!(batch, index, %error, "partial text not read");
                 None
             }
         }
--- a/src/runner/line.rs
+++ b/src/runner/line.rs
@@ -1,8 +1,8 @@
-//! How the bundles that wait for this runner's model begin.
+//! The order in which the waiting bundles of this runner's home model start.
 
 use super::{
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::policy::{
     claim_choice::Offer,
@@ -10,26 +10,27 @@
     step_order::Supply, //
 };
 
-impl Work {
-    /// Lines up the offers that wait for this runner's model; `places` are those of
-    /// its engines.
-    pub(super) fn line_up(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
+impl WorkLoop {
+    /// Sets the start order of the offers that wait for this runner's home model;
+    /// `places` is the number of slots of the model's engines.
+    pub(super) fn set_start_order(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
         let supply = Supply {
             places,
             token: self.engine.rate().token(),
         };
         for step in line_up(offers, supply, self.store.now()) {
-            self.note_turn(&ids[step.batch], step, supply);
+            self.note_mode(&ids[step.batch], step, supply);
         }
     }
 
-    fn note_turn(&mut self, id: &str, step: StepLine, supply: Supply) {
+    /// Logs and remembers that the start order of a step's bundles has changed.
+    fn note_mode(&mut self, id: &str, step: StepLine, supply: Supply) {
         let StepLine { turn, work, .. } = step;
-        let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.turn != turn) else {
+        let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.mode != turn) else {
             return;
         };
         let Supply { places, token } = supply;
-        let before = batch.turn;
+        let before = batch.mode;
         tracing::info!(
             batch = id,
             ?turn,
@@ -37,15 +38,15 @@
             work,
             places,
             token,
-            "a step's order changes"
+            "start order of a step's bundles changed"
         );
-        batch.turn = turn;
+        batch.mode = turn;
     }
 }
 
 impl OpenBatch {
-    /// The expected tokens of some of its items; 1 for each without an estimate.
-    pub(super) fn work(&self, items: &[u16]) -> u64 {
+    /// The expected output tokens of some of its items; 1 for each without an estimate.
+    pub(super) fn expected_tokens(&self, items: &[u16]) -> u64 {
         let expected = |index: &u16| self.head.items[usize::from(*index)].expected;
         let items = items.iter();
         items.map(|index| u64::from(expected(index).max(1))).sum()
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -1,8 +1,8 @@
-//! What this runner could take, by what it knows.
+//! The bundles that this runner could claim, and its rank among the runners.
 
 use super::{
     open_batch::OpenBatch,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::Millis,
@@ -15,27 +15,27 @@
 };
 use std::sync::Arc;
 
-/// Where a runner stands among all runners of its service.
+/// This runner's home model and its rank among the runners of its service.
 pub(super) struct Standing {
-    /// Its place among all runners of the service.
-    pub(super) all: Place,
-    /// The model that it serves first.
+    /// Its rank among the working runners of the service, itself included.
+    pub(super) service_rank: Place,
+    /// The home model that it should have; `None` while no models are known.
     pub(super) home: Option<String>,
-    /// Its place among those that serve the same model first.
-    pub(super) place: Place,
-    /// The runners that work.
-    pub(super) runners: usize,
-    /// Its place among those of its model whose engines are as fast as its own.
-    pub(super) share: Place,
-    /// Whether faster engines of its model go before its own.
+    /// Its rank among those with the same home model.
+    pub(super) model_rank: Place,
+    /// The number of runners of the service that claim bundles.
+    pub(super) working: usize,
+    /// Its rank among those of the same home model and engine kind (usual or slower).
+    pub(super) class_rank: Place,
+    /// Whether its engine leaves new bundles to faster ones of the same home model.
     pub(super) yields: bool,
 }
 
-/// How long a runner should serve another model before it does.
-const MOVE_AFTER: Millis = Millis(1_500);
+/// How long another home model must be due before this runner changes to it.
+const HOME_CHANGE_DELAY: Millis = Millis(1_500);
 
-/// The place of `rank` among `ranks`.
-fn place_in(ranks: &[usize], rank: usize) -> Place {
+/// The rank of the runner with `rank` when only the runners with `ranks` are counted.
+fn place_among(ranks: &[usize], rank: usize) -> Place {
     let before = ranks.iter().filter(|other| **other < rank);
     Place {
         count: ranks.len(),
@@ -43,18 +43,18 @@
     }
 }
 
-impl Work {
-    /// Where this runner stands. All runners work it out alike from heartbeats
-    /// and batches.
+impl WorkLoop {
+    /// This runner's ranks and the home model that it should have. Each runner computes
+    /// the assignment of all runners from the same heartbeats and batches.
     pub(super) fn standing(&self, now: Millis) -> Standing {
-        let mut runners = self.heartbeats.working(&self.service, now);
+        let mut runners = self.heartbeats.working_runners(&self.service, now);
         let working = runners.len();
         if !runners.contains(&self.instance) {
             runners.push(self.instance.clone());
         }
         let rank = runners.iter().position(|name| *name == self.instance);
         let rank = rank.unwrap_or_default();
-        let all = Place {
+        let service_rank = Place {
             count: runners.len(),
             rank,
         };
@@ -67,50 +67,49 @@
         };
         let members: Vec<Member> = runners.iter().map(member).collect();
         let homes = homes(&demands, &members);
-        let Some(mine) = homes.get(rank).copied() else {
+        let Some(home) = homes.get(rank).copied() else {
             return Standing {
-                all,
+                service_rank,
                 home: None,
-                place: all,
-                runners: working,
-                share: all,
+                model_rank: service_rank,
+                working,
+                class_rank: service_rank,
                 yields: false,
             };
         };
-        let same: Vec<usize> = (0..homes.len()).filter(|of| homes[*of] == mine).collect();
+        let same: Vec<usize> = (0..homes.len()).filter(|of| homes[*of] == home).collect();
         let as_fast = |of: &usize| self.is_slower(&runners[*of]) == self.kind.slower;
         let peers: Vec<usize> = same.iter().copied().filter(as_fast).collect();
         Standing {
-            all,
-            home: Some(demands[mine].model.clone()),
-            place: place_in(&same, rank),
-            runners: working,
-            share: place_in(&peers, rank),
+            service_rank,
+            home: Some(demands[home].model.clone()),
+            model_rank: place_among(&same, rank),
+            working,
+            class_rank: place_among(&peers, rank),
             yields: self.kind.slower && peers.len() < same.len(),
         }
     }
 
-    /// Takes the model that this runner should serve first, once it should have
-    /// done so for a while. Runners that start again come within a second or so of
-    /// each other: the first of them changed their models for those that were not
-    /// there yet, and back.
-    pub(super) fn settle_home(&mut self, standing: &Standing, now: Millis) {
+    /// Changes the home model once another one has been due for a while. Runners that
+    /// restart together appear within about a second of each other: without the delay
+    /// the first ones changed their models to cover for missing runners, and back.
+    pub(super) fn update_home(&mut self, standing: &Standing, now: Millis) {
         if standing.home == self.home {
-            self.moves_from = now + MOVE_AFTER;
+            self.move_at = now + HOME_CHANGE_DELAY;
         }
-        let due = self.home.is_none() || now >= self.moves_from;
+        let due = self.home.is_none() || now >= self.move_at;
         if standing.home.is_some() && self.home != standing.home && due {
             let (home, before) = (&standing.home, &self.home);
-            tracing::info!(?home, ?before, "serves another model first");
+            tracing::info!(?home, ?before, "home model changed");
             self.home.clone_from(&standing.home);
         }
     }
 
-    /// The model that the runner `name` serves first.
+    /// The home model of the runner `name`.
     fn home_of(&self, name: &str) -> Option<&String> {
         match name == self.instance {
             true => self.home.as_ref(),
-            false => self.heartbeats.of(name)?.home.as_ref(),
+            false => self.heartbeats.get(name)?.home.as_ref(),
         }
     }
 
@@ -118,19 +117,19 @@
     fn is_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.slower,
-            false => self.heartbeats.of(name).is_some_and(|beat| beat.slower),
+            false => self.heartbeats.get(name).is_some_and(|beat| beat.slower),
         }
     }
 
-    /// The same, for a while already.
+    /// Whether the engine of the runner `name` has been slower than usual for a while.
     fn is_steadily_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.steady,
-            false => self.heartbeats.of(name).is_some_and(|beat| beat.steady),
+            false => self.heartbeats.get(name).is_some_and(|beat| beat.steady),
         }
     }
 
-    /// What each model's newest batches asked for.
+    /// The demand for each of the service's models, by its newest batches.
     pub(super) fn demands(&self) -> Vec<Demand> {
         let config = self.site.config();
         let service = config
@@ -140,7 +139,7 @@
         let asked = |model: &str| -> Vec<Asked> {
             let batches = self.batches.values();
             let same = batches.filter(|batch| batch.head.model == model);
-            same.map(|batch| batch.asked).collect()
+            same.map(|batch| batch.demand).collect()
         };
         let models = models.iter().map(|model| &model.name);
         demands(models.map(|name| (name.clone(), asked(name))).collect())
@@ -153,13 +152,15 @@
         route.serves(&self.service).then(|| route.clone())
     }
 
-    /// The version that this runner's engine holds of `model`.
-    pub(super) fn held(&self, model: &str) -> Option<u64> {
+    /// The weight version that this runner's engine holds of `model`.
+    pub(super) fn held_version(&self, model: &str) -> Option<u64> {
         let (report, _) = self.report.as_ref()?;
         let weights = report.weights.iter().find(|held| held.model == model)?;
         Some(weights.version)
     }
 
+    /// The unfinished bundles of the batches `ids` that this runner could claim or join;
+    /// `home` is its home model, or `None` for a straggler, which prefers none.
     pub(super) fn offers(&self, ids: &[String], home: Option<&str>, now: Millis) -> Vec<Offer> {
         let mut offers = Vec::new();
         for (number, id) in ids.iter().enumerate() {
@@ -172,20 +173,20 @@
             let Some(route) = self.route_of(batch) else {
                 continue;
             };
-            let loaded = self.held(&batch.head.model);
+            let loaded = self.held_version(&batch.head.model);
             let loaded = loaded.is_some_and(|held| held >= batch.head.least_version);
-            let loaded = loaded && !self.is_changing(&batch.head.model);
+            let loaded = loaded && !self.is_loading_model(&batch.head.model);
             for bundle in 0..batch.head.bundles.len() as u16 {
-                let items = batch.left(bundle);
+                let items = batch.unfinished(bundle);
                 let left = items.len() as u32;
-                if left == 0 || batch.mine.contains_key(&bundle) {
+                if left == 0 || batch.own_bundles.contains_key(&bundle) {
                     continue;
                 }
                 let Some(holder) = self.holder(batch, bundle, now) else {
                     continue;
                 };
                 offers.push(Offer {
-                    age: now.since(batch.seen),
+                    age: now.since(batch.seen_at),
                     batch: number,
                     beyond: batch
                         .head
@@ -200,14 +201,14 @@
                     line: 0,
                     loaded,
                     turn: Turn::Whole,
-                    work: batch.work(&items),
+                    work: batch.expected_tokens(&items),
                 });
             }
         }
         offers
     }
 
-    /// Who runs `bundle`; `None` when this runner has joined it before.
+    /// Who runs `bundle`; `None` if this runner is its second runner.
     pub(super) fn holder(&self, batch: &OpenBatch, bundle: u16, now: Millis) -> Option<Holder> {
         let Some(held) = batch.claims.get(&bundle) else {
             return Some(Holder::Nobody);
@@ -216,13 +217,15 @@
         if claim.is_released() || claim.holder == self.instance {
             return Some(Holder::Nobody);
         }
-        if self.away_since.is_none() && !self.heartbeats.works(&claim.holder, held.sign, now) {
+        if self.outage_start.is_none()
+            && !self.heartbeats.is_working(&claim.holder, held.write, now)
+        {
             return Some(Holder::Nobody);
         }
         if claim.second.as_deref() == Some(&self.instance) {
             return None;
         }
-        let beat = self.heartbeats.of(&claim.holder);
+        let beat = self.heartbeats.get(&claim.holder);
         let theirs = beat.map_or(0.0, |beat| beat.pace);
         let mine = self.pace;
         let pace = match mine > 0.0 && theirs > 0.0 {
@@ -232,7 +235,7 @@
         Some(Holder::Held {
             joinable: claim.second.is_none(),
             pace,
-            since: now.since(held.seen),
+            since: now.since(held.seen_at),
             slower: beat.is_some_and(|beat| beat.slower),
         })
     }
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -1,4 +1,4 @@
-//! A batch as this runner sees it.
+//! A batch in the store and this runner's work on it.
 
 use crate::{
     base::Millis,
@@ -11,94 +11,102 @@
 };
 use tokio::task::AbortHandle;
 
-/// A claim as the store holds it.
+/// A claim in the store.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldClaim {
     pub(super) claim: Claim,
     pub(super) revision: u64,
-    /// When this runner saw it.
-    pub(super) seen: Millis,
-    /// When its holder wrote it.
-    pub(super) sign: Sign,
+    /// When this runner saw this revision.
+    pub(super) seen_at: Millis,
+    /// The last time that its holder, rather than a second runner, wrote it.
+    pub(super) write: Sign,
 }
 
-/// A bundle that this runner has taken.
+/// The state of a bundle that this runner has claimed or runs without a claim.
 #[derive(Debug)]
-pub(super) enum Mine {
-    /// The claim is on its way to the store.
+pub(super) enum BundleState {
+    /// The claim is being written.
     Claiming,
     /// Its items are being read.
     Fetching,
-    /// What earlier runs have left of it is being read.
+    /// The partial texts that earlier runs saved are being read.
     Resuming,
+    /// The runs of its items have started.
     Running,
 }
 
-/// A batch and what this runner does for it.
+/// A batch that is in the store.
 pub(super) struct OpenBatch {
-    /// Whether results are on their way to the store.
+    /// Whether an append of results is in flight.
     pub(super) appending: bool,
-    /// What it asks for, as all runners weigh it.
-    pub(super) asked: Asked,
+    /// What it adds to its model's demand.
+    pub(super) demand: Asked,
+    /// The items that were read, by chunk number.
     pub(super) chunks: HashMap<u16, Arc<Vec<Item>>>,
-    pub(super) claims: BTreeMap<u16, Held>,
-    pub(super) fetching: Vec<u16>,
+    /// The newest known claim on each bundle, by bundle index.
+    pub(super) claims: BTreeMap<u16, HeldClaim>,
+    /// The chunks that are being read.
+    pub(super) fetching_chunks: Vec<u16>,
     pub(super) head: Arc<Head>,
     pub(super) log: Log,
+    /// The store's revision of `log`; 0 before the log was seen.
     pub(super) log_revision: u64,
-    /// What earlier runs have left of items, by index.
+    /// Partial texts that earlier runs saved, by item index.
     pub(super) partials: HashMap<u16, Partial>,
-    pub(super) mine: BTreeMap<u16, Mine>,
-    /// Each bundle's place in the order in which bundles should begin.
-    places: Vec<u16>,
-    /// Bundles that this runner took and that a runner had before.
+    /// The bundles that this runner has claimed or runs, by bundle index.
+    pub(super) own_bundles: BTreeMap<u16, BundleState>,
+    /// Each bundle's position in the order in which bundles should start.
+    start_order: Vec<u16>,
+    /// Bundles that some runner had claimed before this runner claimed them.
     pub(super) reclaimed: BTreeSet<u16>,
-    /// Results that are not listed yet.
+    /// Results that are not in the log yet, with their item indices.
     pub(super) results: Vec<(u16, Sample)>,
+    /// The item runs in progress, by item index.
     pub(super) running: HashMap<u16, AbortHandle>,
-    pub(super) seen: Millis,
-    /// How its waiting bundles begin, as this runner last worked it out.
-    pub(super) turn: Turn,
+    /// When this runner first saw the batch.
+    pub(super) seen_at: Millis,
+    /// How its waiting bundles start, as last computed.
+    pub(super) mode: Turn,
 }
 
 impl OpenBatch {
     /// A batch that was just seen.
     pub(super) fn new(head: Head, now: Millis) -> Self {
-        let mut places = vec![0; head.bundles.len()];
-        for (place, bundle) in head.bundle_order().into_iter().enumerate() {
-            places[usize::from(bundle)] = place as u16;
+        let mut start_order = vec![0; head.bundles.len()];
+        for (rank, bundle) in head.bundle_order().into_iter().enumerate() {
+            start_order[usize::from(bundle)] = rank as u16;
         }
         Self {
             appending: false,
-            asked: Asked {
+            demand: Asked {
                 items: head.items.len(),
                 step: head.step,
                 tokens: head.expected_tokens(),
             },
             chunks: HashMap::new(),
             claims: BTreeMap::new(),
-            fetching: Vec::new(),
+            fetching_chunks: Vec::new(),
             head: Arc::new(head),
             log: Log::default(),
             log_revision: 0,
             partials: HashMap::new(),
-            mine: BTreeMap::new(),
-            places,
+            own_bundles: BTreeMap::new(),
+            start_order,
             reclaimed: BTreeSet::new(),
             results: Vec::new(),
             running: HashMap::new(),
-            seen: now,
-            turn: Turn::Whole,
+            seen_at: now,
+            mode: Turn::Whole,
         }
     }
 
-    /// Whether nothing more has to be listed.
+    /// Whether no more results are needed.
     pub(super) fn is_over(&self) -> bool {
         self.log.ended || self.log.listed.len() >= self.head.items.len()
     }
 
-    /// The items of `bundle` that have no result yet, here or in the store.
-    pub(super) fn left(&self, bundle: u16) -> Vec<u16> {
+    /// The items of `bundle` without a result in the log or in memory.
+    pub(super) fn unfinished(&self, bundle: u16) -> Vec<u16> {
         let Some(bundle) = self.head.bundles.get(usize::from(bundle)) else {
             return Vec::new();
         };
@@ -106,34 +114,35 @@
         bundle.items.iter().filter(open).copied().collect()
     }
 
+    /// Whether a result that is not in the log yet is in memory.
     fn has_result(&self, index: u16) -> bool {
         self.results.iter().any(|(done, _)| *done == index)
     }
 
-    /// The place of `bundle` in the order in which bundles should begin.
+    /// The position of `bundle` in the order in which bundles should start.
     pub(super) fn order_of(&self, bundle: u16) -> u16 {
-        self.places
+        self.start_order
             .get(usize::from(bundle))
             .copied()
             .unwrap_or(bundle)
     }
 
-    /// Groups that are claimed and whose items are not all here.
+    /// This runner's bundles that wait for their items.
     pub(super) fn fetching_bundles(&self) -> Vec<u16> {
         let fetching = self
-            .mine
+            .own_bundles
             .iter()
-            .filter(|(_, state)| matches!(state, Mine::Fetching));
+            .filter(|(_, state)| matches!(state, BundleState::Fetching));
         fetching.map(|(bundle, _)| *bundle).collect()
     }
 
-    /// Items of bundles that this runner has taken and that have no result yet.
+    /// The number of unfinished items in this runner's bundles.
     pub(super) fn load(&self) -> usize {
-        let bundles = self.mine.keys();
-        bundles.map(|bundle| self.left(*bundle).len()).sum()
+        let bundles = self.own_bundles.keys();
+        bundles.map(|bundle| self.unfinished(*bundle).len()).sum()
     }
 
-    /// Takes a newer log; stops the runs of items that others have listed.
+    /// Applies a newer log; stops the runs of items whose results it lists.
     pub(super) fn set_log(&mut self, log: Log, revision: u64) {
         if revision <= self.log_revision {
             return;
@@ -154,46 +163,46 @@
             self.stop();
         }
         let done: Vec<u16> = self
-            .mine
+            .own_bundles
             .keys()
-            .filter(|bundle| self.left(**bundle).is_empty())
+            .filter(|bundle| self.unfinished(**bundle).is_empty())
             .copied()
             .collect();
         for bundle in done {
-            self.mine.remove(&bundle);
+            self.own_bundles.remove(&bundle);
         }
     }
 
-    /// Ends all that this runner does for the batch.
+    /// Stops all work on the batch and discards its results and items.
     pub(super) fn stop(&mut self) {
         self.running.drain().for_each(|(_, run)| run.abort());
-        self.mine.clear();
+        self.own_bundles.clear();
         self.results.clear();
         self.chunks.clear();
         self.partials.clear();
     }
 
-    /// Takes a newer claim; a bundle that another runner has taken over is
-    /// still run here, as the first whole result wins.
+    /// Applies a newer claim. A bundle that another runner has taken over still runs
+    /// here: the first complete result wins.
     pub(super) fn set_claim(&mut self, bundle: u16, claim: Claim, revision: u64, now: Millis) {
         let newer = self
             .claims
             .get(&bundle)
             .is_none_or(|held| held.revision < revision);
         if newer {
-            let held = Held {
-                sign: self.sign_of(bundle, &claim, revision, now),
+            let held = HeldClaim {
+                write: self.last_write(bundle, &claim, revision, now),
                 claim,
                 revision,
-                seen: now,
+                seen_at: now,
             };
             self.claims.insert(bundle, held);
         }
     }
 
-    /// When the holder of `claim` wrote it. A second runner that joins writes the row
-    /// as well, which is no sign of life of its holder.
-    fn sign_of(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
+    /// The last write of the claim by its holder. A second runner writes the row as well
+    /// when it joins, which does not show that the holder is alive.
+    fn last_write(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
         let token = claim.token;
         if claim.second.is_none() {
             return Sign {
@@ -209,16 +218,17 @@
             revision: 0,
             token,
         };
-        before.map_or(unknown, |held| held.sign)
+        before.map_or(unknown, |held| held.write)
     }
 
-    /// Whether the runner `instance`, in its life `token`, is known to hold `bundle`.
+    /// Whether `bundle` is held by the incarnation `token` of the runner `instance`.
     pub(super) fn is_claimed_by(&self, bundle: u16, instance: &str, token: u64) -> bool {
         let held = self.claims.get(&bundle);
         held.is_some_and(|held| held.claim.holder == instance && held.claim.token == token)
     }
 
-    /// Gives up the bundles of which nothing runs and something is left; returns them.
+    /// Removes the started bundles that have unfinished items but no running ones from
+    /// this runner's bundles; returns them.
     pub(super) fn release_idle(&mut self) -> Vec<u16> {
         let mut released = Vec::new();
         let running = &self.running;
@@ -227,8 +237,8 @@
         let results = &self.results;
         let is_made =
             |index: &u16| log.contains(*index) || results.iter().any(|(of, _)| of == index);
-        self.mine.retain(|bundle, state| {
-            let waits = !matches!(state, Mine::Running);
+        self.own_bundles.retain(|bundle, state| {
+            let waits = !matches!(state, BundleState::Running);
             let items = head.bundles.get(usize::from(*bundle));
             let items = items.map_or(&[][..], |bundle| &bundle.items);
             let runs = items.iter().any(|index| running.contains_key(index));
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -1,8 +1,8 @@
-//! Runs one item on the engine until its text is whole and scored.
+//! Runs one item on the engine until its text is complete and scored.
 
 use super::{
-    score::{Score, Scorers},
-    suspects::{Admitted, BrokenRun, Settled},
+    score::{ScoreEnd, ScorerClient},
+    suspects::{Admission, AfterRun, BrokenRun},
     text::Text, //
 };
 use crate::{
@@ -37,84 +37,90 @@
 /// How an item's run ended.
 #[derive(Debug)]
 pub(super) enum ItemEnd {
-    /// The result.
+    /// The item has its result, to be listed.
     Done(Sample),
-    /// The engine takes nothing any more, or the item's time is over.
+    /// The item is left to another run: the engine accepts no work, the item's time is
+    /// over, or it may have crashed its engine.
     Dropped,
 }
 
-/// What the runs of all items on one engine share.
+/// The engine and the state that all item runs on it share.
 #[derive(Clone)]
 pub(super) struct Engine {
-    /// Held by the suspect whose turn it is to begin here.
-    pub(super) apart: Arc<Semaphore>,
-    /// Runs that broke off while the engine seemed to live.
-    pub(super) broken: Arc<Mutex<Vec<BrokenRun>>>,
+    /// Held by the one suspect that may start exclusively.
+    pub(super) suspect_turn: Arc<Semaphore>,
+    /// Runs whose connection broke while the engine seemed to be alive.
+    pub(super) broken_runs: Arc<Mutex<Vec<BrokenRun>>>,
     pub(super) clock: Clock,
     pub(super) crashes: Arc<Crashes>,
-    /// The life whose end a run saw last.
-    pub(super) lost: watch::Sender<Option<ServerIncarnation>>,
-    /// A life of the engine that refused what was meant for another.
-    pub(super) met: watch::Sender<Option<Met>>,
-    /// What all runs tell of its pace.
+    /// The incarnation whose crash a run detected last.
+    pub(super) last_crashed: watch::Sender<Option<ServerIncarnation>>,
+    /// The last refusal by another incarnation than the one that was addressed.
+    pub(super) mismatch: watch::Sender<Option<Met>>,
+    /// Its pace, measured by all runs.
     pub(super) pace: Arc<Mutex<Pace>>,
     pub(super) peer: Peer,
-    /// Shared by the runs here, but for a suspect that begins, which has it alone.
-    pub(super) places: Arc<RwLock<()>>,
-    /// What its places take for an expected token.
+    /// Held shared by each run, and exclusively by a suspect while it starts.
+    pub(super) run_lock: Arc<RwLock<()>>,
+    /// The time that its slots take per expected token.
     pub(super) rate: Arc<Mutex<Rate>>,
-    /// The engine's present life while it takes work.
-    pub(super) server: watch::Receiver<Option<ServerIncarnation>>,
-    pub(super) scorers: Arc<Scorers>,
+    /// The engine's current incarnation; `None` while it accepts no work.
+    pub(super) incarnation: watch::Receiver<Option<ServerIncarnation>>,
+    pub(super) scorer_client: Arc<ScorerClient>,
     pub(super) store: Store,
-    /// Items that wait here in quarantine.
-    pub(super) waiting: Arc<AtomicUsize>,
+    /// The number of items that wait for admission: in quarantine, or while another runner
+    /// has their attempt.
+    pub(super) waiting_items: Arc<AtomicUsize>,
 }
 
 impl Engine {
-    /// The engine's pace; held only for a moment.
+    /// Locks the engine's pace; callers hold the lock only briefly.
     pub(super) fn pace(&self) -> MutexGuard<'_, Pace> {
         self.pace.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What its places take for an expected token; held only for a moment.
+    /// Locks the time per expected token; callers hold the lock only briefly.
     pub(super) fn rate(&self) -> MutexGuard<'_, Rate> {
         self.rate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the engine has another life than `life`. A connection to an
-    /// engine that lost power hangs: its runs began again only 2.5 s later, when
-    /// their streams had paused too long.
-    async fn next_life(&self, life: &ServerIncarnation) {
-        let mut server = self.server.clone();
-        let other = |now: &Option<ServerIncarnation>| now.as_ref().is_some_and(|now| now != life);
-        if server.wait_for(other).await.is_err() {
+    /// Waits until the engine has another incarnation than `incarnation`. The connection
+    /// to an engine that lost power hangs: without this wait its runs restarted only
+    /// after the idle timeout of their streams, 2.5 s later.
+    async fn wait_replaced(&self, incarnation: &ServerIncarnation) {
+        let mut current = self.incarnation.clone();
+        let other = |now: &Option<ServerIncarnation>| now.as_ref().is_some_and(|now| now != incarnation);
+        if current.wait_for(other).await.is_err() {
             // The work loop has ended, and with it all runs.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Notes the engine's life when an answer says that the request was meant
-    /// for another one than `expected`.
-    pub(super) fn meet(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
+    /// Records the answering incarnation if an answer refuses a request because it was
+    /// addressed to another one, `expected`.
+    pub(super) fn note_mismatch(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
         if status != StatusCode::MISDIRECTED_REQUEST {
             return;
         }
         let Some(found) = answering_server(headers).filter(|found| *found != expected) else {
             return;
         };
-        let met = Met {
+        let new = Met {
             at: self.clock.now(),
             expected: expected.to_owned(),
             found: found.to_owned(),
         };
-        self.met.send_if_modified(|known| {
-            let same = |known: &Met| (&known.expected, &known.found) == (&met.expected, &met.found);
+        self.mismatch.send_if_modified(|known| {
+            let same = |known: &Met| (&known.expected, &known.found) == (&new.expected, &new.found);
             if known.as_ref().is_some_and(same) {
                 return false;
             }
-            tracing::info!(expected, found, "the engine has another life");
-            *known = Some(met);
+            tracing::info!(
+                expected,
+                found,
+                "the engine has another incarnation than expected"
+            );
+            *known = Some(new);
             true
         });
     }
@@ -123,62 +129,66 @@
 /// One item to run.
 pub(super) struct Task {
     pub(super) batch: String,
-    /// What an earlier run has left.
-    pub(super) begun: Option<Partial>,
-    /// Names what the item asks of its engine.
+    /// The partial text that an earlier run saved.
+    pub(super) partial: Option<Partial>,
+    /// Identifies the request in the crash records.
     pub(super) fingerprint: Fingerprint,
+    /// The host that its batch was submitted to.
     pub(super) host: String,
+    /// Its index in the batch.
     pub(super) index: u16,
     pub(super) item: Item,
     /// The oldest weight version that may generate its tokens.
     pub(super) least_version: u64,
-    /// The engine's own failures after which the item is given up.
-    pub(super) most_failures: u32,
-    /// Whether a runner had its bundle before; engines may have ended there.
+    /// The number of failures answered by engines after which the item is given up.
+    pub(super) max_failures: u32,
+    /// Whether a runner had claimed its bundle before; engines may have crashed there.
     pub(super) reclaimed: bool,
+    /// Whether all its tokens must come from one weight version.
     pub(super) single_version: bool,
     /// How urgent it is; 0 is the most urgent.
     pub(super) priority: Option<u32>,
-    pub(super) until: Millis,
+    /// No attempt starts after this time.
+    pub(super) deadline: Millis,
     /// The workspace whose batch it belongs to.
     pub(super) workspace: Option<String>,
 }
 
-/// How long the engine may take to begin: a request can wait behind others for
-/// a slot, and behind a load of weights.
-const HEAD_WITHIN: Millis = Millis(6_000);
+/// How long the engine may take to answer with headers: a request can wait for a slot,
+/// or for a load of weights.
+const HEADER_TIMEOUT: Millis = Millis(6_000);
 
-/// How long a stream may pause. Events come every few tens of ms; an engine
-/// that is four times as slow, full and preempting pauses longer.
-const PAUSE_MOST: Millis = Millis(2_500);
+/// How long a stream may send nothing. Events come every few tens of ms; the pauses of an
+/// engine that is four times as slow, full and preempting are longer.
+const STREAM_IDLE_TIMEOUT: Millis = Millis(2_500);
 
-/// The first wait before an engine that was full, loading or gone is asked
-/// again, and the longest; a load of weights takes about 900 ms.
-const AGAIN: Millis = Millis(60);
-const AGAIN_MOST: Millis = Millis(240);
+/// The first and the longest wait before the next attempt at an engine that was full,
+/// loading or gone; a load of weights takes about 900 ms.
+const RETRY_DELAY: Millis = Millis(60);
+const MAX_RETRY_DELAY: Millis = Millis(240);
 
-/// How long the rest of a refusal may take to arrive. Reading it keeps the
-/// connection for the next request: without it each refusal cost a new one,
-/// 6,200 on a day of 950 items.
-const REFUSAL_WITHIN: Millis = Millis(100);
+/// How long each read of a refusal's body may take. Reading it to the end lets the next
+/// request reuse the connection: without it each refusal cost a new connection, 6,200 in
+/// a day of 950 items.
+const REFUSAL_BODY_TIMEOUT: Millis = Millis(100);
 
-/// What came of one run.
-pub(super) enum Run {
-    /// The stream ended as a whole.
+/// How one attempt at the engine ended.
+pub(super) enum RunEnd {
+    /// The stream ended after a complete event.
     Whole,
-    /// The engine did not take it.
+    /// The engine did not run it, or its answer was unusable; it is tried again.
     Refused,
-    /// The engine failed by its own word.
+    /// The engine answered that it failed.
     Failed,
-    /// The item can never be done.
-    Impossible,
-    /// The connection broke or fell silent.
+    /// The engine answered that the item can never succeed.
+    Unprocessable,
+    /// The connection failed, broke or fell silent.
     Broken(CallError),
-    /// The engine has started anew, and the run is lost with its life before.
-    Outlived,
+    /// The engine has restarted, and the run is lost with its previous incarnation.
+    Replaced,
 }
 
-/// Names what `item` of a batch of `host` asks of its engine.
+/// Identifies the request of `item`, from a batch for `host`, in the crash records.
 pub(super) fn fingerprint(host: &str, item: &Item) -> Fingerprint {
     Fingerprint::of(Asked {
         body: &item.body,
@@ -190,49 +200,49 @@
     })
 }
 
-/// Runs the item to its end.
+/// Runs the item, with retries, until it has a result or is dropped.
 pub(super) async fn run(engine: Engine, task: Task) -> ItemEnd {
     let now = engine.clock.now();
-    let mut text = Text::resume(task.begun.clone(), now);
+    let mut text = Text::resume(task.partial.clone(), now);
     let mut failures = 0;
-    let mut wait = AGAIN;
+    let mut wait = RETRY_DELAY;
     loop {
-        // An item that ends each engine that runs it goes from runner to runner,
-        // which count its engines' ends together.
-        let Some(Admitted { attempt, place }) = engine.admit(&task).await else {
+        // An item that crashes every engine goes from runner to runner; they count the
+        // crashes together, and the admission below reads that count.
+        let Some(Admission { attempt, guard }) = engine.admit(&task).await else {
             return ItemEnd::Dropped;
         };
         let now = engine.clock.now();
-        let server = engine.server.borrow().clone();
-        let Some(server) = server.filter(|_| now < task.until) else {
-            engine.let_go(attempt);
+        let incarnation = engine.incarnation.borrow().clone();
+        let Some(incarnation) = incarnation.filter(|_| now < task.deadline) else {
+            engine.release_attempt(attempt);
             return ItemEnd::Dropped;
         };
-        if engine.lost.borrow().as_ref() == Some(&server) {
-            engine.let_go(attempt);
-            drop(place);
-            // The work loop does not know yet. A run that begins now finds an
-            // engine that is closing down, whose end would count against it.
-            engine.noticed(&server).await;
+        if engine.last_crashed.borrow().as_ref() == Some(&incarnation) {
+            engine.release_attempt(attempt);
+            drop(guard);
+            // The work loop has not noticed the crash yet. A run started now would meet an
+            // engine that is closing down, and the crash would count against the item.
+            engine.wait_until_noticed(&incarnation).await;
             continue;
         }
         let begun = text.events.len();
         let running = async {
             tokio::select! {
-                run = run_once(&engine, &task, &server, &mut text) => run,
-                () = engine.next_life(&server) => Run::Outlived,
+                run = run_once(&engine, &task, &incarnation, &mut text) => run,
+                () = engine.wait_replaced(&incarnation) => RunEnd::Replaced,
             }
         };
-        let (run, place) = place.hold(running).await;
-        let admitted = (attempt, place);
-        if engine.settle(&server, &task, &run, admitted).await == Settled::GivenBack {
+        let (run, guard) = guard.hold_during(running).await;
+        let admitted = (attempt, guard);
+        if engine.after_run(&incarnation, &task, &run, admitted).await == AfterRun::GiveBack {
             return ItemEnd::Dropped;
         }
         match run {
-            Run::Whole => {
-                let (item, events, server) = (&task.item.id, text.events.len(), &server.id);
+            RunEnd::Whole => {
+                let (item, events, server) = (&task.item.id, text.events.len(), &incarnation.id);
                 let taken = engine.clock.now().since(now).0;
-                let waited = text.first.map_or(taken, |first| first.since(now).0);
+                let waited = text.first_at.map_or(taken, |first| first.since(now).0);
                 if begun == 0 {
                     let run = (taken - waited) as f64;
                     engine.rate().note(task.item.expected, run);
@@ -248,25 +258,29 @@
                 );
                 break;
             }
-            Run::Failed => {
+            RunEnd::Failed => {
                 failures += 1;
-                tracing::info!(item = task.item.id, failures, "the engine failed the item");
+                tracing::info!(
+                    item = task.item.id,
+                    failures,
+                    "engine answered with a failure"
+                );
             }
-            Run::Impossible => failures = task.most_failures,
-            Run::Refused => {}
-            Run::Outlived => {
+            RunEnd::Unprocessable => failures = task.max_failures,
+            RunEnd::Refused => {}
+            RunEnd::Replaced => {
                 let events = text.events.len();
-                let (request, server) = (task.fingerprint, &server.id);
-                tracing::info!(item = task.item.id, %request, server, events, "its engine has started anew");
-                wait = AGAIN;
+                let (request, server) = (task.fingerprint, &incarnation.id);
+                tracing::info!(item = task.item.id, %request, server, events, "run lost: the engine restarted");
+                wait = RETRY_DELAY;
             }
-            Run::Broken(error) => {
+            RunEnd::Broken(error) => {
                 let events = text.events.len();
-                let (request, server) = (task.fingerprint, &server.id);
-                tracing::info!(item = task.item.id, %request, server, events, %error, "run broke off");
+                let (request, server) = (task.fingerprint, &incarnation.id);
+                tracing::info!(item = task.item.id, %request, server, events, %error, "run interrupted");
             }
         }
-        if failures >= task.most_failures {
+        if failures >= task.max_failures {
             tracing::warn!(item = task.item.id, failures, "item given up");
             let sample = terminated(&task.item.id);
             return ItemEnd::Done(sample);
@@ -275,23 +289,23 @@
             text = Text::default();
         }
         tokio::time::sleep(wait.as_duration()).await;
-        wait = Millis((wait.0 * 2).min(AGAIN_MOST.0));
+        wait = Millis((wait.0 * 2).min(MAX_RETRY_DELAY.0));
     }
 
     finish(&engine, task, text).await
 }
 
-/// Has a whole text scored; its result is complete then.
+/// Has a complete text scored and builds the item's result.
 async fn finish(engine: &Engine, task: Task, text: Text) -> ItemEnd {
     let score = match &task.item.scorer {
         None => None,
-        Some(scorer) => match engine.scorers.score(scorer, task.until).await {
-            Score::Given(score) => Some(score),
-            Score::GivenUp => {
+        Some(scorer) => match engine.scorer_client.score(scorer, task.deadline).await {
+            ScoreEnd::Given(score) => Some(score),
+            ScoreEnd::GivenUp => {
                 let sample = terminated(&task.item.id);
                 return ItemEnd::Done(sample);
             }
-            Score::TimedOut => return ItemEnd::Dropped,
+            ScoreEnd::TimedOut => return ItemEnd::Dropped,
         },
     };
     let sample = Sample {
@@ -315,100 +329,107 @@
     }
 }
 
+/// Sends one request for the item to the engine and reads the answer.
 async fn run_once(
     engine: &Engine,
-    task: &Task,
-    server: &ServerIncarnation,
+    task: &Task, incarnation: &ServerIncarnation,
     text: &mut Text,
-) -> Run {
+) -> RunEnd {
     let request = EngineRequest {
-        after: text.last,
+        after: text.last_id,
         host: &task.host,
         item: &task.item,
-        timeout: task.until.since(engine.clock.now()),
+        timeout: task.deadline.since(engine.clock.now()),
         priority: task.priority,
-        server: &server.id,
+        server: &incarnation.id,
         workspace: task.workspace.as_deref(),
     };
-    let opened = match engine.peer.open_stream(request.build(), HEAD_WITHIN).await {
+    let opened = match engine
+        .peer
+        .open_stream(request.build(), HEADER_TIMEOUT)
+        .await
+    {
         Ok(opened) => opened,
-        Err(error) => return Run::Broken(error),
+        Err(error) => return RunEnd::Broken(error),
     };
     let status = opened.status.as_u16();
     if status == 200 {
-        return read(engine, opened, task, text).await;
+        return read_stream(engine, opened, task, text).await;
     }
     let refused = not_executed(&opened.headers);
-    engine.meet(&server.id, opened.status, &opened.headers);
-    read_away(opened).await;
+    engine.note_mismatch(&incarnation.id, opened.status, &opened.headers);
+    drain_body(opened).await;
     match status {
-        422 => Run::Impossible,
-        500 if !refused => Run::Failed,
+        422 => RunEnd::Unprocessable,
+        500 if !refused => RunEnd::Failed,
         _ => {
             tracing::debug!(
                 item = task.item.id,
                 status,
                 refused,
-                "the engine did not take the item"
+                "engine did not run the item"
             );
-            Run::Refused
+            RunEnd::Refused
         }
     }
 }
 
-/// Reads the rest of an answer that is not needed.
-async fn read_away(mut opened: StreamingResponse) {
-    while let Ok(Some(_)) = opened.body.next(REFUSAL_WITHIN).await {}
+/// Reads and discards the body of an answer.
+async fn drain_body(mut opened: StreamingResponse) {
+    while let Ok(Some(_)) = opened.body.next(REFUSAL_BODY_TIMEOUT).await {}
 }
 
-/// Reads events until the stream ends. Only whole events count: a stream that
-/// breaks off goes on after the last of them.
-async fn read(engine: &Engine, opened: StreamingResponse, task: &Task, text: &mut Text) -> Run {
+/// Reads events into `text` until the stream ends. Only complete events count: after an
+/// interruption the next attempt continues after the last of them.
+async fn read_stream(engine: &Engine, opened: StreamingResponse, task: &Task, text: &mut Text) -> RunEnd {
     let StreamingResponse {
         mut body, headers, ..
     } = opened;
     let Some(mut version) = initial_weight_version(&headers) else {
-        tracing::warn!(item = task.item.id, "an answer names no weight version");
-        return Run::Refused;
+        tracing::warn!(
+            item = task.item.id,
+            "engine's answer names no weight version"
+        );
+        return RunEnd::Refused;
     };
     if version < task.least_version {
         tracing::warn!(
             item = task.item.id,
             version,
-            "the engine's weights are too old"
+            "engine's weights are older than the item requires"
         );
-        return Run::Refused;
+        return RunEnd::Refused;
     }
 
-    text.first = None;
+    text.first_at = None;
     let mut events = EventReader::default();
     loop {
-        match body.next(PAUSE_MOST).await {
+        match body.next(STREAM_IDLE_TIMEOUT).await {
             Ok(Some(bytes)) => events.push(&bytes),
             Ok(None) if events.has_incomplete_event() => {
-                tracing::info!(item = task.item.id, "the stream ended within an event");
-                return Run::Refused;
+                tracing::info!(item = task.item.id, "stream ended within an event");
+                return RunEnd::Refused;
             }
-            Ok(None) => return Run::Whole,
-            Err(error) => return Run::Broken(error),
+            Ok(None) => return RunEnd::Whole,
+            Err(error) => return RunEnd::Broken(error),
         }
         while let Some(event) = events.next_event() {
             version = event.version.unwrap_or(version);
-            let next = text.last.map_or(event.id, |last| Some(last + 1));
+            let next = text.last_id.map_or(event.id, |last| Some(last + 1));
             if event.id.is_none() || event.id != next {
-                tracing::warn!(item = task.item.id, ?event.id, ?next, "an event out of order");
-                return Run::Refused;
+                tracing::warn!(item = task.item.id, ?event.id, ?next, "stream event out of order");
+                return RunEnd::Refused;
             }
             let now = engine.clock.now();
-            match text.first {
-                Some(_) => engine.pace().note(now.since(text.newest).0 as f64),
-                None => text.first = Some(now),
+            match text.first_at {
+                Some(_) => engine.pace().note(now.since(text.newest_at).0 as f64),
+                None => text.first_at = Some(now),
             }
-            text.newest = now;
-            text.last = event.id;
+            text.newest_at = now;
+            text.last_id = event.id;
             text.versions.insert(version);
             text.events.push(event.data);
-            text.keep(engine, task);
+            text.save_if_due(engine, task);
         }
     }
 }
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -1,9 +1,9 @@
-//! A running runner.
+//! Starts the runner and the tasks that it consists of.
 
 use super::{
     run_item::Engine,
-    score::Scorers,
-    work::{Seed, Work}, //
+    score::ScorerClient,
+    work::{Setup, WorkLoop}, //
 };
 use crate::{
     base::Clock,
@@ -27,11 +27,16 @@
 /// A running `redwing-runner`; dropping it ends it.
 pub struct Runner {
     pub handle: Handle,
+    /// The address of its metrics and health endpoints.
     pub metrics: SocketAddr,
 }
 
 impl Runner {
     /// Starts a runner.
+    ///
+    /// # Errors
+    ///
+    /// A [`DutyError`] if an address can't be bound or a thread can't be started.
     pub fn open(settings: RunnerSettings) -> Result<Self, DutyError> {
         let common = settings.common;
         let mut handle = Handle::open(common.stop_bound())?;
@@ -43,7 +48,7 @@
             version = env!("CARGO_PKG_VERSION"),
             engine = %settings.engine,
             store = %common.store,
-            "runner up"
+            "runner started"
         );
 
         let clock = Clock::open();
@@ -55,35 +60,35 @@
             instance: common.instance.clone(),
         };
         let relay = Relay::open(identity, store.clone(), clock);
-        let (server, life) = watch::channel(None);
+        let (incarnation, current) = watch::channel(None);
         let (crashes, writes) = Crashes::open(store.clone());
-        let scorers = Scorers {
+        let scorer_client = ScorerClient {
             caller: Dispatcher::new(site.clone(), crashes.clone(), &common.data_centre, None),
             site: site.clone(),
         };
-        let seed = Seed {
+        let setup = Setup {
             clock,
             engine: Engine {
-                apart: Arc::new(Semaphore::new(1)),
-                broken: Arc::default(),
+                suspect_turn: Arc::new(Semaphore::new(1)),
+                broken_runs: Arc::default(),
                 clock,
                 crashes: crashes.clone(),
-                lost: watch::Sender::new(None),
-                met: watch::Sender::new(None),
+                last_crashed: watch::Sender::new(None),
+                mismatch: watch::Sender::new(None),
                 pace: Arc::default(),
                 peer: Peer::open(settings.engine, clock),
-                places: Arc::default(),
+                run_lock: Arc::default(),
                 rate: Arc::default(),
-                scorers: Arc::new(scorers),
-                server: life,
+                scorer_client: Arc::new(scorer_client),
+                incarnation: current,
                 store: store.clone(),
-                waiting: Arc::default(),
+                waiting_items: Arc::default(),
             },
             engine_address: settings.engine,
             instance: common.instance,
             relay: relay.clone(),
             retention: common.retention,
-            server,
+            incarnation,
             service: settings.service,
             site: site.clone(),
             store,
@@ -96,12 +101,12 @@
             tokio::spawn(sync_crashes(crashes, writes, relay.clone()));
             tokio::spawn(relay.clone().serve(context.clone(), peers));
             tokio::spawn(relay.maintain_role(context.clone()));
-            Work::run(seed, context).await;
+            WorkLoop::run(setup, context).await;
         };
         handle.add(duty::spawn("work", &supervisor, work)?);
 
-        let none: Route = Arc::new(|_| Box::pin(async { None }));
-        let serve = move |context| admin(context, metrics, health, || true, none);
+        let no_route: Route = Arc::new(|_| Box::pin(async { None }));
+        let serve = move |context| admin(context, metrics, health, || true, no_route);
         handle.add(duty::spawn("admin", &supervisor, serve)?);
         Ok(Self {
             handle,
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -1,4 +1,4 @@
-//! Has texts scored.
+//! Calls the scorer of an item's text.
 
 use crate::{
     base::{Asked, Fingerprint, Millis},
@@ -14,41 +14,43 @@
 };
 use std::sync::Arc;
 
-/// Sends texts to the service that scores them.
-pub(super) struct Scorers {
+/// Sends texts to the scorers that their items name.
+pub(super) struct ScorerClient {
     pub(super) caller: Arc<Dispatcher>,
     pub(super) site: Arc<Site>,
 }
 
-/// What became of a score.
+/// How a request for a score ended.
 #[derive(Debug)]
-pub(super) enum Score {
+pub(super) enum ScoreEnd {
+    /// The scorer's signature of its answer.
     Given(String),
-    /// Scorers answered that they failed as often as the route allows. Calls
-    /// that were lost or not taken don't count: an item was given up after one
-    /// failure while another server was full.
+    /// Scorers answered that they failed as often as the route allows. Calls that were
+    /// lost or not run don't count: when they did, an item was given up after one failure
+    /// while another server was full.
     GivenUp,
     /// The item's time is over.
     TimedOut,
 }
 
-/// The wait between two calls for the same score; scores take about 100 ms.
-const AGAIN: Millis = Millis(80);
+/// The wait between two calls for the same score; scoring takes about 100 ms.
+const RETRY_DELAY: Millis = Millis(80);
 
-/// The same once two servers have ended under the call. The request that ends them
-/// does so again within a second or is in quarantine: a call that comes back at
-/// once is beside it for a third time, and would be taken for it.
-const AGAIN_SUSPECT: Millis = Millis(1_000);
+/// The same wait once two servers have crashed under the call, perhaps because of another
+/// request. That request crashes a third server within a second or is in quarantine by
+/// then; a call repeated at once would be on that server as well and would share the
+/// blame.
+const SUSPECT_RETRY_DELAY: Millis = Millis(1_000);
 
-impl Scorers {
-    /// Calls the scorer until it gives its score.
-    pub(super) async fn score(&self, scorer: &Scorer, until: Millis) -> Score {
+impl ScorerClient {
+    /// Calls the scorer until it gives a score, has failed too often or time is up.
+    pub(super) async fn score(&self, scorer: &Scorer, deadline: Millis) -> ScoreEnd {
         let fingerprint = fingerprint(scorer);
         let mut failures = 0;
         loop {
             let now = self.site.now();
-            if now >= until {
-                return Score::TimedOut;
+            if now >= deadline {
+                return ScoreEnd::TimedOut;
             }
             let config = self.site.config();
             let route = config.and_then(|config| config.route(&scorer.host, &scorer.path).cloned());
@@ -58,10 +60,10 @@
                     host = scorer.host,
                     "no route to the scorer"
                 );
-                tokio::time::sleep(AGAIN.as_duration()).await;
+                tokio::time::sleep(RETRY_DELAY.as_duration()).await;
                 continue;
             };
-            let most_failures = route.max_attempts;
+            let max_failures = route.max_attempts;
             let call = Call {
                 body: scorer.body.clone(),
                 fingerprint,
@@ -69,7 +71,7 @@
                 id: scorer.id.clone(),
                 method: Method::POST,
                 path: scorer.path.clone(),
-                deadline: until.min(now + route.timeout),
+                deadline: deadline.min(now + route.timeout),
                 route,
                 workspace: None,
             };
@@ -77,7 +79,7 @@
                 CallOutcome::Answered { answer, .. } if answer.status.is_success() => {
                     let signature = platform::signature(&answer.headers);
                     if let Some(score) = signature.and_then(|value| value.to_str().ok()) {
-                        return Score::Given(score.to_owned());
+                        return ScoreEnd::Given(score.to_owned());
                     }
                 }
                 CallOutcome::Answered {
@@ -86,20 +88,20 @@
                 } => {
                     failures += more;
                     let status = answer.status.as_u16();
-                    tracing::info!(call = scorer.id, status, failures, "the scorer failed");
+                    tracing::info!(call = scorer.id, status, failures, "scorer failed");
                 }
                 CallOutcome::NotRun { wait, .. } => {
-                    tokio::time::sleep(wait.min(AGAIN_SUSPECT).as_duration()).await;
+                    tokio::time::sleep(wait.min(SUSPECT_RETRY_DELAY).as_duration()).await;
                 }
                 CallOutcome::Lost { failures: more, .. } => failures += more,
                 CallOutcome::TimedOut => {}
             }
-            if failures >= most_failures {
-                return Score::GivenUp;
+            if failures >= max_failures {
+                return ScoreEnd::GivenUp;
             }
             let wait = match self.caller.crashes.quarantine_state(fingerprint) {
-                Verdict::Clear | Verdict::Watched => AGAIN,
-                Verdict::Suspect | Verdict::Trial | Verdict::Barred => AGAIN_SUSPECT,
+                Verdict::Clear | Verdict::Watched => RETRY_DELAY,
+                Verdict::Suspect | Verdict::Trial | Verdict::Barred => SUSPECT_RETRY_DELAY,
             };
             tokio::time::sleep(wait.as_duration()).await;
         }
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -1,8 +1,12 @@
-//! Items under which engines end: who may run, and what a run's end tells.
+//! Admits item runs to the engine and records which items its crashes count against.
+//!
+//! An item may crash the engines that run it. One that has lost two engines is a
+//! suspect: it starts with the engine to itself, so that a crash can be attributed to
+//! it. After three it is in quarantine.
 
 use super::run_item::{
     Engine,
-    Run,
+    RunEnd,
     Task, //
 };
 use crate::{
@@ -23,46 +27,47 @@
     SemaphorePermit, //
 };
 
-/// A run's place on its engine, free again when this is dropped.
-pub(super) enum Place<'a> {
-    /// A suspect's: nothing else begins there, where it could be had in time.
-    Alone {
-        _alone: Option<RwLockWriteGuard<'a, ()>>,
+/// The lock that a run holds on its engine.
+pub(super) enum RunGuard<'a> {
+    /// Held by a suspect, so that nothing else starts. A lock that could not be acquired
+    /// in time is `None`; the suspect starts all the same.
+    Exclusive {
+        _lock: Option<RwLockWriteGuard<'a, ()>>,
         _turn: Option<SemaphorePermit<'a>>,
     },
-    Shared {
-        _guard: RwLockReadGuard<'a, ()>,
-    },
+    /// Held by any other run.
+    Shared { _guard: RwLockReadGuard<'a, ()> },
 }
 
-/// How long a suspect has its engine to itself: a request that ends its engine does so
-/// within some tenths of a second of its begin.
-const ALONE_MOST: Millis = Millis(600);
+/// How long a suspect has its engine to itself: a request that crashes its engine does so
+/// within some tenths of a second of its start.
+const MAX_ISOLATION: Millis = Millis(600);
 
-/// How long it waits for the runs before it to end. Texts take seconds: whoever waited
-/// for them, or for suspects with such texts, would lie for longer than a step bears.
-const DRAIN_MOST: Millis = Millis(300);
+/// How long a suspect waits for the current runs to end. Their texts take seconds: a
+/// suspect that waited for all of them would make its step late.
+const DRAIN_TIMEOUT: Millis = Millis(300);
 
-/// How long it waits for other suspects, of which a bundle has a few.
-const TURN_MOST: Millis = Millis(1_600);
+/// How long a suspect waits for its turn after others; a bundle has a few suspects.
+const SUSPECT_TURN_TIMEOUT: Millis = Millis(1_600);
 
-impl Place<'_> {
-    /// Whether an item of which `verdict` is known may begin here.
-    fn suits(&self, verdict: Verdict) -> bool {
+impl RunGuard<'_> {
+    /// Whether an item with this `verdict` may start under this lock.
+    fn permits(&self, verdict: Verdict) -> bool {
         match verdict {
             Verdict::Clear | Verdict::Watched => matches!(self, Self::Shared { .. }),
-            Verdict::Suspect | Verdict::Trial => matches!(self, Self::Alone { .. }),
+            Verdict::Suspect | Verdict::Trial => matches!(self, Self::Exclusive { .. }),
             Verdict::Barred => false,
         }
     }
 
-    /// Waits for `run`, which holds this place: a suspect's for a while only.
-    pub(super) async fn hold<T>(self, run: impl Future<Output = T>) -> (T, Option<Self>) {
+    /// Waits for `run` while holding this lock, a suspect's for [`MAX_ISOLATION`] at most.
+    /// Returns the lock if it is still held.
+    pub(super) async fn hold_during<T>(self, run: impl Future<Output = T>) -> (T, Option<Self>) {
         let mut run = std::pin::pin!(run);
         if matches!(self, Self::Shared { .. }) {
             return (run.await, Some(self));
         }
-        match tokio::time::timeout(ALONE_MOST.as_duration(), &mut run).await {
+        match tokio::time::timeout(MAX_ISOLATION.as_duration(), &mut run).await {
             Ok(end) => (end, Some(self)),
             Err(_) => {
                 drop(self);
@@ -72,90 +77,95 @@
     }
 }
 
-/// How long a runner has for an attempt: longer than an item takes to end its engine,
-/// and shorter than it may lie when its runner was killed.
-const ATTEMPT_KEPT: Millis = Millis(3_000);
+/// How long an attempt stays claimed at most: longer than an item takes to crash its
+/// engine, and shorter than the item may wait after its runner was killed.
+const ATTEMPT_TTL: Millis = Millis(3_000);
 
-/// What lets an item begin.
-pub(super) struct Admitted<'a> {
-    /// `None` for an item under which no engine has ended, or while the store is away.
+/// The permission to start an item's run.
+pub(super) struct Admission<'a> {
+    /// `None` for an item that no engine has crashed under, or while the store is
+    /// unreachable.
     pub(super) attempt: Option<Attempt>,
-    pub(super) place: Place<'a>,
+    pub(super) guard: RunGuard<'a>,
 }
 
-/// Whose turn it is to run an item.
-enum Turn {
-    /// More engines have ended under it meanwhile.
-    Again,
-    Mine(Option<Attempt>),
-    Others,
+/// The outcome of claiming the one attempt that all runners may make at a time.
+enum AttemptClaim {
+    /// The item's crash count has changed meanwhile; its verdict is to be read again.
+    Retry,
+    /// This runner may start; without an attempt if none is needed or the store is
+    /// unreachable.
+    Granted(Option<Attempt>),
+    /// Another runner has the attempt, or the item is in quarantine.
+    Denied,
 }
 
-/// Counts an item as waiting in quarantine until it is dropped.
-struct Waiting<'a>(&'a AtomicUsize);
+/// Counts an item as waiting for admission until this is dropped.
+struct WaitingItem<'a>(&'a AtomicUsize);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingItem<'a> {
     fn begin(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingItem<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A run whose connection broke.
+/// A run whose connection broke while it is not known whether its engine crashed.
 #[derive(Clone, Debug)]
 pub(super) struct BrokenRun {
+    /// When the connection broke.
     at: Millis,
     attempt: Option<Attempt>,
-    life: ServerIncarnation,
+    incarnation: ServerIncarnation,
     request: Fingerprint,
 }
 
-/// A report may have been made so long before it came.
-const REPORT_LATE: Millis = Millis(100);
+/// How long before its arrival a report may have been made.
+const REPORT_DELAY: Millis = Millis(100);
 
-/// The most of them that are kept: some times what an engine runs at once.
-const BROKEN_MOST: usize = 64;
+/// The most broken runs that are kept: a few times what an engine runs at once.
+const MAX_BROKEN_RUNS: usize = 64;
 
-/// Whether `next` began after `life`. Where engines don't tell when they started, ids
-/// tell lives apart.
-fn is_later(next: &ServerIncarnation, life: &ServerIncarnation) -> bool {
-    let untold = next.started_at == Millis(0) && next.id != life.id;
-    next.started_at > life.started_at || untold
+/// Whether `next` started after `incarnation`. Engines that don't report their start time
+/// are told apart by their ids.
+fn is_later(next: &ServerIncarnation, incarnation: &ServerIncarnation) -> bool {
+    let by_id = next.started_at == Millis(0) && next.id != incarnation.id;
+    next.started_at > incarnation.started_at || by_id
 }
 
-/// What becomes of an item after a run.
+/// What to do with an item after a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Settled {
-    /// It is given back, to be claimed anew.
-    GivenBack,
-    /// Its run goes on as that run's end says.
-    Kept,
+pub(super) enum AfterRun {
+    /// Drop it here, so that its bundle is released and claimed again.
+    GiveBack,
+    /// Act on the [`RunEnd`].
+    Continue,
 }
 
-/// When an engine that gives no report counts as lost, and a little more.
-const NOTICED_WITHIN: Millis = Millis(1_200);
+/// Slightly longer than the time after which an engine without reports counts as gone.
+const NOTICE_TIMEOUT: Millis = Millis(1_200);
 
-/// How often an item in quarantine looks whether it may be tried.
-const LOOK_AGAIN: Millis = Millis(500);
+/// How often an item that waits for admission checks whether it may start.
+const ADMISSION_CHECK_INTERVAL: Millis = Millis(500);
 
-/// How long the look whether the engine beside this runner listens may take.
-const LOOK_WITHIN: Millis = Millis(100);
+/// How long the check whether the engine still listens may take.
+const PROBE_TIMEOUT: Millis = Millis(100);
 
 impl Engine {
     /// Waits until `task` may run; `None` when its time is over before.
     ///
-    /// An item under which an engine has ended runs at one instance at a time: its
-    /// bundle may have two runners, and it would end both their engines. A suspect also
-    /// begins with the engine to itself, so that the engine's next end tells of it
-    /// alone: beside it, items that did nothing wrong had their third end.
-    pub(super) async fn admit(&self, task: &Task) -> Option<Admitted<'_>> {
-        let end = self.end_of(task);
+    /// An item that an engine has crashed under runs at one instance at a time: its bundle
+    /// may have two runners, and it would crash both their engines. A suspect also starts
+    /// with the engine to itself, so that the next crash counts against it alone:
+    /// before, innocent items that ran next to it reached their third crash.
+    pub(super) async fn admit(&self, task: &Task) -> Option<Admission<'_>> {
+        let deadline = self.deadline_of(task);
         let request = task.fingerprint;
         let mut waiting = None;
         self.crashes.wait_listed().await;
@@ -163,213 +173,225 @@
             self.crashes.refresh(request).await;
         }
         loop {
-            let place = match self.crashes.quarantine_state(request) {
+            let guard = match self.crashes.quarantine_state(request) {
                 Verdict::Clear | Verdict::Watched => {
-                    let shared = tokio::time::timeout_at(end, self.places.read()).await;
-                    Some(Place::Shared {
+                    let shared = tokio::time::timeout_at(deadline, self.run_lock.read()).await;
+                    Some(RunGuard::Shared {
                         _guard: shared.ok()?,
                     })
                 }
                 Verdict::Suspect | Verdict::Trial => Some(self.isolate().await),
                 Verdict::Barred => None,
             };
-            // Whoever ran before may have shown what this one is.
+            // A run that ended during the wait may have changed the verdict.
             let verdict = self.crashes.quarantine_state(request);
-            match place {
-                Some(place) if place.suits(verdict) => match self.claim(request, verdict).await {
-                    Turn::Mine(attempt) => return Some(Admitted { attempt, place }),
-                    Turn::Again => continue,
-                    Turn::Others => {}
+            match guard {
+                Some(guard) if guard.permits(verdict) => match self
+                    .claim_attempt(request, verdict)
+                    .await
+                {
+                    AttemptClaim::Granted(attempt) => return Some(Admission { attempt, guard }),
+                    AttemptClaim::Retry => continue,
+                    AttemptClaim::Denied => {}
                 },
                 Some(_) if verdict != Verdict::Barred => continue,
                 Some(_) | None => {}
             }
             if waiting.is_none() {
                 let item = &task.item.id;
-                tracing::warn!(item, %request, ?verdict, "the item waits: engines have ended under it");
-                waiting = Some(Waiting::begin(&self.waiting));
+                tracing::warn!(item, %request, ?verdict, "item waits: engines have crashed under it");
+                waiting = Some(WaitingItem::begin(&self.waiting_items));
             }
-            // It keeps its bundle, which would be offered and taken again and again.
-            let again = tokio::time::sleep(LOOK_AGAIN.as_duration());
-            tokio::time::timeout_at(end, again).await.ok()?;
+            // The bundle stays claimed: released, it would be claimed again and again.
+            let again = tokio::time::sleep(ADMISSION_CHECK_INTERVAL.as_duration());
+            tokio::time::timeout_at(deadline, again).await.ok()?;
         }
     }
 
-    /// Takes the attempt of a request of which `verdict` was known, unless it is clear.
-    async fn claim(&self, request: Fingerprint, verdict: Verdict) -> Turn {
+    /// Claims the attempt at a request with this `verdict`; a clear one needs none.
+    async fn claim_attempt(&self, request: Fingerprint, verdict: Verdict) -> AttemptClaim {
         let claimed = match verdict {
-            Verdict::Clear => return Turn::Mine(None),
+            Verdict::Clear => return AttemptClaim::Granted(None),
             Verdict::Watched | Verdict::Suspect => {
-                self.crashes.claim_attempt(request, ATTEMPT_KEPT).await
+                self.crashes.claim_attempt(request, ATTEMPT_TTL).await
             }
             Verdict::Trial => match self.crashes.claim_trial(request).await {
                 Some(attempt) => ClaimResult::Here(attempt),
                 None => ClaimResult::Elsewhere,
             },
-            Verdict::Barred => return Turn::Others,
+            Verdict::Barred => return AttemptClaim::Denied,
         };
         match claimed {
-            // The claim has read what others saw meanwhile.
+            // Claiming has read the crashes that others have recorded meanwhile.
             ClaimResult::Here(attempt) if self.crashes.quarantine_state(request) == verdict => {
-                Turn::Mine(Some(attempt))
+                AttemptClaim::Granted(Some(attempt))
             }
             ClaimResult::Here(attempt) => {
                 self.crashes.release_attempt(attempt);
-                Turn::Again
+                AttemptClaim::Retry
             }
-            // Without the store each runner goes by what it knows.
-            ClaimResult::Unknown => Turn::Mine(None),
-            ClaimResult::Elsewhere => Turn::Others,
+            // While the store is unreachable, each runner decides by what it knows.
+            ClaimResult::Unknown => AttemptClaim::Granted(None),
+            ClaimResult::Elsewhere => AttemptClaim::Denied,
         }
     }
 
-    /// A suspect's place: other suspects go before it, and the runs before it end, as
-    /// far as that takes no longer than an item may lie.
-    async fn isolate(&self) -> Place<'_> {
-        let turn = tokio::time::timeout(TURN_MOST.as_duration(), self.apart.acquire());
+    /// Acquires a suspect's exclusive lock: waits for other suspects and then for the
+    /// current runs, both with a timeout, and goes ahead without what it did not get.
+    async fn isolate(&self) -> RunGuard<'_> {
+        let turn = tokio::time::timeout(
+            SUSPECT_TURN_TIMEOUT.as_duration(),
+            self.suspect_turn.acquire(),
+        );
         let turn = turn.await.ok().and_then(Result::ok);
-        let alone = tokio::time::timeout(DRAIN_MOST.as_duration(), self.places.write());
-        Place::Alone {
-            _alone: alone.await.ok(),
+        let alone = tokio::time::timeout(DRAIN_TIMEOUT.as_duration(), self.run_lock.write());
+        RunGuard::Exclusive {
+            _lock: alone.await.ok(),
             _turn: turn,
         }
     }
 
     /// Whether a suspect has the engine to itself, or waits for that.
     pub(super) fn is_isolating(&self) -> bool {
-        self.places.try_read().is_err()
+        self.run_lock.try_read().is_err()
     }
 
-    fn end_of(&self, task: &Task) -> tokio::time::Instant {
-        let left = task.until.since(self.clock.now());
+    /// The deadline of `task` on the clock of tokio's timers.
+    fn deadline_of(&self, task: &Task) -> tokio::time::Instant {
+        let left = task.deadline.since(self.clock.now());
         tokio::time::Instant::now() + left.as_duration()
     }
 
-    /// Counts the end of the life `server` against `task` if it was not planned;
-    /// true if so.
-    async fn look_after(&self, server: &ServerIncarnation, task: &Task, run: &Run) -> bool {
-        let has_ended = match run {
-            Run::Outlived => self.is_outlived(server),
-            Run::Broken(CallError::Broken { .. }) => self.has_ended(server).await,
+    /// If the run ended because the engine crashed, counts the crash of `incarnation`
+    /// against `task` and returns true.
+    async fn record_crash(&self, incarnation: &ServerIncarnation, task: &Task, run: &RunEnd) -> bool {
+        let has_crashed = match run {
+            RunEnd::Replaced => self.is_replaced(incarnation),
+            RunEnd::Broken(CallError::Broken { .. }) => self.has_crashed(incarnation).await,
             _ => false,
         };
-        if has_ended {
-            self.lost.send_replace(Some(server.clone()));
-            self.crashes.record_crash(server, &[task.fingerprint]);
+        if has_crashed {
+            self.last_crashed.send_replace(Some(incarnation.clone()));
+            self.crashes.record_crash(incarnation, &[task.fingerprint]);
         }
-        has_ended
+        has_crashed
     }
 
-    /// Whether the life `server`, whose connection broke, has ended and was not to.
-    async fn has_ended(&self, server: &ServerIncarnation) -> bool {
-        // Several runs lose their engine at once: what one of them found, and the work
-        // loop by it, holds for all.
-        let found = self.lost.borrow().as_ref() == Some(server);
-        let present = self.server.borrow().clone();
+    /// Whether `incarnation`, to which the connection broke, has ended unplanned.
+    async fn has_crashed(&self, incarnation: &ServerIncarnation) -> bool {
+        // Several runs lose their engine at once: what one of them has detected holds for
+        // all, even if the engine listens again by now.
+        let found = self.last_crashed.borrow().as_ref() == Some(incarnation);
+        let present = self.incarnation.borrow().clone();
         match present {
-            Some(present) if present == *server => {
-                found || self.peer.refuses_connections(LOOK_WITHIN).await
+            Some(present) if present == *incarnation => {
+                found || self.peer.refuses_connections(PROBE_TIMEOUT).await
             }
-            Some(_) => self.is_outlived(server),
-            None if self.is_leaving(server) != Some(false) => false,
-            None => found || self.peer.refuses_connections(LOOK_WITHIN).await,
+            Some(_) => self.is_replaced(incarnation),
+            None if self.is_draining(incarnation) != Some(false) => false,
+            None => found || self.peer.refuses_connections(PROBE_TIMEOUT).await,
         }
     }
 
-    /// Settles the runs that broke off, by a report that came at `seen` of the life
-    /// `present`: it lives, or is a later one.
+    /// Decides for each broken run whether its engine has crashed, by a report of the
+    /// incarnation `present` that arrived at `seen`: either it is the run's incarnation,
+    /// which is alive, or a later one.
     ///
-    /// An engine that is back at once looks as if it had not ended. Another attempt of
-    /// the item before that is known would end another engine.
-    pub(super) fn settle_broken(&self, present: &ServerIncarnation, seen: Millis) {
-        self.broken().retain(|run| {
-            let lives = run.life == *present && seen > run.at + REPORT_LATE;
-            let ended = is_later(present, &run.life);
-            if ended && self.is_leaving(&run.life) != Some(true) {
-                self.crashes.record_crash(&run.life, &[run.request]);
+    /// An engine that restarts at once looks as if it had not ended. The run's attempt
+    /// stays claimed until this is decided: another one could crash another engine.
+    pub(super) fn resolve_broken_runs(&self, present: &ServerIncarnation, seen: Millis) {
+        self.broken_runs().retain(|run| {
+            let lives = run.incarnation == *present && seen > run.at + REPORT_DELAY;
+            let ended = is_later(present, &run.incarnation);
+            if ended && self.is_draining(&run.incarnation) != Some(true) {
+                self.crashes.record_crash(&run.incarnation, &[run.request]);
             }
             if lives || ended {
-                self.let_go(run.attempt);
+                self.release_attempt(run.attempt);
             }
             !lives && !ended
         });
     }
 
-    /// Keeps a run that broke off until it is known whether its engine has ended.
-    fn note_broken(&self, run: BrokenRun) {
-        let mut broken = self.broken();
-        if broken.len() < BROKEN_MOST {
+    /// Keeps a broken run until it is known whether its engine has crashed.
+    fn add_broken_run(&self, run: BrokenRun) {
+        let mut broken = self.broken_runs();
+        if broken.len() < MAX_BROKEN_RUNS {
             broken.push(run);
         }
     }
 
-    fn broken(&self) -> MutexGuard<'_, Vec<BrokenRun>> {
-        self.broken.lock().unwrap_or_else(PoisonError::into_inner)
+    fn broken_runs(&self) -> MutexGuard<'_, Vec<BrokenRun>> {
+        self.broken_runs
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a later life has taken the place of `server`, which was not to end.
-    fn is_outlived(&self, server: &ServerIncarnation) -> bool {
-        let next = self.server.borrow().clone();
-        let is_later = next.is_some_and(|next| is_later(&next, server));
-        is_later && self.is_leaving(server) != Some(true)
+    /// Whether a later incarnation has replaced `incarnation`, which was not draining.
+    fn is_replaced(&self, incarnation: &ServerIncarnation) -> bool {
+        let next = self.incarnation.borrow().clone();
+        let is_later = next.is_some_and(|next| is_later(&next, incarnation));
+        is_later && self.is_draining(incarnation) != Some(true)
     }
 
-    /// Whether a server called as `server` leaves; `None` where none is announced.
-    fn is_leaving(&self, server: &ServerIncarnation) -> Option<bool> {
-        let directory = self.scorers.site.directory();
-        directory.get(&server.id).map(|known| known.draining)
+    /// Whether the server with the id of `incarnation` is draining; `None` if none is
+    /// announced.
+    fn is_draining(&self, incarnation: &ServerIncarnation) -> Option<bool> {
+        let directory = self.scorer_client.site.directory();
+        directory.get(&incarnation.id).map(|known| known.draining)
     }
 
-    /// Waits until the end of the life `server` is known to the work loop.
-    pub(super) async fn noticed(&self, server: &ServerIncarnation) {
-        let mut known = self.server.clone();
-        let other = known.wait_for(|known| known.as_ref() != Some(server));
-        // The work loop looks at the engine's reports; past this they are stale.
-        let _ = tokio::time::timeout(NOTICED_WITHIN.as_duration(), other).await;
+    /// Waits until the work loop has noticed the end of `incarnation`.
+    pub(super) async fn wait_until_noticed(&self, incarnation: &ServerIncarnation) {
+        let mut known = self.incarnation.clone();
+        let other = known.wait_for(|known| known.as_ref() != Some(incarnation));
+        // The work loop goes by the engine's reports; after this time they are stale.
+        let _ = tokio::time::timeout(NOTICE_TIMEOUT.as_duration(), other).await;
     }
 
-    /// Gives back the attempt of an item that is over or did not begin: whoever runs it
-    /// next would wait for it until it is free by itself, and the item would lie.
-    pub(super) fn let_go(&self, attempt: Option<Attempt>) {
+    /// Releases the attempt of an item whose run is over or did not start. Otherwise the
+    /// next run of the item would have to wait until the attempt expires.
+    pub(super) fn release_attempt(&self, attempt: Option<Attempt>) {
         if let Some(attempt) = attempt {
             self.crashes.release_attempt(attempt);
         }
     }
 
-    /// Takes what a run tells of its item; `admitted` may have given its place back.
-    pub(super) async fn settle(
+    /// Records what the end of a run shows about its item, and releases `admitted`, whose
+    /// lock may be released already.
+    pub(super) async fn after_run(
         &self,
-        server: &ServerIncarnation,
+        incarnation: &ServerIncarnation,
         task: &Task,
-        run: &Run,
-        admitted: (Option<Attempt>, Option<Place<'_>>),
-    ) -> Settled {
+        run: &RunEnd,
+        admitted: (Option<Attempt>, Option<RunGuard<'_>>),
+    ) -> AfterRun {
         let request = task.fingerprint;
-        let (attempt, place) = admitted;
-        let ended = self.look_after(server, task, run).await;
-        drop(place);
+        let (attempt, guard) = admitted;
+        let ended = self.record_crash(incarnation, task, run).await;
+        drop(guard);
         match run {
-            Run::Broken(CallError::Broken { .. }) if !ended => self.note_broken(BrokenRun {
+            RunEnd::Broken(CallError::Broken { .. }) if !ended => self.add_broken_run(BrokenRun {
                 at: self.clock.now(),
                 attempt,
-                life: server.clone(),
+                incarnation: incarnation.clone(),
                 request,
             }),
-            _ => self.let_go(attempt),
+            _ => self.release_attempt(attempt),
         }
-        if matches!(run, Run::Whole | Run::Failed | Run::Impossible) {
+        if matches!(run, RunEnd::Whole | RunEnd::Failed | RunEnd::Unprocessable) {
             self.crashes.record_answer(request);
         }
         let verdict = self.crashes.quarantine_state(request);
         if !ended || matches!(verdict, Verdict::Clear | Verdict::Watched) {
-            return Settled::Kept;
+            return AfterRun::Continue;
         }
-        // Others take its bundle over by now. It is claimed anew, so that it does
-        // not run here and there at once, and ends two engines.
+        // Other runners may take its bundle over by now. The bundle has to be claimed
+        // again, so that the item does not run twice at once and crash two engines.
         let item = &task.item.id;
-        tracing::info!(item, %request, "a suspect is given back after its run broke off");
-        // Before that the bundle would be claimed here again at once.
-        self.noticed(server).await;
-        Settled::GivenBack
+        tracing::info!(item, %request, "giving a suspect back after its engine crashed");
+        // Given back before that, the bundle would be claimed here again at once.
+        self.wait_until_noticed(incarnation).await;
+        AfterRun::GiveBack
     }
 }
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -1,10 +1,9 @@
-//! Gives up items whose time is over, and removes batches that nobody may read
-//! any more.
+//! Gives up items whose time is over, and removes batches whose retention is over.
 
 use super::{
     open_batch::OpenBatch,
     run_item::terminated,
-    work::Work, //
+    work::WorkLoop, //
 };
 use crate::{
     base::{Millis, stable_hash},
@@ -14,30 +13,31 @@
     store::{Key, StoreError, Transaction}, //
 };
 
-/// How often batches are looked at.
-const EVERY: Millis = Millis(1_000);
+/// How often the age of the batches is checked.
+const SWEEP_INTERVAL: Millis = Millis(1_000);
 
-/// The most rows that one transaction removes; the store takes 100.
-const ROWS_MOST: usize = 90;
+/// The most rows that one transaction removes; the store's limit is 100.
+const MAX_REMOVED_ROWS: usize = 90;
 
-/// How long an item may be run when its route names no time.
-const TTL_DEFAULT: Millis = Millis(600_000);
+/// How long after its batch was accepted an item may run, if the batch has no route.
+const DEFAULT_ITEM_TTL: Millis = Millis(600_000);
 
-impl Work {
-    /// Looks for batches whose time is over.
+impl WorkLoop {
+    /// Gives up expired items and removes expired batches, once every [`SWEEP_INTERVAL`].
     pub(super) fn plan_sweep(&mut self, now: Millis) {
-        if now.since(self.swept) < EVERY {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         let Some(config) = self.site.config() else {
             return;
         };
-        let runners = self.heartbeats.working(&self.service, now);
+        let runners = self.heartbeats.working_runners(&self.service, now);
         let store_now = self.store.now();
         let mut old = Vec::new();
         for (id, batch) in &mut self.batches {
-            // One runner sees to each batch; if two do, the store settles it.
+            // One runner is responsible for each batch. If two act, which can happen while
+            // their views differ, the store accepts one of their appends.
             let turn = stable_hash(&[id.as_bytes()]) as usize % runners.len().max(1);
             if runners.get(turn).is_some_and(|name| *name != self.instance) {
                 continue;
@@ -47,20 +47,20 @@
                 age: store_now.since(batch.head.accepted),
                 over: batch.is_over(),
                 retention: self.retention,
-                ttl: route.map_or(TTL_DEFAULT, |route| route.item_ttl),
+                ttl: route.map_or(DEFAULT_ITEM_TTL, |route| route.item_ttl),
             };
             match judge(age) {
-                Verdict::GiveUp if batch.results.is_empty() => batch.give_up(id),
+                Verdict::GiveUp if batch.results.is_empty() => batch.give_up_items(id),
                 Verdict::GiveUp | Verdict::Keep => {}
                 Verdict::Remove => old.push(id.clone()),
             }
         }
         for id in old {
-            tracing::info!(batch = id, "batch removed: its retention is over");
+            tracing::info!(batch = id, "removing batch: its retention is over");
             let store = self.store.clone();
             tokio::spawn(async move {
-                if let Err(error) = remove(&store, &id).await {
-                    tracing::warn!(batch = id, %error, "batch not removed yet");
+                if let Err(error) = remove_batch(&store, &id).await {
+                    tracing::warn!(batch = id, %error, "batch not removed");
                 }
             });
         }
@@ -68,24 +68,25 @@
 }
 
 impl OpenBatch {
-    /// Takes every item that is not listed for given up.
-    fn give_up(&mut self, id: &str) {
+    /// Sets the result of every item that is not listed to "given up".
+    fn give_up_items(&mut self, id: &str) {
         let items = self.head.items.iter().enumerate();
         let open = items.filter(|(index, _)| !self.log.contains(*index as u16));
         self.results = open
             .map(|(index, item)| (index as u16, terminated(&item.id)))
             .collect();
         let count = self.results.len();
-        tracing::warn!(batch = id, count, "items given up: their time is over");
+        tracing::warn!(batch = id, count, "giving items up: their time is over");
     }
 }
 
-/// Removes all rows of a batch; those that make it known go last.
-async fn remove(store: &Store, id: &str) -> Result<(), StoreError> {
+/// Removes all rows of a batch. Those in the work table, by which the batch is found, go
+/// last, so that a removal that fails midway is repeated.
+async fn remove_batch(store: &Store, id: &str) -> Result<(), StoreError> {
     let part = batch_part(id);
     for table in [PARTIALS, RESULTS, BODIES, WORK] {
         let rows = store.whole_part(table, &part).await?.rows;
-        for few in rows.chunks(ROWS_MOST) {
+        for few in rows.chunks(MAX_REMOVED_ROWS) {
             let keys = few
                 .iter()
                 .map(|row| Key::new(table, &part, row.key.as_str()));
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -1,7 +1,7 @@
-//! The work loop: owns what this runner knows and does.
+//! The work loop: the runner's state, changed only by one task in response to events.
 
 use super::{
-    event::{Event, RING},
+    event::{EVENT_CAPACITY, Event},
     heartbeat::{HeartbeatState, first_heartbeat},
     heartbeats::Heartbeats,
     open_batch::OpenBatch,
@@ -28,77 +28,85 @@
     watch, //
 };
 
-/// What this runner knows and does.
-pub(super) struct Work {
-    /// Since when the store does not answer this runner; `None` while it does.
-    pub(super) away_since: Option<Millis>,
+/// The runner's state and its event loop.
+pub(super) struct WorkLoop {
+    /// When the store became unreachable for this runner; `None` while it answers.
+    pub(super) outage_start: Option<Millis>,
+    /// The batches in the store, by id.
     pub(super) batches: BTreeMap<String, OpenBatch>,
     pub(super) heartbeats: Heartbeats,
-    /// No bundle is claimed before, as the store did not take the last claim.
-    pub(super) claims_from: Millis,
+    /// No bundle is claimed and no items are read again before this time, because the last
+    /// such request to the store failed.
+    pub(super) retry_at: Millis,
     pub(super) clock: Clock,
     pub(super) engine: Engine,
     pub(super) engine_address: SocketAddr,
+    /// Sends events to this loop.
     pub(super) events: mpsc::Sender<Event>,
     pub(super) instance: String,
-    /// The model that this runner serves first.
+    /// This runner's home model; `None` until it has one.
     pub(super) home: Option<String>,
-    /// The model is changed from then on, if it should be.
-    pub(super) moves_from: Millis,
-    /// How fast the engine is among others.
+    /// An existing home model does not change before this time.
+    pub(super) move_at: Millis,
+    /// Whether the engine is slower than the other engines of the service.
     pub(super) kind: Kind,
+    /// Whether this runner is shutting down and claims nothing new.
     pub(super) leaving: bool,
-    /// The engine's newest life that took work; `None` before the first.
-    pub(super) life: Option<ServerIncarnation>,
-    /// The model whose weights the engine was ordered to take last.
-    pub(super) changed: Option<String>,
-    pub(super) order: Option<super::orders::Pending>,
-    /// Rows of batches whose head was not seen yet.
+    /// The last incarnation of the engine that accepted work; `None` before the first.
+    pub(super) last_incarnation: Option<ServerIncarnation>,
+    /// The model of the last order to load weights.
+    pub(super) ordered_model: Option<String>,
+    /// The last order, while the reports may not show its effect yet.
+    pub(super) pending_order: Option<super::orders::PendingOrder>,
+    /// Rows of batches whose head was not seen yet, by batch id.
     pub(super) orphans: BTreeMap<String, Vec<Row>>,
-    /// Models whose trainers were seen to keep two steps under way.
+    /// Models whose trainers were seen to keep two steps in progress.
     pub(super) overlapping: HashSet<String>,
-    /// What the engine takes for an event, in ms; 0 before enough is known.
+    /// The engine's pace, in ms per event; 0 before enough is known.
     pub(super) pace: f64,
+    /// The engine's last report and when it arrived.
     pub(super) report: Option<(EngineReport, Millis)>,
+    /// How long a finished batch must stay readable.
     pub(super) retention: Millis,
-    /// The engine's present life while it takes work.
-    pub(super) server: watch::Sender<Option<ServerIncarnation>>,
+    /// The engine's current incarnation; `None` while it accepts no work.
+    pub(super) incarnation: watch::Sender<Option<ServerIncarnation>>,
     pub(super) service: String,
     pub(super) site: Arc<Site>,
+    /// The items that the engine can run at once.
     pub(super) slots: u32,
     pub(super) store: Store,
-    pub(super) swept: Millis,
-    /// Names this life of the runner; the number under which it gives orders.
+    pub(super) last_sweep: Millis,
+    /// Identifies this incarnation of the runner; also the fencing token of its orders.
     pub(super) token: u64,
     pub(super) heartbeat: HeartbeatState,
 }
 
-/// How often the loop looks around when nothing happens.
-const TICK: Millis = Millis(50);
+/// How often the loop plans when no event arrives.
+const TICK_INTERVAL: Millis = Millis(50);
 
-/// The wait after a batch of changes in which more gather: a step's claims and
-/// results come in hundreds, and each call for changes costs every runner.
-const PACE: Millis = Millis(40);
+/// The wait after a batch of changes from the store, in which more accumulate: a step's
+/// claims and results come in hundreds, and every runner pays for each call.
+const CHANGES_DELAY: Millis = Millis(40);
 
-/// What a work loop begins with.
-pub(super) struct Seed {
+/// The dependencies and settings of a new work loop.
+pub(super) struct Setup {
     pub(super) clock: Clock,
     pub(super) engine: Engine,
     pub(super) engine_address: SocketAddr,
     pub(super) instance: String,
     pub(super) relay: Arc<Relay>,
     pub(super) retention: Millis,
-    pub(super) server: watch::Sender<Option<ServerIncarnation>>,
+    pub(super) incarnation: watch::Sender<Option<ServerIncarnation>>,
     pub(super) service: String,
     pub(super) site: Arc<Site>,
     pub(super) store: Store,
 }
 
-impl Work {
-    /// Takes a number for this life, then works until the program has stopped.
-    pub(super) async fn run(seed: Seed, context: Context) {
-        let (events, mut ring) = mpsc::channel(RING);
-        let first = first_heartbeat(&seed.store, &seed.instance, &seed.service);
+impl WorkLoop {
+    /// Gets a token for this incarnation, then runs the loop until the program stops.
+    pub(super) async fn run(setup: Setup, context: Context) {
+        let (events, mut receiver) = mpsc::channel(EVENT_CAPACITY);
+        let first = first_heartbeat(&setup.store, &setup.instance, &setup.service);
         let (token, home) = tokio::select! {
             first = first => first,
             () = context.reached(Phase::Draining) => {
@@ -107,54 +115,54 @@
             }
         };
         tracing::info!(
-            instance = seed.instance,
+            instance = setup.instance,
             token,
             ?home,
-            "runner has its number"
+            "runner got its token"
         );
-        let watching = super::engine_watch::watch(seed.engine.peer.clone(), events.clone());
-        tokio::spawn(watching);
-        tokio::spawn(follow_work(seed.relay, events.clone()));
+        let polling = super::engine_watch::poll_reports(setup.engine.peer.clone(), events.clone());
+        tokio::spawn(polling);
+        tokio::spawn(follow_work(setup.relay, events.clone()));
 
         let mut work = Self {
-            away_since: None,
+            outage_start: None,
             batches: BTreeMap::new(),
             heartbeat: HeartbeatState::default(),
             heartbeats: Heartbeats::default(),
-            claims_from: Millis(0),
-            clock: seed.clock,
-            engine: seed.engine,
-            engine_address: seed.engine_address,
+            retry_at: Millis(0),
+            clock: setup.clock,
+            engine: setup.engine,
+            engine_address: setup.engine_address,
             events,
-            instance: seed.instance,
+            instance: setup.instance,
             home,
-            moves_from: Millis(0),
+            move_at: Millis(0),
             kind: Kind::default(),
             leaving: false,
-            life: None,
-            changed: None,
-            order: None,
+            last_incarnation: None,
+            ordered_model: None,
+            pending_order: None,
             orphans: BTreeMap::new(),
             overlapping: HashSet::new(),
             pace: 0.0,
             report: None,
-            retention: seed.retention,
-            server: seed.server,
-            service: seed.service,
-            site: seed.site,
+            retention: setup.retention,
+            incarnation: setup.incarnation,
+            service: setup.service,
+            site: setup.site,
             slots: 1,
-            store: seed.store,
-            swept: seed.clock.now(),
+            store: setup.store,
+            last_sweep: setup.clock.now(),
             token,
         };
-        let mut tick = tokio::time::interval(TICK.as_duration());
+        let mut tick = tokio::time::interval(TICK_INTERVAL.as_duration());
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(event) = ring.recv() => {
-                    work.take(event);
-                    while let Ok(event) = ring.try_recv() {
-                        work.take(event);
+                Some(event) = receiver.recv() => {
+                    work.handle_event(event);
+                    while let Ok(event) = receiver.try_recv() {
+                        work.handle_event(event);
                     }
                 }
                 _ = tick.tick() => {}
@@ -168,97 +176,100 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    /// Applies an event to the state.
+    fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
-            Event::Appended {
+            Event::ResultsAppended {
                 batch,
                 count,
                 log,
                 outcome,
-            } => self.appended(&batch, count, log, outcome),
+            } => self.on_results_appended(&batch, count, log, outcome),
             Event::HeartbeatWritten(outcome) => {
                 self.heartbeat.sending = false;
                 if let Err(error) = outcome {
                     tracing::debug!(%error, "heartbeat not written");
                 }
             }
-            Event::Claimed {
+            Event::ClaimWritten {
                 claim,
                 bundle,
                 outcome,
-            } => self.claimed(claim, bundle, outcome),
-            Event::Fetched {
+            } => self.on_claim_written(claim, bundle, outcome),
+            Event::ItemsRead {
                 batch,
                 chunk,
                 items,
-            } => self.fetched(&batch, chunk, items),
-            Event::ItemEnded { batch, index, end } => self.item_ended(&batch, index, end),
-            Event::Ordered {
+            } => self.on_items_read(&batch, chunk, items),
+            Event::ItemEnded { batch, index, end } => self.on_item_ended(&batch, index, end),
+            Event::OrderAnswered {
                 answer,
                 model,
                 version,
-            } => self.ordered(answer, &model, version),
-            Event::Partials { bundle, partials } => self.resumed(bundle, partials),
+            } => self.on_order_answered(answer, &model, version),
+            Event::PartialsRead { bundle, partials } => self.on_partials_read(bundle, partials),
             Event::Report(report) => {
                 if let Some(report) = report {
                     self.report = Some((report, now));
                 }
             }
-            Event::Store(FollowEvent::Changes { changes, .. }) => {
-                // Who hears of changes reaches the store, though its follower
-                // tells so only after them: batches that came with the store's
-                // return were run unclaimed, and half of their items twice.
-                self.away_since = None;
+            Event::Feed(FollowEvent::Changes { changes, .. }) => {
+                // Changes show that the store is reachable, although the follower
+                // reports that only after them. Otherwise batches that arrived with the
+                // store's return were run without claims, and half of their items twice.
+                self.outage_start = None;
                 for change in changes {
-                    self.change(change, now);
+                    self.apply_change(change, now);
                 }
             }
-            Event::Store(FollowEvent::Disconnected) => self.away_since = Some(now),
-            Event::Store(FollowEvent::Reconnected) => self.away_since = None,
+            Event::Feed(FollowEvent::Disconnected) => self.outage_start = Some(now),
+            Event::Feed(FollowEvent::Reconnected) => self.outage_start = None,
         }
     }
 
-    /// Does what is due.
+    /// Starts all actions that are due.
     fn plan(&mut self) {
         let now = self.clock.now();
-        if self.away_since.is_some() {
-            // No heartbeat can arrive, so none is late.
-            self.heartbeats.excuse(now);
+        if self.outage_start.is_some() {
+            // Heartbeats can't arrive, so a missing one does not mean a dead runner.
+            self.heartbeats.reset_ages(now);
         }
-        self.look_at_engine(now);
-        let usual = self.look_at_pace(now);
+        self.update_engine(now);
+        let usual = self.update_pace(now);
         self.append_results();
         let standing = self.standing(now);
-        self.settle_home(&standing, now);
-        self.plan_versions(&standing, now);
+        self.update_home(&standing, now);
+        self.plan_order(&standing, now);
         self.plan_claims(&standing, usual, now);
         self.plan_sweep(now);
         self.plan_heartbeat(now);
     }
 
+    /// Whether no run is in progress and no result waits to be listed.
     fn is_idle(&self) -> bool {
         let busy = |batch: &OpenBatch| !batch.running.is_empty() || !batch.results.is_empty();
         !self.batches.values().any(busy)
     }
 }
 
+/// Follows the work table and passes its changes to the work loop.
 async fn follow_work(relay: Arc<Relay>, events: mpsc::Sender<Event>) {
-    let (sender, mut feed) = mpsc::channel(RING);
+    let (sender, mut feed) = mpsc::channel(EVENT_CAPACITY);
     let following = FollowOptions {
         max_backoff: MAX_BACKOFF,
         hold: DEFAULT_HOLD,
-        batch_delay: PACE,
+        batch_delay: CHANGES_DELAY,
         has_parts: true,
         table: WORK,
     };
     let following = follow(relay, following, sender);
-    let telling = async {
+    let forwarding = async {
         while let Some(followed) = feed.recv().await {
-            if events.send(Event::Store(followed)).await.is_err() {
+            if events.send(Event::Feed(followed)).await.is_err() {
                 return;
             }
         }
     };
-    tokio::join!(following, telling);
+    tokio::join!(following, forwarding);
 }
