--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -11,8 +11,8 @@
 use crate::{
     base::{Cause, Event, Failure, Millis, Span, Verdict, stable_hash},
     policy::{
-        agent_queue::{self, Item, Offer},
-        claims::Claim, //
+        agent_queue::{self, Item, OfferOutcome},
+        claims::KeyClaim, //
     },
     wire::{FromAgent, Slot, Start, WINDOW, Work as Task}, //
 };
@@ -75,18 +75,18 @@
             team,
         };
         match self.queue.offer(now, item) {
-            Offer::Queued(displaced) => {
+            OfferOutcome::Queued(displaced) => {
                 self.ledger.note(now, request, Event::Queued);
                 if let Some(item) = displaced {
                     let limit = self.settings.backend.queue;
-                    self.refuse(item.key, agent_queue::full(limit));
+                    self.refuse(item.key, agent_queue::overload_failure(limit));
                 }
             }
-            Offer::Refused(failure) => {
+            OfferOutcome::Refused(failure) => {
                 self.refuse(key, failure);
                 return;
             }
-            Offer::Run => self.launch(key),
+            OfferOutcome::Run => self.launch(key),
         }
         if let Some(state) = self.links.get_mut(&link) {
             state.slots.insert(slot, key);
@@ -219,12 +219,12 @@
         // A key is claimed in the table before its call is handed over. This
         // is a second guard, for an entry that was paused between the two.
         match self.claims.claim(now, &scoped(start, key), start.request) {
-            Claim::Fresh => Ok(()),
-            Claim::Full => {
+            KeyClaim::Fresh => Ok(()),
+            KeyClaim::Full => {
                 let detail = "too many request keys within the window";
                 Err(Failure::not_run(Cause::Overloaded, detail))
             }
-            Claim::Taken(earlier) => {
+            KeyClaim::Taken(earlier) => {
                 let detail = format!("the key belongs to request {earlier}, which was begun");
                 Err(Failure::may_have_run(Cause::Duplicate, detail))
             }
@@ -325,7 +325,7 @@
     pub(super) fn shed(&mut self, now: Millis) {
         let service = Millis(self.service_time as u64);
         for item in self.queue.shed(now, service) {
-            self.refuse(item.key, agent_queue::late());
+            self.refuse(item.key, agent_queue::deadline_failure());
         }
     }
 
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -8,8 +8,8 @@
 use crate::{
     base::{Cause, Failure, Fence, WeightVersion},
     policy::{
-        fences::{Fences, Ruling},
-        lease::{LEASES, Lease}, //
+        fences::{FenceCheck, Fences},
+        lease::{LEASE_PREFIX, Lease}, //
     },
     table::{Platform, Row, Tag},
     wire::{EngineState, FromAgent, Order, OrderKind, Slot}, //
@@ -65,9 +65,11 @@
         OrderKind::Load { version } => version,
         OrderKind::Role { .. } | OrderKind::Unload => WeightVersion::default(),
     };
-    let ruling = fences.borrow_mut().rule(&order.lease, order.fence, version);
+    let ruling = fences
+        .borrow_mut()
+        .check(&order.lease, order.fence, version);
     let ruling = match ruling {
-        Ruling::Ask => {
+        FenceCheck::Unknown => {
             // An agent that has just started knows no fencing number, and its
             // engine may not check any: an owner that was paused past its
             // lease could have an old order passed. The leases' rows tell the
@@ -79,13 +81,13 @@
             for (lease, epoch) in epochs {
                 fences.learn(&lease, epoch.max(1));
             }
-            fences.rule(&order.lease, order.fence, version)
+            fences.check(&order.lease, order.fence, version)
         }
-        Ruling::Pass | Ruling::Stale(_) => ruling,
+        FenceCheck::Pass | FenceCheck::Stale(_) => ruling,
     };
     match ruling {
-        Ruling::Pass => Ok(()),
-        Ruling::Ask | Ruling::Stale(_) => {
+        FenceCheck::Pass => Ok(()),
+        FenceCheck::Unknown | FenceCheck::Stale(_) => {
             let detail = format!("order {} is overtaken by a newer one", order.fence);
             Err(Failure::not_run(Cause::StaleFence, detail))
         }
@@ -94,7 +96,7 @@
 
 /// The epoch of each trainer's lease, by the path of its row.
 async fn epochs(platform: &Platform) -> Result<Vec<(String, Fence)>, Failure> {
-    let listing = platform.list(LEASES, &mut Tag::default()).await;
+    let listing = platform.list(LEASE_PREFIX, &mut Tag::default()).await;
     let listing = listing.map_err(|error| Failure::not_run(Cause::StoreDown, error.to_string()))?;
     let rows = listing.map(|listing| listing.rows).unwrap_or_default();
     let epoch = |(path, row): (String, Row)| {
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -13,7 +13,7 @@
     engine::Engine,
     policy::{
         agent_queue::AgentQueue,
-        claims::Claims,
+        claims::SeenKeys,
         fences::Fences,
         ledger::Ledger, //
     },
@@ -47,7 +47,7 @@
 
 /// All that the work duty owns.
 pub(super) struct Work {
-    pub(super) claims: Claims,
+    pub(super) claims: SeenKeys,
     pub(super) context: Context,
     pub(super) done: mpsc::Sender<Done>,
     pub(super) fences: Rc<RefCell<Fences>>,
@@ -126,7 +126,7 @@
         let backend = &settings.backend;
         let engine = backend.kind == BackendKind::Engine;
         Self {
-            claims: Claims::new(CLAIM_WINDOW, MAX_CLAIMS),
+            claims: SeenKeys::new(CLAIM_WINDOW, MAX_CLAIMS),
             context,
             done,
             fences: Rc::default(),
--- a/src/calls/book.rs
+++ b/src/calls/book.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::{Fingerprint, Millis, Verdict},
-    policy::{health::Health, latency::Latency, server_choice::Candidate},
+    policy::{health::CircuitBreaker, latency::Latency, server_choice::Candidate},
     routing::{Life, Server}, //
 };
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
     asked: Vec<Asked>,
     /// When it was seen to have ended.
     ended: Option<Millis>,
-    health: Health,
+    health: CircuitBreaker,
     in_flight: u32,
     latency: Latency,
     /// Running and waiting calls by the server's own word, and when it said so.
@@ -83,7 +83,7 @@
             reported: record.and_then(|record| record.reported).and_then(fresh),
             slots: server.slots,
             tried,
-            trusted: record.is_none_or(|record| record.health.may_get(now)),
+            trusted: record.is_none_or(|record| record.health.allows(now)),
         }
     }
 
@@ -96,7 +96,7 @@
         let record = self.records.entry(server.clone()).or_default();
         record.in_flight += 1;
         record.used = now;
-        record.health.try_once(now);
+        record.health.begin_trial(now);
     }
 
     /// A call at `server` is no longer under way.
@@ -109,7 +109,7 @@
     /// An answer came after `taken` ms, where `usual` is usual.
     pub(super) fn succeed(&mut self, server: &Life, now: Millis, usual: f64, taken: f64) {
         if let Some(record) = self.records.get_mut(server) {
-            record.health.succeed();
+            record.health.record_success();
             record.latency.note(now, usual, taken);
         }
     }
@@ -119,9 +119,9 @@
         let Some(record) = self.records.get_mut(server) else {
             return false;
         };
-        let before = record.health.is_out();
-        record.health.fail(now);
-        !before && record.health.is_out()
+        let before = record.health.is_open();
+        record.health.record_failure(now);
+        !before && record.health.is_open()
     }
 
     /// No answer came within `waited` ms: what it takes is at least that.
--- a/src/calls/caller.rs
+++ b/src/calls/caller.rs
@@ -15,10 +15,10 @@
     net::{Answer, CallError, Peer},
     platform,
     policy::{
-        freshness::WAIT_STALE,
+        freshness::STALE_RETRY_AFTER,
         retry_budget::RetryBudget,
         server_choice::{Candidate, choose},
-        typical::Typical, //
+        typical::TypicalLatency, //
     },
     routing::{Kind, Life, Server},
     usage::Counter,
@@ -51,7 +51,7 @@
     pub(super) budget: RetryBudget,
     peers: HashMap<SocketAddr, Peer>,
     /// What a service's answers take.
-    services: HashMap<String, Typical>,
+    services: HashMap<String, TypicalLatency>,
 }
 
 impl State {
@@ -146,7 +146,7 @@
             if self.is_stale(call) {
                 return StreamEnd::NotRun {
                     reason: STALE.to_owned(),
-                    wait: WAIT_STALE,
+                    wait: STALE_RETRY_AFTER,
                 };
             }
             let Some(server) = self.pick(call, &tried) else {
@@ -335,7 +335,7 @@
                 if answer.status.is_server_error() {
                     return;
                 }
-                state.budget.succeed();
+                state.budget.record_success();
                 let service = state.services.entry(sent.server.service.clone());
                 let typical = service.or_default();
                 let usual = typical.value();
--- a/src/calls/look.rs
+++ b/src/calls/look.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{Fingerprint, Millis},
-    policy::quarantine::Verdict,
+    policy::quarantine::QuarantineState,
     routing::Server,
     view::Attempt, //
 };
@@ -39,7 +39,7 @@
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
         match self.crashes.judge(request) {
-            Verdict::Trial => self.crashes.claim_trial(request).await,
+            QuarantineState::Trial => self.crashes.claim_trial(request).await,
             _ => None,
         }
     }
@@ -48,9 +48,9 @@
     /// attempt of its `trial`.
     pub(super) fn is_barred(&self, call: &Call, trial: bool) -> bool {
         match self.crashes.judge(call.fingerprint) {
-            Verdict::Clear | Verdict::Watched | Verdict::Suspect => false,
-            Verdict::Trial => !trial,
-            Verdict::Barred => true,
+            QuarantineState::Clear | QuarantineState::Watched | QuarantineState::Suspect => false,
+            QuarantineState::Trial => !trial,
+            QuarantineState::Barred => true,
         }
     }
 
--- a/src/calls/run.rs
+++ b/src/calls/run.rs
@@ -11,7 +11,7 @@
 use crate::{
     base::{Millis, Verdict},
     net::Answer,
-    policy::{freshness::WAIT_STALE, server_choice::hedge_after},
+    policy::{freshness::STALE_RETRY_AFTER, server_choice::hedge_delay},
     routing::{Kind, Life},
     view, //
 };
@@ -161,7 +161,7 @@
         let service = self.call.route.service_of(&self.call.id)?;
         let typical = self.caller.typical(service);
         let left = self.call.until.since(self.caller.site.now());
-        Some(hedge_after(typical, left))
+        Some(hedge_delay(typical, left))
     }
 
     /// The server to ask beside a slow one, if successes have paid for it.
@@ -200,7 +200,7 @@
             },
             (0, _) if self.last == STALE => CallEnd::NotRun {
                 reason,
-                wait: WAIT_STALE,
+                wait: STALE_RETRY_AFTER,
             },
             (0, true) => CallEnd::NotRun {
                 reason,
--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -15,7 +15,7 @@
     agent::run_call::REQUEST_ID,
     base::{Cause, Clock, Failure, Millis, RequestId, WeightVersion},
     duty::{Answer, problem, text},
-    policy::claim_batch::Wanted,
+    policy::claim_batch::PendingClaim,
     settings::BackendKind,
     wire::{CallHead, WINDOW, Work}, //
 };
@@ -169,7 +169,7 @@
             return Ok(None);
         };
         let path = claimer::path(&target.names.0, key);
-        let wanted = Wanted {
+        let wanted = PendingClaim {
             path: path.clone(),
             request,
         };
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -26,7 +26,7 @@
         let now = self.context.clock.now();
         let request = new.request;
         self.ledger.open(request, &new.team, &new.class);
-        if let Err(failure) = self.admission.take(&new.team, &new.class, new.limits) {
+        if let Err(failure) = self.admission.admit(&new.team, &new.class, new.limits) {
             let (cause, verdict) = (failure.cause, failure.verdict);
             tracing::info!(
                 target: "decision",
@@ -145,7 +145,7 @@
         call.attempts += 1;
         call.current = Some(attempt);
         target.in_flight += 1;
-        target.health.try_once(now);
+        target.health.begin_trial(now);
         let routed = Event::Routed {
             reason: reason.word().to_owned(),
             server: target.instance.name.clone(),
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::{Cause, Failure, Millis, RequestId, stable_hash},
     duty::{Context, Phase},
-    policy::claim_batch::{Batch, Claims, Ruling, Wanted}, //
+    policy::claim_batch::{Batch, ClaimOutcome, ClaimQueue, PendingClaim}, //
     table::{Platform, Transaction, Write, Written},
 };
 use serde::{
@@ -23,7 +23,7 @@
 pub(super) enum Claim {
     /// The request did not run: the key is free again.
     Release(String),
-    Take(Wanted, oneshot::Sender<Result<(), Failure>>),
+    Take(PendingClaim, oneshot::Sender<Result<(), Failure>>),
 }
 
 /// The row of a claimed key.
@@ -51,7 +51,7 @@
 ) {
     context.drained();
     let mut claimer = Claimer {
-        claims: Claims::new(WINDOW),
+        claims: ClaimQueue::new(WINDOW),
         context: context.clone(),
         instance,
         platform: Platform::open(platform),
@@ -80,7 +80,7 @@
 }
 
 struct Claimer {
-    claims: Claims,
+    claims: ClaimQueue,
     context: Context,
     instance: String,
     platform: Platform,
@@ -94,7 +94,7 @@
             Claim::Release(path) => self.claims.release(&path),
             Claim::Take(wanted, reply) => {
                 let request = wanted.request;
-                if self.claims.want(wanted) {
+                if self.claims.push(wanted) {
                     self.replies.insert(request, reply);
                 } else {
                     let detail = "too many request keys wait to be claimed";
@@ -106,7 +106,7 @@
     }
 
     async fn write_all(&mut self, questions: &mut mpsc::Receiver<Claim>) {
-        while let Some(batch) = self.claims.next(self.context.clock.now()) {
+        while let Some(batch) = self.claims.next_batch(self.context.clock.now()) {
             self.write(batch).await;
             while let Ok(question) = questions.try_recv() {
                 self.take(question);
@@ -121,13 +121,13 @@
                 let now = self.context.clock.now();
                 self.claims.committed(now, &batch, &versions);
                 for wanted in &batch.claims {
-                    self.settle(wanted, Ruling::Granted);
+                    self.settle(wanted, ClaimOutcome::Granted);
                 }
             }
             Ok(Written::Conflict { path, .. }) => {
                 if let Some(lost) = self.claims.conflicted(batch, &path) {
                     let owner = self.owner(&path).await;
-                    self.settle(&lost, Ruling::Taken(owner));
+                    self.settle(&lost, ClaimOutcome::Taken(owner));
                 }
             }
             // Without the table nobody can tell whether the key is new: the
@@ -135,24 +135,24 @@
             Err(error) => {
                 tracing::warn!(%error, "keys not claimed");
                 for wanted in &batch.claims {
-                    self.settle(wanted, Ruling::Undecided);
+                    self.settle(wanted, ClaimOutcome::Undecided);
                 }
             }
         }
     }
 
-    fn settle(&mut self, wanted: &Wanted, ruling: Ruling) {
+    fn settle(&mut self, wanted: &PendingClaim, ruling: ClaimOutcome) {
         let Some(reply) = self.replies.remove(&wanted.request) else {
             return;
         };
         let told = reply.send(match ruling {
-            Ruling::Granted => Ok(()),
-            Ruling::Taken(owner) => {
+            ClaimOutcome::Granted => Ok(()),
+            ClaimOutcome::Taken(owner) => {
                 let owner = owner.map_or("another request".to_owned(), |id| id.to_string());
                 let detail = format!("the key belongs to {owner}, which was begun");
                 Err(Failure::may_have_run(Cause::Duplicate, detail))
             }
-            Ruling::Undecided => {
+            ClaimOutcome::Undecided => {
                 let detail = "the table gives no answer, so the key can't be claimed";
                 let failure = Failure::not_run(Cause::StoreDown, detail);
                 Err(failure.retry_after(Millis(1_000)))
@@ -160,7 +160,7 @@
         });
         // The caller went away or its deadline passed meanwhile: the call
         // will not be made, so its key is free again.
-        if told.is_err() && ruling == Ruling::Granted {
+        if told.is_err() && ruling == ClaimOutcome::Granted {
             self.claims.release(&wanted.path);
         }
     }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -66,7 +66,7 @@
 
         let spec = &owned.step.spec;
         let least = WeightVersion(version.0.saturating_sub(spec.staleness));
-        let generation = generation(spec, owned.step.identity(sample));
+        let generation = generation(spec, owned.step.group_and_index(sample));
         // An attempt may not outlive its step's deadline, but a step that is
         // late still wants its samples.
         let deadline = owned.step.deadline().max(now + LATE_SAMPLE);
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -9,7 +9,7 @@
 use crate::{
     base::Millis,
     policy::{
-        health::Health,
+        health::CircuitBreaker,
         latency::Latency,
         subset, //
     },
@@ -59,7 +59,7 @@
         let mut wanted = BTreeMap::new();
         for pool in pools.into_values() {
             let names = pool.iter().map(|instance| instance.name.as_str());
-            let chosen: BTreeSet<&str> = subset::choose(me, names, subset::SUBSET)
+            let chosen: BTreeSet<&str> = subset::choose(me, names, subset::SUBSET_SIZE)
                 .into_iter()
                 .collect();
             let kept = pool
@@ -76,7 +76,7 @@
         self.servers.insert_with_key(|key| Server {
             dialer: tokio::task::spawn_local(dialer::dial(key, instance.links, hello, inbox)),
             distance,
-            health: Health::default(),
+            health: CircuitBreaker::default(),
             in_flight: 0,
             instance,
             link: None,
--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -68,7 +68,7 @@
         tracing::info!(server = name, reason, "link down");
         metrics::counter!("redwing_links_down_total", "reason" => reason).increment(1);
         state.link = None;
-        state.health.fail(now);
+        state.health.record_failure(now);
 
         let lost: Vec<AttemptKey> = self
             .attempts
@@ -228,7 +228,7 @@
         if let Some(handover) = handover
             && let Some(server) = self.servers.get_mut(handover.server)
         {
-            server.health.succeed();
+            server.health.record_success();
             server.latency.note(now, UNKNOWN, call.taken(handover, now));
         }
         let request = call.new.request;
@@ -242,7 +242,7 @@
         metrics::counter!("redwing_calls_finished_total").increment(1);
         let pool = (call.new.team.clone(), call.new.pool.clone());
         if let Some(budget) = self.budgets.get_mut(&pool) {
-            budget.succeed();
+            budget.record_success();
         }
         call.reply(end);
     }
@@ -254,7 +254,7 @@
             Cause::BackendBroken | Cause::BackendUnreachable | Cause::VersionUncertain
         );
         if let Some(server) = self.servers.get_mut(server).filter(|_| at_fault) {
-            server.health.fail(now);
+            server.health.record_failure(now);
         }
     }
 
@@ -269,7 +269,7 @@
     fn remove(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(key)?;
         self.ids.remove(&call.new.request);
-        self.admission.give_back(&call.new.team, &call.new.class);
+        self.admission.release(&call.new.team, &call.new.class);
         if let Some(attempt) = call.current
             && !attempt.is_null()
         {
--- a/src/entry/owned_step.rs
+++ b/src/entry/owned_step.rs
@@ -94,7 +94,11 @@
             .filter_map(|number| {
                 let sample = self.step.sample(number)?;
                 *bytes += sample.tokens.text().len();
-                Some(describe(self.step.identity(number).1, number, sample))
+                Some(describe(
+                    self.step.group_and_index(number).1,
+                    number,
+                    sample,
+                ))
             })
             .collect();
         json!({ "group": group, "samples": samples })
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::{Cause, Failure, Millis, stable_hash},
-    policy::lease::{Claimant, LEASE, LEASES, Lease, Step, Watch}, //
+    policy::lease::{Claimant, LEASE_DURATION, LEASE_PREFIX, Lease, LeaseAction, LeaseWatch}, //
     table::{Platform, StoreError, Transaction, Write, Written},
 };
 
@@ -80,7 +80,7 @@
         match look.found {
             Ok((row, _)) => {
                 trainer.seen = now;
-                trainer.watch.see(now, row.clone());
+                trainer.watch.observe(now, row.clone());
                 trainer.ownership = match row {
                     Some(row) if me.holds(&row) => Ownership::Mine(row.epoch),
                     Some(row) if !row.holder.is_empty() => Ownership::Elsewhere(row),
@@ -150,7 +150,7 @@
 
 /// The row of a trainer's lease.
 pub(super) fn path((team, trainer): &TrainerKey) -> String {
-    format!("{LEASES}{team}/{trainer}")
+    format!("{LEASE_PREFIX}{team}/{trainer}")
 }
 
 /// One look at a row, apart from the duty's loop.
@@ -159,7 +159,7 @@
     me: Claimant,
     path: String,
     platform: Platform,
-    watch: Watch,
+    watch: LeaseWatch,
 }
 
 impl Looker {
@@ -168,8 +168,8 @@
         let version = row.as_ref().map_or(0, |row| row.version);
         let lease = row.and_then(|row| serde_json::from_str::<Lease>(&row.value).ok());
         let now = self.clock.now();
-        self.watch.see(now, lease.clone());
-        let Step::Write(next) = self.watch.decide(now, &self.me, LEASE) else {
+        self.watch.observe(now, lease.clone());
+        let LeaseAction::Write(next) = self.watch.decide(now, &self.me, LEASE_DURATION) else {
             return Ok((lease, false));
         };
         let content = (next.epoch, next.renewals);
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     base::{Millis, WeightVersion},
-    policy::{health::Health, latency::Latency, router::Candidate},
+    policy::{health::CircuitBreaker, latency::Latency, router::Candidate},
     table::{Instance, InstanceState},
     wire::{Link, Report, ToAgent}, //
 };
@@ -21,7 +21,7 @@
 pub(super) struct Server {
     pub(super) dialer: JoinHandle<()>,
     pub(super) distance: Millis,
-    pub(super) health: Health,
+    pub(super) health: CircuitBreaker,
     pub(super) in_flight: u32,
     pub(super) instance: Instance,
     pub(super) link: Option<Link<ToAgent>>,
@@ -53,7 +53,7 @@
             latency: self.latency.estimate(now, UNKNOWN),
             others: (self.report.running + self.report.queued).saturating_sub(self.reported_mine),
             report_age: now.since(self.reported),
-            trusted: self.health.may_get(now),
+            trusted: self.health.allows(now),
         }
     }
 
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -249,7 +249,7 @@
             key,
             linked: server.link.is_some(),
             name: server.instance.name.clone(),
-            out: server.health.is_out(),
+            out: server.health.is_open(),
             pool: server.instance.pool.clone().unwrap_or_default(),
             report: server.report.clone(),
         });
--- a/src/entry/trainer.rs
+++ b/src/entry/trainer.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{Fence, Millis, WeightVersion},
-    policy::lease::{Lease, Watch}, //
+    policy::lease::{Lease, LeaseWatch}, //
 };
 use std::collections::{
     BTreeMap,
@@ -53,7 +53,7 @@
     pub(super) waiting: VecDeque<Question>,
     /// When the trainer asked last; without questions no lease is wanted.
     pub(super) wanted: Millis,
-    pub(super) watch: Watch,
+    pub(super) watch: LeaseWatch,
 }
 
 /// The questions that may wait for a lease.
--- a/src/gateway/door.rs
+++ b/src/gateway/door.rs
@@ -7,7 +7,7 @@
     platform,
     policy::{
         access::{self, Denial},
-        freshness::WAIT_STALE, //
+        freshness::STALE_RETRY_AFTER, //
     },
     routing::{Config, Route, Workspace},
     view::Site, //
@@ -65,7 +65,7 @@
             Self::Denied(denial) => denied(denial),
             Self::NoConfig => reply::refusal(WAIT_CONFIG, "no configuration yet"),
             Self::NoRoute => reply::status(StatusCode::NOT_FOUND, "no route"),
-            Self::Stale => reply::refusal(WAIT_STALE, "the configuration is not confirmed"),
+            Self::Stale => reply::refusal(STALE_RETRY_AFTER, "the configuration is not confirmed"),
         }
     }
 }
@@ -87,7 +87,7 @@
     pub(super) async fn reader(&self, head: &Parts) -> Result<Reader, Refusal> {
         let credential = platform::credential(&head.headers);
         let reader = |config: &Arc<Config>| {
-            let judged = access::judge(config.workspaces.as_ref(), false, credential);
+            let judged = access::authenticate(config.workspaces.as_ref(), false, credential);
             judged.map_err(Refusal::Denied)
         };
         match self.judge(reader, Option::is_some).await {
@@ -172,7 +172,7 @@
     let route = config.route(host(head), head.uri.path());
     let route = route.ok_or(Refusal::NoRoute)?.clone();
     let credential = platform::credential(&head.headers);
-    let workspace = access::judge(config.workspaces.as_ref(), route.open, credential)
+    let workspace = access::authenticate(config.workspaces.as_ref(), route.open, credential)
         .map_err(Refusal::Denied)?;
     Ok(Admitted {
         config: config.clone(),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -13,7 +13,7 @@
 use crate::{
     base::{Clock, Millis},
     net::{Answer, CallError, Peer, Reach},
-    policy::patience::Patience,
+    policy::patience::AdaptiveTimeout,
     store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
 };
 use base64::{
@@ -36,7 +36,7 @@
 #[derive(Clone)]
 pub struct Store {
     pub(super) clock: Clock,
-    patience: Arc<Mutex<Patience>>,
+    patience: Arc<Mutex<AdaptiveTimeout>>,
     pub(super) pace: Arc<ProbePace>,
     pub(super) peer: Peer,
     pub(super) reach: Arc<Reach>,
@@ -232,7 +232,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<Answer, StoreError> {
-        let within = self.patience().wait(self.clock.now());
+        let within = self.patience().timeout(self.clock.now());
         self.wait_back(within).await?;
         let began = self.clock.now();
         let result = self.call(method, path, body, within).await;
@@ -241,13 +241,13 @@
         // A connection that is refused or breaks at once tells nothing.
         match &result {
             Ok(_) => self.patience().note(now, taken),
-            Err(_) if taken >= within => self.patience().give_up(),
+            Err(_) if taken >= within => self.patience().note_timeout(),
             Err(_) => {}
         }
         result
     }
 
-    fn patience(&self) -> MutexGuard<'_, Patience> {
+    fn patience(&self) -> MutexGuard<'_, AdaptiveTimeout> {
         self.patience.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/src/policy/access.rs
+++ b/src/policy/access.rs
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// [`Denial`] when the request needs a key and shows none that is held.
-pub fn judge(
+pub fn authenticate(
     workspaces: Option<&Workspaces>,
     open: bool,
     credential: Credential,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -29,8 +29,8 @@
 const RETRY_AFTER: Millis = Millis(250);
 
 impl Admission {
-    /// Gives back what [`Admission::take`] took.
-    pub fn give_back(&mut self, team: &str, class: &str) {
+    /// Gives back what [`Admission::admit`] took.
+    pub fn release(&mut self, team: &str, class: &str) {
         if let Some(count) = self.teams.get_mut(team) {
             *count = count.saturating_sub(1);
         }
@@ -40,7 +40,7 @@
     }
 
     /// Counts a call in, or says why not.
-    pub fn take(&mut self, team: &str, class: &str, limits: Limits) -> Result<(), Failure> {
+    pub fn admit(&mut self, team: &str, class: &str, limits: Limits) -> Result<(), Failure> {
         let in_team = self.teams.entry(team.to_owned()).or_default();
         let in_class = self
             .classes
@@ -59,8 +59,8 @@
     }
 }
 
-fn refusal(whose: &str, limit: u32) -> Failure {
-    let detail = format!("{whose} has its {limit} calls in flight at this entry");
+fn refusal(scope: &str, limit: u32) -> Failure {
+    let detail = format!("{scope} has its {limit} calls in flight at this entry");
     Failure::not_run(Cause::Overloaded, detail).retry_after(RETRY_AFTER)
 }
 
@@ -80,7 +80,7 @@
             let admitted: Vec<bool> = self
                 .calls
                 .iter()
-                .map(|(team, class)| admission.take(team, class, limits).is_ok())
+                .map(|(team, class)| admission.admit(team, class, limits).is_ok())
                 .collect();
             assert_eq!(admitted, self.admitted);
         }
@@ -109,9 +109,9 @@
         let mut admission = Admission::default();
         let limits = Limits { class: 1, team: 1 };
         for _ in 0..3 {
-            assert!(admission.take("a", "x", limits).is_ok());
-            assert!(admission.take("a", "x", limits).is_err());
-            admission.give_back("a", "x");
+            assert!(admission.admit("a", "x", limits).is_ok());
+            assert!(admission.admit("a", "x", limits).is_err());
+            admission.release("a", "x");
         }
     }
 }
--- a/src/policy/agent_queue.rs
+++ b/src/policy/agent_queue.rs
@@ -1,7 +1,7 @@
 //! The queue before one backend server.
 
 use super::{
-    fair_line::FairLine,
+    fair_line::FairQueue,
     router::Policy, //
 };
 use crate::base::{
@@ -33,14 +33,14 @@
 
 impl<K> Item<K> {
     /// Whether half of its time has gone by in waiting.
-    fn is_half_over(&self, now: Millis) -> bool {
+    fn is_past_half_time(&self, now: Millis) -> bool {
         now.since(self.arrived) > self.deadline.since(now)
     }
 }
 
 /// What becomes of an offered request.
 #[derive(Debug)]
-pub enum Offer<K> {
+pub enum OfferOutcome<K> {
     /// It waits; in a full queue it took the place of another team's.
     Queued(Option<Item<K>>),
     Refused(Failure),
@@ -61,28 +61,28 @@
 pub struct AgentQueue<K> {
     capacity: u32,
     draining: bool,
-    limit: usize,
+    max_waiting: usize,
     policy: Policy,
     running: u32,
     /// How many of each team run.
     teams: HashMap<u64, u32>,
     tombstones: Tombstones,
     /// One line for each priority, indexed by it.
-    waiting: [FairLine<Item<K>>; Priority::ALL.len()],
+    waiting: [FairQueue<Item<K>>; Priority::ALL.len()],
 }
 
 /// Of this many starts, one goes to the lowest waiting priority, so that
 /// rollouts keep a floor under live load.
-const FLOOR_SHARE: u64 = 8;
+const LOWEST_PRIORITY_INTERVAL: u64 = 8;
 
 impl<K: Copy + PartialEq> AgentQueue<K> {
     /// A queue for a server that takes `capacity` requests at once, in which
-    /// at most `limit` wait.
-    pub fn new(policy: Policy, capacity: u32, limit: usize) -> Self {
+    /// at most `max_waiting` wait.
+    pub fn new(policy: Policy, capacity: u32, max_waiting: usize) -> Self {
         Self {
             capacity,
             draining: false,
-            limit,
+            max_waiting,
             policy,
             running: 0,
             teams: HashMap::new(),
@@ -122,13 +122,13 @@
             return None;
         }
 
-        let floor = turn % FLOOR_SHARE == FLOOR_SHARE - 1;
-        let mut lines: Vec<&mut FairLine<Item<K>>> = self.waiting.iter_mut().collect();
+        let floor = turn % LOWEST_PRIORITY_INTERVAL == LOWEST_PRIORITY_INTERVAL - 1;
+        let mut lines: Vec<&mut FairQueue<Item<K>>> = self.waiting.iter_mut().collect();
         if !floor {
             lines.reverse();
         }
         let current = self.policy == Policy::Current;
-        let newest = |oldest: &Item<K>| current && oldest.is_half_over(now);
+        let newest = |oldest: &Item<K>| current && oldest.is_past_half_time(now);
         let running = |team| self.teams.get(&team).copied().unwrap_or(0);
         let item = lines
             .into_iter()
@@ -138,40 +138,40 @@
     }
 
     /// Takes `item` in, runs it at once, or refuses it.
-    pub fn offer(&mut self, now: Millis, item: Item<K>) -> Offer<K> {
+    pub fn offer(&mut self, now: Millis, item: Item<K>) -> OfferOutcome<K> {
         if self.tombstones.holds(item.request, item.attempt) {
             let detail = "the request was revoked before this copy of it arrived";
-            return Offer::Refused(Failure::not_run(Cause::Cancelled, detail));
+            return OfferOutcome::Refused(Failure::not_run(Cause::Cancelled, detail));
         }
         if self.draining {
             let detail = "the backend server is leaving";
-            return Offer::Refused(Failure::not_run(Cause::Draining, detail));
+            return OfferOutcome::Refused(Failure::not_run(Cause::Draining, detail));
         }
         if item.deadline <= now && self.policy == Policy::Current {
-            return Offer::Refused(late());
+            return OfferOutcome::Refused(deadline_failure());
         }
         if self.running < self.capacity && self.queued() == 0 {
             self.start(item.team);
-            return Offer::Run;
+            return OfferOutcome::Run;
         }
         if self.policy == Policy::Baseline {
             return self.offer_baseline(item);
         }
 
-        let displaced = match self.queued() >= self.limit {
+        let displaced = match self.queued() >= self.max_waiting {
             true => match self.displace(&item) {
                 Some(displaced) => Some(displaced),
-                None => return Offer::Refused(full(self.limit)),
+                None => return OfferOutcome::Refused(overload_failure(self.max_waiting)),
             },
             false => None,
         };
         self.waiting[item.priority as usize].push(item.team, item);
-        Offer::Queued(displaced)
+        OfferOutcome::Queued(displaced)
     }
 
     /// The requests that wait.
     pub fn queued(&self) -> usize {
-        self.waiting.iter().map(FairLine::len).sum()
+        self.waiting.iter().map(FairQueue::len).sum()
     }
 
     /// Withdraws `request`, and refuses every later copy of this attempt.
@@ -196,14 +196,14 @@
         }
         let lines = self.waiting.iter_mut();
         lines
-            .flat_map(|line| line.take_if(|item| item.deadline <= now + service))
+            .flat_map(|line| line.extract_if(|item| item.deadline <= now + service))
             .collect()
     }
 
     /// Removes `request` if it waits.
     pub fn withdraw(&mut self, request: RequestId) -> Option<Item<K>> {
         let mut lines = self.waiting.iter_mut();
-        lines.find_map(|line| line.take_if(|item| item.request == request).pop())
+        lines.find_map(|line| line.extract_if(|item| item.request == request).pop())
     }
 
     /// Makes room for `item` in a full queue: a lower priority's newest goes
@@ -217,7 +217,7 @@
         }
         let line = &mut self.waiting[item.priority as usize];
         let (team, length) = line.longest()?;
-        match length > line.of(item.team) + 1 {
+        match length > line.len_of(item.team) + 1 {
             true => line.pop_newest(team),
             false => None,
         }
@@ -228,23 +228,23 @@
         *self.teams.entry(team).or_default() += 1;
     }
 
-    fn offer_baseline(&mut self, item: Item<K>) -> Offer<K> {
-        if self.queued() >= self.limit {
-            return Offer::Refused(full(self.limit));
+    fn offer_baseline(&mut self, item: Item<K>) -> OfferOutcome<K> {
+        if self.queued() >= self.max_waiting {
+            return OfferOutcome::Refused(overload_failure(self.max_waiting));
         }
         self.waiting[0].push(0, item);
-        Offer::Queued(None)
+        OfferOutcome::Queued(None)
     }
 }
 
 /// The failure of a request for which the queue has no room.
-pub fn full(limit: usize) -> Failure {
-    let detail = format!("{limit} requests wait for the backend server");
+pub fn overload_failure(max_waiting: usize) -> Failure {
+    let detail = format!("{max_waiting} requests wait for the backend server");
     Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(100))
 }
 
 /// The failure of a request whose deadline passed while it waited.
-pub fn late() -> Failure {
+pub fn deadline_failure() -> Failure {
     let detail = "the deadline passed while the request waited";
     Failure::not_run(Cause::DeadlinePassed, detail)
 }
@@ -308,11 +308,11 @@
         let mut queue = AgentQueue::new(Policy::Current, 1, 4);
         assert!(matches!(
             queue.offer(Millis(0), item(0, 1, Priority::Live)),
-            Offer::Run
+            OfferOutcome::Run
         ));
         for sequence in 1..=4 {
             let offer = queue.offer(Millis(0), item(sequence, 1, Priority::Background));
-            assert!(matches!(offer, Offer::Queued(None)));
+            assert!(matches!(offer, OfferOutcome::Queued(None)));
         }
         queue
     }
@@ -327,9 +327,9 @@
         fn run(self) {
             let mut queue = full_queue();
             let (displaced, refused) = match queue.offer(Millis(0), self.offered) {
-                Offer::Queued(displaced) => (displaced.map(|item| item.key), false),
-                Offer::Refused(_) => (None, true),
-                Offer::Run => panic!("run beyond the capacity"),
+                OfferOutcome::Queued(displaced) => (displaced.map(|item| item.key), false),
+                OfferOutcome::Refused(_) => (None, true),
+                OfferOutcome::Run => panic!("run beyond the capacity"),
             };
             assert_eq!((displaced, refused), (self.displaced, self.refused));
             assert_eq!(queue.queued(), 4);
@@ -361,9 +361,12 @@
         let mut queue = AgentQueue::new(Policy::Current, 4, 4);
         let late = item(7, 1, Priority::Live);
         assert!(queue.revoke(late.request, late.attempt).is_none());
-        assert!(matches!(queue.offer(Millis(0), late), Offer::Refused(_)));
+        assert!(matches!(
+            queue.offer(Millis(0), late),
+            OfferOutcome::Refused(_)
+        ));
         let next = Item { attempt: 1, ..late };
-        assert!(matches!(queue.offer(Millis(0), next), Offer::Run));
+        assert!(matches!(queue.offer(Millis(0), next), OfferOutcome::Run));
     }
 
     #[test]
--- a/src/policy/batch_age.rs
+++ b/src/policy/batch_age.rs
@@ -4,7 +4,7 @@
 
 /// A batch's age and bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct Age {
+pub struct BatchAge {
     /// Since its submission, by the store's clock.
     pub age: Millis,
     /// Whether nothing more has to be listed.
@@ -17,7 +17,7 @@
 
 /// What to do with a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Action {
     /// List the items that are left as given up.
     GiveUp,
     Keep,
@@ -31,12 +31,12 @@
 
 /// Judges a batch. One that is still open is never removed: its items are given
 /// up first.
-pub fn judge(batch: Age) -> Verdict {
+pub fn decide(batch: BatchAge) -> Action {
     let given_up = batch.ttl > Millis(0) && batch.age > batch.ttl;
     let kept = Millis((batch.retention.0 as f64 * KEEP_FACTOR) as u64);
     match batch.over {
-        false if given_up => Verdict::GiveUp,
-        true if batch.age > kept => Verdict::Remove,
-        _ => Verdict::Keep,
+        false if given_up => Action::GiveUp,
+        true if batch.age > kept => Action::Remove,
+        _ => Action::Keep,
     }
 }
--- a/src/policy/claim_batch.rs
+++ b/src/policy/claim_batch.rs
@@ -12,7 +12,7 @@
 
 /// A key that a request wants for itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Wanted {
+pub struct PendingClaim {
     pub path: String,
     pub request: RequestId,
 }
@@ -20,14 +20,14 @@
 /// What is to be written in one transaction.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Batch {
-    pub claims: Vec<Wanted>,
+    pub claims: Vec<PendingClaim>,
     /// Rows to remove, with the versions they must have.
     pub removals: Vec<(String, u64)>,
 }
 
 /// What became of one claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ruling {
+pub enum ClaimOutcome {
     /// The key is this request's; nobody else will get it within the window.
     Granted,
     /// The key belongs to another request, begun here or elsewhere.
@@ -44,22 +44,22 @@
 /// absent was committed with this request's name in it. So over all entries
 /// and all their lives a key is granted once within the window.
 #[derive(Debug)]
-pub struct Claims {
+pub struct ClaimQueue {
     /// Keys granted here: row version and when.
     granted: HashMap<String, (u64, Millis)>,
     order: VecDeque<(Millis, String)>,
     removals: VecDeque<(String, u64)>,
-    waiting: VecDeque<Wanted>,
+    waiting: VecDeque<PendingClaim>,
     window: Millis,
 }
 
 /// The rows of one transaction; the platform's are small.
-pub const MOST: usize = 16;
+pub const MAX_ROWS: usize = 16;
 
 /// The claims that may wait; further ones are refused.
 pub const MAX_WAITING: usize = 512;
 
-impl Claims {
+impl ClaimQueue {
     /// Claims that are kept for `window`.
     pub fn new(window: Millis) -> Self {
         Self {
@@ -72,7 +72,7 @@
     }
 
     /// Queues a claim; false when too many wait.
-    pub fn want(&mut self, wanted: Wanted) -> bool {
+    pub fn push(&mut self, wanted: PendingClaim) -> bool {
         if self.waiting.len() >= MAX_WAITING {
             return false;
         }
@@ -81,10 +81,10 @@
     }
 
     /// The next transaction; `None` when there is nothing to write.
-    pub fn next(&mut self, now: Millis) -> Option<Batch> {
+    pub fn next_batch(&mut self, now: Millis) -> Option<Batch> {
         self.expire(now);
         let mut batch = Batch::default();
-        while batch.claims.len() < MOST {
+        while batch.claims.len() < MAX_ROWS {
             let Some(wanted) = self.waiting.pop_front() else {
                 break;
             };
@@ -96,7 +96,7 @@
             }
             batch.claims.push(wanted);
         }
-        while batch.claims.len() + batch.removals.len() < MOST {
+        while batch.claims.len() + batch.removals.len() < MAX_ROWS {
             let Some(removal) = self.removals.pop_front() else {
                 break;
             };
@@ -121,7 +121,7 @@
 
     /// The batch was refused because of the row at `path`; the rest waits for
     /// another transaction. Returns the claim that lost, if it was one.
-    pub fn conflicted(&mut self, batch: Batch, path: &str) -> Option<Wanted> {
+    pub fn conflicted(&mut self, batch: Batch, path: &str) -> Option<PendingClaim> {
         let mut lost = None;
         for wanted in batch.claims.into_iter().rev() {
             if wanted.path == path {
@@ -169,8 +169,8 @@
         Issuer, //
     };
 
-    fn wanted(path: &str, sequence: u32) -> Wanted {
-        Wanted {
+    fn wanted(path: &str, sequence: u32) -> PendingClaim {
+        PendingClaim {
             path: path.into(),
             request: RequestId {
                 incarnation: Incarnation(1),
@@ -183,42 +183,42 @@
 
     #[test]
     fn one_conflict_costs_only_its_own_claim() {
-        let mut claims = Claims::new(Millis(1_000));
+        let mut claims = ClaimQueue::new(Millis(1_000));
         for (path, sequence) in [("a", 1), ("b", 2), ("c", 3)] {
-            assert!(claims.want(wanted(path, sequence)));
+            assert!(claims.push(wanted(path, sequence)));
         }
-        let batch = claims.next(Millis(0)).unwrap();
+        let batch = claims.next_batch(Millis(0)).unwrap();
         assert_eq!(batch.claims.len(), 3);
         assert_eq!(claims.conflicted(batch, "b"), Some(wanted("b", 2)));
-        let batch = claims.next(Millis(0)).unwrap();
+        let batch = claims.next_batch(Millis(0)).unwrap();
         assert_eq!(batch.claims, [wanted("a", 1), wanted("c", 3)]);
     }
 
     #[test]
     fn the_same_key_twice_takes_two_transactions() {
-        let mut claims = Claims::new(Millis(1_000));
-        claims.want(wanted("a", 1));
-        claims.want(wanted("a", 2));
-        let first = claims.next(Millis(0)).unwrap();
+        let mut claims = ClaimQueue::new(Millis(1_000));
+        claims.push(wanted("a", 1));
+        claims.push(wanted("a", 2));
+        let first = claims.next_batch(Millis(0)).unwrap();
         assert_eq!(first.claims, [wanted("a", 1)]);
         claims.committed(Millis(0), &first, &[7]);
-        let second = claims.next(Millis(0)).unwrap();
+        let second = claims.next_batch(Millis(0)).unwrap();
         assert_eq!(claims.conflicted(second, "a"), Some(wanted("a", 2)));
     }
 
     #[test]
     fn keys_are_removed_after_the_window_or_when_released() {
-        let mut claims = Claims::new(Millis(1_000));
+        let mut claims = ClaimQueue::new(Millis(1_000));
         for path in ["a", "b"] {
-            claims.want(wanted(path, 1));
+            claims.push(wanted(path, 1));
         }
-        let batch = claims.next(Millis(0)).unwrap();
+        let batch = claims.next_batch(Millis(0)).unwrap();
         claims.committed(Millis(0), &batch, &[7, 7]);
         claims.release("b");
-        let batch = claims.next(Millis(10)).unwrap();
+        let batch = claims.next_batch(Millis(10)).unwrap();
         assert_eq!(batch.removals, [("b".to_owned(), 7)]);
-        assert_eq!(claims.next(Millis(999)), None);
-        let batch = claims.next(Millis(1_000)).unwrap();
+        assert_eq!(claims.next_batch(Millis(999)), None);
+        let batch = claims.next_batch(Millis(1_000)).unwrap();
         assert_eq!(batch.removals, [("a".to_owned(), 7)]);
     }
 }
--- a/src/policy/claim_choice.rs
+++ b/src/policy/claim_choice.rs
@@ -5,8 +5,8 @@
 //! as its engine has room. Engines crash, slow down or fall silent in between.
 
 use super::{
-    pace::{SLOW_FROM, is_slow},
-    step_order::Turn, //
+    pace::{STRAGGLER_RATIO, is_straggler},
+    step_order::StepMode, //
 };
 use crate::base::Millis;
 
@@ -18,7 +18,7 @@
     /// The batch, by the runner's own numbering.
     pub batch: usize,
     /// Whether its trainer waits for other groups first.
-    pub beyond: bool,
+    pub surplus: bool,
     /// When its batch's results are due.
     pub due: Millis,
     pub bundle: u16,
@@ -28,16 +28,16 @@
     /// Whether its model is the one that this runner serves first.
     pub home: bool,
     /// Items that are not listed yet.
-    pub left: u32,
+    pub remaining: u32,
     /// Its place among the bundles of its model that wait, group by group; of use
     /// only when its step is worked off so.
-    pub line: usize,
+    pub position: usize,
     /// Whether the engine's weights are new enough for it.
     pub loaded: bool,
     /// Its place in the order in which the batch's bundles should begin.
     pub order: u16,
     /// How its step's bundles begin.
-    pub turn: Turn,
+    pub mode: StepMode,
     /// The expected tokens of what is left of it.
     pub work: u64,
 }
@@ -46,7 +46,7 @@
     /// The order of offers of one kind: what its trainer waits for, then what may be
     /// in time, then what is due first.
     pub fn urgency(&self) -> (bool, bool, Millis) {
-        (self.beyond, self.turn == Turn::Late, self.due)
+        (self.surplus, self.mode == StepMode::Late, self.due)
     }
 }
 
@@ -68,7 +68,7 @@
 
 /// The runner that takes bundles.
 #[derive(Clone, Copy, Debug)]
-pub struct Taker {
+pub struct Runner {
     /// Its place among the runners of its model whose engines are as fast.
     pub place: Place,
     /// How many more items its engine can work on at once.
@@ -89,45 +89,45 @@
 impl Place {
     /// Whether the bundle at `order` falls to this runner by the common rule:
     /// each has one runner, worked out alike by all.
-    pub fn has(self, order: impl Into<usize>) -> bool {
+    pub fn owns(self, order: impl Into<usize>) -> bool {
         order.into() % self.count.max(1) == self.rank
     }
 }
 
 /// Before this age a batch is left to the runners of its model: they have seen
 /// it by then, and others would keep their own model's work waiting.
-const FOREIGN_AGE: Millis = Millis(400);
+const OTHER_MODEL_DELAY: Millis = Millis(400);
 
 /// A holder with an engine of the usual pace is joined after this long only. It
 /// brings no text sooner, and is worth nothing while engines do as they say; it is
 /// what runs the bundles of a runner whose engine's address a server of another
 /// service has, which refuses every item.
-const JOIN_AFTER: Millis = Millis(6_000);
+const JOIN_DELAY: Millis = Millis(6_000);
 
 /// A holder whose engine is slow against this runner's is joined this soon.
-const JOIN_SLOW_AFTER: Millis = Millis(700);
+const JOIN_STRAGGLER_DELAY: Millis = Millis(700);
 
 /// A holder whose engine is of the slower kind is joined by a faster one after
 /// so long: most texts are whole by then, and the long ones are the ones that
 /// their steps wait for. A text of 194 events takes 9.5 s there, and 7.5 s at a
 /// faster engine.
-const JOIN_SLOWER_AFTER: Millis = Millis(1_500);
+const JOIN_SLOWER_DELAY: Millis = Millis(1_500);
 
 /// An engine of the slower kind leaves new bundles to the faster ones for so
 /// long, and takes the shortest of what they had no room for. With its long texts
 /// joined as well, the share of what callers and trainers ask for that is served, by
 /// its worth, rose from 0.784 to 0.8145 in the mean of 15 plays with trouble.
-const SLOWER_WAIT: Millis = Millis(200);
+const SLOWER_DELAY: Millis = Millis(200);
 
 /// An engine that is slow itself takes no more than this share of its slots,
 /// and only what others have left for a while.
-const SLOW_SHARE: f64 = 0.25;
+const STRAGGLER_SLOT_SHARE: f64 = 0.25;
 
 /// The items that an engine should have at once. One that takes much longer
 /// than `usual` for an event holds up every bundle it takes.
-pub fn capacity(slots: u32, pace: f64, usual: f64) -> u32 {
-    match is_slow(pace, usual) {
-        true => ((f64::from(slots) * SLOW_SHARE) as u32).max(1),
+pub fn usable_slots(slots: u32, pace: f64, usual: f64) -> u32 {
+    match is_straggler(pace, usual) {
+        true => ((f64::from(slots) * STRAGGLER_SLOT_SHARE) as u32).max(1),
         false => slots,
     }
 }
@@ -137,19 +137,20 @@
 /// one that has claimed it. A claim whose answer was lost as the store went away was
 /// taken for not written; all others knew of it, and nobody ran the bundle in 7 s of
 /// outage.
-pub fn is_mine_by_rule(offer: &Offer, place: Place) -> bool {
-    let mine = offer.claimed || (place.has(offer.order) && offer.home);
+pub fn is_assigned(offer: &Offer, place: Place) -> bool {
+    let mine = offer.claimed || (place.owns(offer.order) && offer.home);
     mine && offer.loaded && offer.holder == Holder::Nobody
 }
 
 /// The best offer for a runner, if any is worth taking.
-pub fn choose(offers: &[Offer], taker: Taker) -> Option<&Offer> {
-    let fits = |offer: &&Offer| offer.loaded && taker.room > 0 && class(offer, taker).is_some();
+pub fn choose(offers: &[Offer], runner: Runner) -> Option<&Offer> {
+    let fits =
+        |offer: &&Offer| offer.loaded && runner.room > 0 && preference(offer, runner).is_some();
     offers.iter().filter(fits).min_by_key(|offer| {
         (
-            class(offer, taker),
+            preference(offer, runner),
             offer.urgency(),
-            within_step(offer, taker),
+            order_in_step(offer, runner),
         )
     })
 }
@@ -159,25 +160,25 @@
 /// Runners that see a new batch, or a free place, at the same moment begin with
 /// different bundles: without it all would claim the first one, and all but one
 /// would lose a round trip to the store each time.
-fn within_step(offer: &Offer, taker: Taker) -> (usize, bool, usize) {
-    let place = taker.place;
-    if offer.turn != Turn::Whole {
-        let round = offer.line / place.count.max(1);
-        return (round, !place.has(offer.line), offer.line);
+fn order_in_step(offer: &Offer, runner: Runner) -> (usize, bool, usize) {
+    let place = runner.place;
+    if offer.mode != StepMode::Whole {
+        let round = offer.position / place.count.max(1);
+        return (round, !place.owns(offer.position), offer.position);
     }
-    let order = match taker.yields {
+    let order = match runner.yields {
         true => u16::MAX - offer.order,
         false => offer.order,
     };
-    (0, !place.has(offer.order), usize::from(order))
+    (0, !place.owns(offer.order), usize::from(order))
 }
 
 /// The order of kinds of offers; `None` for one that is not worth taking.
-fn class(offer: &Offer, taker: Taker) -> Option<u8> {
+fn preference(offer: &Offer, runner: Runner) -> Option<u8> {
     match offer.holder {
-        Holder::Nobody if taker.yields && offer.age < SLOWER_WAIT => None,
+        Holder::Nobody if runner.yields && offer.age < SLOWER_DELAY => None,
         Holder::Nobody if offer.home => Some(0),
-        Holder::Nobody if offer.age >= FOREIGN_AGE => Some(1),
+        Holder::Nobody if offer.age >= OTHER_MODEL_DELAY => Some(1),
         Holder::Nobody => None,
         Holder::Held {
             joinable,
@@ -185,10 +186,10 @@
             since,
             slower,
         } => {
-            let slow = pace >= SLOW_FROM && since >= JOIN_SLOW_AFTER;
-            let slower = slower && !taker.slower && since >= JOIN_SLOWER_AFTER;
-            let late = since >= JOIN_AFTER;
-            let fits = offer.left <= taker.room;
+            let slow = pace >= STRAGGLER_RATIO && since >= JOIN_STRAGGLER_DELAY;
+            let slower = slower && !runner.slower && since >= JOIN_SLOWER_DELAY;
+            let late = since >= JOIN_DELAY;
+            let fits = offer.remaining <= runner.room;
             (joinable && fits && (slow || slower || late)).then_some(2)
         }
     }
--- a/src/policy/claims.rs
+++ b/src/policy/claims.rs
@@ -11,7 +11,7 @@
 
 /// The outcome of claiming a key.
 #[derive(Debug, Eq, PartialEq)]
-pub enum Claim {
+pub enum KeyClaim {
     /// The key is new here, and now taken.
     Fresh,
     /// The window is full of younger keys; nothing can be said of this one.
@@ -27,14 +27,14 @@
 /// A key is forgotten only when it is older than the window, never for want
 /// of room: room that is short refuses new keys instead.
 #[derive(Debug)]
-pub struct Claims {
+pub struct SeenKeys {
     keys: HashMap<String, RequestId>,
     limit: usize,
     order: VecDeque<(Millis, String)>,
     window: Millis,
 }
 
-impl Claims {
+impl SeenKeys {
     /// Keeps at most `limit` keys, each for `window`.
     pub fn new(window: Millis, limit: usize) -> Self {
         Self {
@@ -46,18 +46,18 @@
     }
 
     /// Claims `key` for `request`.
-    pub fn claim(&mut self, now: Millis, key: &str, request: RequestId) -> Claim {
+    pub fn claim(&mut self, now: Millis, key: &str, request: RequestId) -> KeyClaim {
         self.forget_old(now);
         if let Some(earlier) = self.keys.get(key) {
-            return Claim::Taken(*earlier);
+            return KeyClaim::Taken(*earlier);
         }
         if self.keys.len() >= self.limit {
-            return Claim::Full;
+            return KeyClaim::Full;
         }
 
         self.keys.insert(key.to_owned(), request);
         self.order.push_back((now, key.to_owned()));
-        Claim::Fresh
+        KeyClaim::Fresh
     }
 
     /// Frees `key` again, since `request` was removed before it started.
--- a/src/policy/engine_life.rs
+++ b/src/policy/engine_life.rs
@@ -10,7 +10,7 @@
 
 /// A refusal by another life than the one that the request was meant for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Met {
+pub struct Mismatch {
     pub at: Millis,
     /// The life that the request named.
     pub expected: String,
@@ -23,18 +23,18 @@
 /// another service meanwhile, so a life that was met counts only once it is
 /// `confirmed`: a report that came later shows the models of this runner's
 /// service, which no other service's servers hold.
-pub fn present<'a>(
+pub fn current<'a>(
     announced: Option<&'a str>,
-    met: Option<&'a Met>,
+    mismatch: Option<&'a Mismatch>,
     confirmed: bool,
 ) -> Option<&'a str> {
-    match met {
-        Some(met) if confirmed && !is_settled(announced, met) => Some(&met.found),
+    match mismatch {
+        Some(mismatch) if confirmed && !is_caught_up(announced, mismatch) => Some(&mismatch.found),
         _ => announced,
     }
 }
 
 /// Whether the store's announcements have caught up with what was met.
-pub fn is_settled(announced: Option<&str>, met: &Met) -> bool {
-    announced.is_some_and(|id| id != met.expected)
+pub fn is_caught_up(announced: Option<&str>, mismatch: &Mismatch) -> bool {
+    announced.is_some_and(|id| id != mismatch.expected)
 }
--- a/src/policy/fair_line.rs
+++ b/src/policy/fair_line.rs
@@ -9,12 +9,12 @@
 ///
 /// `len` is the sum of all teams' items, and no team's line is empty.
 #[derive(Debug)]
-pub struct FairLine<T> {
+pub struct FairQueue<T> {
     len: usize,
     teams: VecDeque<(u64, VecDeque<T>)>,
 }
 
-impl<T> Default for FairLine<T> {
+impl<T> Default for FairQueue<T> {
     fn default() -> Self {
         Self {
             len: 0,
@@ -23,7 +23,7 @@
     }
 }
 
-impl<T> FairLine<T> {
+impl<T> FairQueue<T> {
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
@@ -46,7 +46,7 @@
     }
 
     /// How many of `team` wait.
-    pub fn of(&self, team: u64) -> usize {
+    pub fn len_of(&self, team: u64) -> usize {
         let line = self.teams.iter().find(|(one, _)| *one == team);
         line.map_or(0, |(_, line)| line.len())
     }
@@ -90,7 +90,7 @@
     }
 
     /// Takes out all items for which `out` holds.
-    pub fn take_if(&mut self, mut out: impl FnMut(&T) -> bool) -> Vec<T> {
+    pub fn extract_if(&mut self, mut out: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for (_, line) in &mut self.teams {
             for item in std::mem::take(line) {
@@ -112,7 +112,7 @@
 
     #[test]
     fn teams_take_turns() {
-        let mut line = FairLine::default();
+        let mut line = FairQueue::default();
         for item in 0..6 {
             line.push(1, item);
         }
@@ -125,7 +125,7 @@
 
     #[test]
     fn the_team_with_the_least_goes_first() {
-        let mut line = FairLine::default();
+        let mut line = FairQueue::default();
         for team in [1, 2, 3] {
             line.push(team, team);
         }
@@ -135,14 +135,14 @@
 
     #[test]
     fn counts_follow_every_change() {
-        let mut line = FairLine::default();
+        let mut line = FairQueue::default();
         for item in 0..10 {
             line.push(item % 3, item);
         }
         assert_eq!(line.longest().map(|(_, length)| length), Some(4));
         assert_eq!(line.pop_newest(0), Some(9));
-        assert_eq!(line.take_if(|item| item % 2 == 0).len(), 5);
+        assert_eq!(line.extract_if(|item| item % 2 == 0).len(), 5);
         assert_eq!(line.len(), line.iter().count());
-        assert_eq!(line.of(0) + line.of(1) + line.of(2), line.len());
+        assert_eq!(line.len_of(0) + line.len_of(1) + line.len_of(2), line.len());
     }
 }
--- a/src/policy/fences.rs
+++ b/src/policy/fences.rs
@@ -8,9 +8,9 @@
 
 /// The decision on an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ruling {
+pub enum FenceCheck {
     /// The lease's row must be read first: this process has just started.
-    Ask,
+    Unknown,
     Pass,
     /// A newer order has been seen.
     Stale(Fence),
@@ -48,15 +48,15 @@
     }
 
     /// Rules on an order for `version` under `fence`, and notes it if it passes.
-    pub fn rule(&mut self, lease: &str, fence: Fence, version: WeightVersion) -> Ruling {
+    pub fn check(&mut self, lease: &str, fence: Fence, version: WeightVersion) -> FenceCheck {
         let Some(highest) = self.highest.get_mut(lease) else {
-            return Ruling::Ask;
+            return FenceCheck::Unknown;
         };
         if (fence, version) < *highest {
-            return Ruling::Stale(highest.0);
+            return FenceCheck::Stale(highest.0);
         }
         *highest = (fence, version);
-        Ruling::Pass
+        FenceCheck::Pass
     }
 }
 
@@ -67,16 +67,16 @@
     #[test]
     fn older_orders_never_pass() {
         let mut fences = Fences::default();
-        let mut rule = |fence, version| fences.rule("l", fence, WeightVersion(version));
-        assert_eq!(rule(3, 1), Ruling::Ask);
+        let mut check = |fence, version| fences.check("l", fence, WeightVersion(version));
+        assert_eq!(check(3, 1), FenceCheck::Unknown);
         fences.learn("l", 3);
-        let mut rule = |fence, version| fences.rule("l", fence, WeightVersion(version));
-        assert_eq!(rule(2, 9), Ruling::Stale(3));
-        assert_eq!(rule(3, 5), Ruling::Pass);
-        assert_eq!(rule(3, 4), Ruling::Stale(3));
-        assert_eq!(rule(3, 5), Ruling::Pass);
-        assert_eq!(rule(4, 1), Ruling::Pass);
-        assert_eq!(rule(3, 9), Ruling::Stale(4));
+        let mut check = |fence, version| fences.check("l", fence, WeightVersion(version));
+        assert_eq!(check(2, 9), FenceCheck::Stale(3));
+        assert_eq!(check(3, 5), FenceCheck::Pass);
+        assert_eq!(check(3, 4), FenceCheck::Stale(3));
+        assert_eq!(check(3, 5), FenceCheck::Pass);
+        assert_eq!(check(4, 1), FenceCheck::Pass);
+        assert_eq!(check(3, 9), FenceCheck::Stale(4));
     }
 
     /// An engine knows one number for all leases. Orders for a lease at epoch 1
@@ -95,8 +95,8 @@
             ("taken-over", 5, 1),
             ("calm", 1, 3),
         ] {
-            let ruling = fences.rule(lease, fence, WeightVersion(version));
-            assert_eq!(ruling, Ruling::Pass, "{lease} {version}");
+            let result = fences.check(lease, fence, WeightVersion(version));
+            assert_eq!(result, FenceCheck::Pass, "{lease} {version}");
             assert!(fences.highest() >= highest);
             highest = fences.highest();
         }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -10,32 +10,32 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     /// How old a confirmation may be; `None` where the operators set no bound.
-    bound: Option<Millis>,
+    max_age: Option<Millis>,
     /// When the last confirmed question was asked.
     confirmed: Option<Millis>,
 }
 
 /// What a confirmation's age leaves of the operators' bound: clocks are read in
 /// whole milliseconds, at two moments, on a machine that may be slow.
-const SLACK: Millis = Millis(500);
+const CLOCK_SLACK: Millis = Millis(500);
 
 /// When a caller with a key is worth asking again while the configuration is too old to
 /// judge it by: another gateway may reach the store.
-pub const WAIT_STALE: Millis = Millis(200);
+pub const STALE_RETRY_AFTER: Millis = Millis(200);
 
 impl Freshness {
     /// Nothing is confirmed yet; a key must stop working within `revocation` of its
     /// removal.
     pub fn new(revocation: Option<Millis>) -> Self {
         Self {
-            bound: revocation.map(|within| within.since(SLACK)),
+            max_age: revocation.map(|within| within.since(CLOCK_SLACK)),
             confirmed: None,
         }
     }
 
     /// Whether the age of the configuration matters at all.
     pub fn is_bounded(&self) -> bool {
-        self.bound.is_some()
+        self.max_age.is_some()
     }
 
     /// The store's answer to a question of `asked` named the configuration in force.
@@ -48,11 +48,11 @@
     /// Whether requests that arrived by `now` may be judged by it: a key that was
     /// taken away longer ago than the bound is known to be gone.
     pub fn is_fresh(&self, now: Millis) -> bool {
-        let Some(bound) = self.bound else {
+        let Some(max_age) = self.max_age else {
             return true;
         };
         self.confirmed
-            .is_some_and(|confirmed| now.since(confirmed) < bound)
+            .is_some_and(|confirmed| now.since(confirmed) < max_age)
     }
 
     /// Whether the store was asked after `at`.
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -16,8 +16,8 @@
 }
 
 /// The weight of a sample above the average, and of one below.
-const UP: f64 = 0.5;
-const DOWN: f64 = 0.1;
+const RISE_WEIGHT: f64 = 0.5;
+const FALL_WEIGHT: f64 = 0.1;
 
 /// In this time without samples the average comes half the way to what is usual.
 const HALF_LIFE: Millis = Millis(2_000);
@@ -33,7 +33,11 @@
     /// Notes that a request took `taken` milliseconds.
     pub fn note(&mut self, now: Millis, usual: f64, taken: f64) {
         let before = self.estimate(now, usual);
-        let weight = if taken > before { UP } else { DOWN };
+        let weight = if taken > before {
+            RISE_WEIGHT
+        } else {
+            FALL_WEIGHT
+        };
         self.value = Some(before + weight * (taken - before));
         self.at = now;
     }
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -26,31 +26,31 @@
 }
 
 /// The prefix of the rows that hold trainers' leases.
-pub const LEASES: &str = "leases/";
+pub const LEASE_PREFIX: &str = "leases/";
 
 /// A lease that was not renewed for this long, by the watcher's own clock,
 /// may be taken over.
-pub const LEASE: Millis = Millis(4_000);
+pub const LEASE_DURATION: Millis = Millis(4_000);
 
 /// How often a holder renews.
-pub const RENEW: Millis = Millis(1_000);
+pub const RENEW_INTERVAL: Millis = Millis(1_000);
 
 /// One process's view of one lease row.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct LeaseWatch {
     changed: Millis,
     row: Option<Lease>,
 }
 
 /// A lease as its holder knows it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct HeldLease {
     pub epoch: Fence,
     /// When the write was begun that took or renewed it last.
     pub since: Millis,
 }
 
-impl Held {
+impl HeldLease {
     /// Whether something that takes up to `most` may begin at `now`, under a lease of
     /// `length`. Others count from when they see the write, which is later: what
     /// begins here is over before any of them acts.
@@ -86,7 +86,7 @@
 
 /// What to do about a lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum LeaseAction {
     /// Somebody else holds it: pass requests on.
     Defer(Lease),
     /// Held here, nothing to do.
@@ -95,20 +95,20 @@
     Write(Lease),
 }
 
-impl Watch {
+impl LeaseWatch {
     /// Decides for the process `me`, which wants the lease; others keep it for
     /// `length` after the last sign of theirs.
-    pub fn decide(&self, now: Millis, me: &Claimant, length: Millis) -> Step {
+    pub fn decide(&self, now: Millis, me: &Claimant, length: Millis) -> LeaseAction {
         let Some(row) = &self.row else {
-            return Step::Write(me.lease(1));
+            return LeaseAction::Write(me.lease(1));
         };
         let idle = now.since(self.changed);
 
         if me.holds(row) {
-            if idle < RENEW {
-                return Step::Hold(row.clone());
+            if idle < RENEW_INTERVAL {
+                return LeaseAction::Hold(row.clone());
             }
-            return Step::Write(Lease {
+            return LeaseAction::Write(Lease {
                 renewals: row.renewals + 1,
                 ..row.clone()
             });
@@ -117,13 +117,13 @@
         // steps with it; the new epoch fences off what it may have left.
         let gone = row.holder.is_empty() || row.holder == me.holder;
         if idle < length && !gone {
-            return Step::Defer(row.clone());
+            return LeaseAction::Defer(row.clone());
         }
-        Step::Write(me.lease(row.epoch + 1))
+        LeaseAction::Write(me.lease(row.epoch + 1))
     }
 
     /// Notes what the table holds at `now`.
-    pub fn see(&mut self, now: Millis, row: Option<Lease>) {
+    pub fn observe(&mut self, now: Millis, row: Option<Lease>) {
         if self.row != row {
             self.changed = now;
             self.row = row;
@@ -144,7 +144,7 @@
 
     impl Test {
         fn run(self) {
-            let mut watch = Watch::default();
+            let mut watch = LeaseWatch::default();
             let row = Lease {
                 address: "a".into(),
                 epoch: 7,
@@ -152,16 +152,16 @@
                 incarnation: Incarnation(self.incarnation),
                 renewals: 3,
             };
-            watch.see(Millis(100), Some(row));
+            watch.observe(Millis(100), Some(row));
             let me = Claimant {
                 address: "a".into(),
                 holder: "me".into(),
                 incarnation: Incarnation(5),
             };
-            let step = watch.decide(Millis(100 + self.idle), &me, LEASE);
-            let epoch = match step {
-                Step::Write(lease) => Some(lease.epoch),
-                Step::Defer(_) | Step::Hold(_) => None,
+            let action = watch.decide(Millis(100 + self.idle), &me, LEASE_DURATION);
+            let epoch = match action {
+                LeaseAction::Write(lease) => Some(lease.epoch),
+                LeaseAction::Defer(_) | LeaseAction::Hold(_) => None,
             };
             assert_eq!(epoch, self.writes_epoch, "{} {}", self.holder, self.idle);
         }
@@ -171,11 +171,11 @@
     fn decisions() {
         for (holder, incarnation, idle, writes_epoch) in [
             ("me", 5, 0, None),
-            ("me", 5, RENEW.0, Some(7)),
+            ("me", 5, RENEW_INTERVAL.0, Some(7)),
             ("me", 4, 0, Some(8)),
-            ("other", 5, RENEW.0, None),
-            ("other", 5, LEASE.0 - 1, None),
-            ("other", 5, LEASE.0, Some(8)),
+            ("other", 5, RENEW_INTERVAL.0, None),
+            ("other", 5, LEASE_DURATION.0 - 1, None),
+            ("other", 5, LEASE_DURATION.0, Some(8)),
             ("", 5, 0, Some(8)),
         ] {
             Test {
--- a/src/policy/liveness.rs
+++ b/src/policy/liveness.rs
@@ -8,11 +8,11 @@
 
 /// A runner that has written nothing for so long is taken for gone. Heartbeats come
 /// every second; one may be lost or late.
-const SILENCE_MOST: Millis = Millis(2_300);
+const SILENCE_TIMEOUT: Millis = Millis(2_300);
 
 /// The last heartbeat of a runner.
 #[derive(Clone, Copy, Debug)]
-pub struct Beat {
+pub struct LastHeartbeat {
     /// When it was seen here.
     pub at: Millis,
     /// When the store took it; 0 when that is not known.
@@ -20,12 +20,12 @@
     /// Names the runner's life.
     pub token: u64,
     /// Whether its engine works, or still ends its runs.
-    pub works: bool,
+    pub working: bool,
 }
 
 /// The last time that the holder of a claim wrote it.
 #[derive(Clone, Copy, Debug)]
-pub struct Sign {
+pub struct ClaimWrite {
     /// When it was seen here.
     pub at: Millis,
     /// When the store took it; 0 when that is not known.
@@ -36,27 +36,27 @@
 
 /// Whether a runner that has been silent since `at` still counts as alive.
 pub fn is_alive(at: Millis, now: Millis) -> bool {
-    now.since(at) < SILENCE_MOST
+    now.since(at) < SILENCE_TIMEOUT
 }
 
-/// Whether the holder that wrote `sign` still works, by its last heartbeat.
+/// Whether the holder that wrote `write` still works, by its last heartbeat.
 ///
 /// Only a heartbeat that is newer than the claim speaks against it. Before, the
 /// heartbeat of a runner's start, which says that it does not work yet, made others
 /// take over what it had claimed since: an item that fails at each run was run by
 /// three runners, seven times for the three tries that its route allows.
-pub fn works(sign: Sign, beat: Option<Beat>, now: Millis) -> bool {
-    let Some(beat) = beat else {
-        return is_alive(sign.at, now);
+pub fn is_working(write: ClaimWrite, heartbeat: Option<LastHeartbeat>, now: Millis) -> bool {
+    let Some(heartbeat) = heartbeat else {
+        return is_alive(write.at, now);
     };
-    if beat.token != sign.token {
+    if heartbeat.token != write.token {
         // INVARIANT: lives are numbered in the order in which they begin, so a
         // claim by a later life than the heartbeat's is the newer word.
-        return sign.token > beat.token && is_alive(sign.at, now);
+        return write.token > heartbeat.token && is_alive(write.at, now);
     }
-    match beat.revision >= sign.revision {
-        true => beat.works && is_alive(beat.at, now),
+    match heartbeat.revision >= write.revision {
+        true => heartbeat.working && is_alive(heartbeat.at, now),
         // An outage of the store renews the heartbeats' times, not the claims'.
-        false => is_alive(sign.at.max(beat.at), now),
+        false => is_alive(write.at.max(heartbeat.at), now),
     }
 }
--- a/src/policy/model_share.rs
+++ b/src/policy/model_share.rs
@@ -11,14 +11,14 @@
     pub model: String,
     /// The kind of its texts by their mean length; a kind is half as long again
     /// as the one below, so that estimates of single steps don't change it.
-    pub length: i32,
+    pub length_class: i32,
     /// Tokens, or any other measure that is the same for all models.
     pub work: f64,
 }
 
 /// What one batch asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct BatchDemand {
     pub items: usize,
     pub step: u64,
     /// The sum of its items' expected output tokens; 0 when its trainer gave no
@@ -28,38 +28,38 @@
 
 /// The newest steps whose demand is averaged: one step's estimates are off by a
 /// tenth, and each runner that changes its model has to load weights.
-const STEPS: usize = 4;
+const AVERAGED_STEPS: usize = 4;
 
 /// What an engine of the slower kind can do, against a usual one; it takes some
 /// 1.3 times as long for an event.
 const SLOWER_WEIGHT: f64 = 0.75;
 
 /// How much longer the texts of one kind are than those of the kind below.
-const LENGTH_STEP: f64 = 1.5;
+const LENGTH_CLASS_RATIO: f64 = 1.5;
 
 /// The kind of a model's texts by their mean length; 0 without estimates.
-fn kind_of_length(batches: &[Asked]) -> i32 {
+fn length_class(batches: &[BatchDemand]) -> i32 {
     let tokens: u64 = batches.iter().map(|batch| batch.tokens).sum();
     let items: usize = batches.iter().map(|batch| batch.items).sum();
     let mean = tokens as f64 / items.max(1) as f64;
-    mean.max(1.0).log(LENGTH_STEP).round() as i32
+    mean.max(1.0).log(LENGTH_CLASS_RATIO).round() as i32
 }
 
 /// Each model's demand by its newest batches, the longest texts first: tokens, or
 /// items while a trainer gives no estimates. Dealt by items, a model with texts of 6 events kept as
 /// many engines as one with texts of 17, whose steps took twice as long.
-pub fn demands(models: Vec<(String, Vec<Asked>)>) -> Vec<Demand> {
-    let newest: Vec<(String, Vec<Asked>)> = models
+pub fn demands(models: Vec<(String, Vec<BatchDemand>)>) -> Vec<Demand> {
+    let newest: Vec<(String, Vec<BatchDemand>)> = models
         .into_iter()
         .map(|(model, mut batches)| {
             batches.sort_by_key(|batch| std::cmp::Reverse(batch.step));
-            batches.truncate(STEPS);
+            batches.truncate(AVERAGED_STEPS);
             (model, batches)
         })
         .collect();
     let mut asked = newest.iter().flat_map(|(_, batches)| batches);
     let by_tokens = asked.all(|batch| batch.tokens > 0);
-    let work = |batch: &Asked| match by_tokens {
+    let work = |batch: &BatchDemand| match by_tokens {
         true => batch.tokens as f64,
         false => batch.items as f64,
     };
@@ -69,13 +69,13 @@
             let total: f64 = batches.iter().map(work).sum();
             let mean = total / batches.len().max(1) as f64;
             Demand {
-                length: kind_of_length(&batches),
+                length_class: length_class(&batches),
                 model,
                 work: mean.max(1.0),
             }
         })
         .collect();
-    demands.sort_by(|a, b| (b.length, &a.model).cmp(&(a.length, &b.model)));
+    demands.sort_by(|a, b| (b.length_class, &a.model).cmp(&(a.length_class, &b.model)));
     demands
 }
 
@@ -111,7 +111,7 @@
 /// `demands` has the longest texts first: their models get usual engines for the
 /// slower ones that they have. Each model gets at least one runner while there are
 /// enough: without it a small model's batches would wait for other models' runners.
-pub fn homes(demands: &[Demand], members: &[Member]) -> Vec<usize> {
+pub fn assign_models(demands: &[Demand], members: &[Member]) -> Vec<usize> {
     if demands.is_empty() {
         return Vec::new();
     }
@@ -125,18 +125,18 @@
     // Those without a model follow once all others are counted.
     let take = |member: &Member| {
         kept(member).unwrap_or_else(|| {
-            let poorest = shares.poorest();
-            shares.add(poorest, member.weight());
-            poorest
+            let most_lacking = shares.most_lacking();
+            shares.add(most_lacking, member.weight());
+            most_lacking
         })
     };
     let mut homes: Vec<usize> = members.iter().map(take).collect();
     for _ in 0..members.len() {
-        if !shares.move_one(demands, members, &mut homes) {
+        if !shares.rebalance_one(demands, members, &mut homes) {
             break;
         }
     }
-    swap_kinds(demands, members, &mut homes);
+    swap_slower(demands, members, &mut homes);
     homes
 }
 
@@ -145,7 +145,7 @@
     counts: Vec<usize>,
     /// By the runners' weights.
     have: Vec<f64>,
-    ideal: Vec<f64>,
+    share: Vec<f64>,
 }
 
 impl Shares {
@@ -153,11 +153,11 @@
         let all: f64 = members.iter().map(|member| member.weight()).sum();
         let work = |demand: &Demand| demand.work.max(1e-9);
         let total: f64 = demands.iter().map(work).sum();
-        let ideal = demands.iter().map(|demand| work(demand) / total * all);
+        let share = demands.iter().map(|demand| work(demand) / total * all);
         Self {
             counts: vec![0; demands.len()],
             have: vec![0.0; demands.len()],
-            ideal: ideal.collect(),
+            share: share.collect(),
         }
     }
 
@@ -167,14 +167,14 @@
     }
 
     /// What the model lacks of its share.
-    fn lack(&self, model: usize) -> f64 {
-        self.ideal[model] - self.have[model]
+    fn deficit(&self, model: usize) -> f64 {
+        self.share[model] - self.have[model]
     }
 
     /// The model that lacks the most; one without a runner before all others.
-    fn poorest(&self) -> usize {
+    fn most_lacking(&self) -> usize {
         let models = 0..self.counts.len();
-        let order = |model: &usize| (self.counts[*model] == 0, self.lack(*model));
+        let order = |model: &usize| (self.counts[*model] == 0, self.deficit(*model));
         let poorer = |a: &usize, b: &usize| {
             let ((a_none, a_lack), (b_none, b_lack)) = (order(a), order(b));
             a_none.cmp(&b_none).then(a_lack.total_cmp(&b_lack))
@@ -183,45 +183,53 @@
     }
 
     /// The model that has the most beyond its share, of those with two or more.
-    fn richest(&self) -> Option<usize> {
+    fn most_surplus(&self) -> Option<usize> {
         let models = (0..self.counts.len()).filter(|model| self.counts[*model] > 1);
-        models.min_by(|a, b| self.lack(*a).total_cmp(&self.lack(*b)))
+        models.min_by(|a, b| self.deficit(*a).total_cmp(&self.deficit(*b)))
     }
 
     /// Moves one runner from the model that has the most beyond its share to the
     /// one that lacks the most; false when that would bring too little.
-    fn move_one(&mut self, demands: &[Demand], members: &[Member], homes: &mut [usize]) -> bool {
-        let poorest = self.poorest();
-        let Some(richest) = self.richest().filter(|richest| *richest != poorest) else {
+    fn rebalance_one(
+        &mut self,
+        demands: &[Demand],
+        members: &[Member],
+        homes: &mut [usize],
+    ) -> bool {
+        let most_lacking = self.most_lacking();
+        let Some(most_surplus) = self
+            .most_surplus()
+            .filter(|most_surplus| *most_surplus != most_lacking)
+        else {
             return false;
         };
-        let to_longer = demands[poorest].length >= demands[richest].length;
-        let there = (0..members.len()).filter(|member| homes[*member] == richest);
+        let to_longer = demands[most_lacking].length_class >= demands[most_surplus].length_class;
+        let there = (0..members.len()).filter(|member| homes[*member] == most_surplus);
         // The last of the kind that the model of longer texts wants.
         let best = there.max_by_key(|member| (members[*member].slower != to_longer, *member));
         let Some(mover) = best else {
             return false;
         };
         let weight = members[mover].weight();
-        let gain = self.lack(poorest) - self.lack(richest);
-        if self.counts[poorest] > 0 && gain <= weight + MOVE_MARGIN {
+        let gain = self.deficit(most_lacking) - self.deficit(most_surplus);
+        if self.counts[most_lacking] > 0 && gain <= weight + MOVE_MARGIN {
             return false;
         }
-        self.counts[richest] -= 1;
-        self.have[richest] -= weight;
-        self.add(poorest, weight);
-        homes[mover] = poorest;
+        self.counts[most_surplus] -= 1;
+        self.have[most_surplus] -= weight;
+        self.add(most_lacking, weight);
+        homes[mover] = most_lacking;
         true
     }
 }
 
 /// Gives the models with longer texts usual engines for their slower ones.
-fn swap_kinds(demands: &[Demand], members: &[Member], homes: &mut [usize]) {
+fn swap_slower(demands: &[Demand], members: &[Member], homes: &mut [usize]) {
     let kind = |slower: bool| (0..members.len()).filter(move |of| members[*of].slower == slower);
     for slower in kind(true) {
-        let length = demands[homes[slower]].length;
-        let usual = kind(false).filter(|usual| demands[homes[*usual]].length < length);
-        if let Some(usual) = usual.min_by_key(|usual| demands[homes[*usual]].length) {
+        let length_class = demands[homes[slower]].length_class;
+        let usual = kind(false).filter(|usual| demands[homes[*usual]].length_class < length_class);
+        if let Some(usual) = usual.min_by_key(|usual| demands[homes[*usual]].length_class) {
             homes.swap(slower, usual);
         }
     }
--- a/src/policy/patience.rs
+++ b/src/policy/patience.rs
@@ -12,46 +12,46 @@
 
 /// What answers take of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     latency: Latency,
     /// Calls in a row that were given up.
-    missed: u32,
+    timeouts: u32,
 }
 
 /// How many times what answers take of late one is waited for: nearly all come
 /// within three times, and another try costs as much again.
-const FACTOR: f64 = 6.0;
+const LATENCY_FACTOR: f64 = 6.0;
 
 /// The shortest wait: beyond it a busy instance, or a new connection, is no lost
 /// answer.
-const LEAST: Millis = Millis(300);
+const MIN_TIMEOUT: Millis = Millis(300);
 
 /// What a call that knows of no answer of late expects: then the shortest wait holds.
-const USUAL: f64 = 0.0;
+const UNKNOWN_LATENCY: f64 = 0.0;
 
 /// The longest: an answer that takes longer is asked better anew.
-const MOST: Millis = Millis(1_500);
+const MAX_TIMEOUT: Millis = Millis(1_500);
 
 /// Waits are doubled for so many calls in a row that were given up.
-const DOUBLED_MOST: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
-impl Patience {
+impl AdaptiveTimeout {
     /// How long an answer is waited for now.
-    pub fn wait(&self, now: Millis) -> Millis {
-        let wait = Millis((self.latency.estimate(now, USUAL) * FACTOR) as u64);
-        let wait = wait.clamp(LEAST, MOST);
-        Millis(wait.0 << self.missed.min(DOUBLED_MOST)).min(MOST)
+    pub fn timeout(&self, now: Millis) -> Millis {
+        let timeout = Millis((self.latency.estimate(now, UNKNOWN_LATENCY) * LATENCY_FACTOR) as u64);
+        let timeout = timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT);
+        Millis(timeout.0 << self.timeouts.min(MAX_DOUBLINGS)).min(MAX_TIMEOUT)
     }
 
     /// An answer took `taken`.
     pub fn note(&mut self, now: Millis, taken: Millis) {
-        self.latency.note(now, USUAL, taken.0 as f64);
-        self.missed = 0;
+        self.latency.note(now, UNKNOWN_LATENCY, taken.0 as f64);
+        self.timeouts = 0;
     }
 
     /// An answer was given up. It may have been lost, which says nothing of what
     /// others take; several in a row say that the store is slow.
-    pub fn give_up(&mut self) {
-        self.missed = self.missed.saturating_add(1);
+    pub fn note_timeout(&mut self) {
+        self.timeouts = self.timeouts.saturating_add(1);
     }
 }
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -16,7 +16,7 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum QuarantineState {
     /// It runs as any other.
     Clear,
     /// One server has ended under it: it runs at one instance at a time.
@@ -32,13 +32,13 @@
 /// Servers that may end under one request. A loss of a rack takes two servers from
 /// under a call and its retry; three in a row, with no answer between, are the
 /// request's doing far more likely than chance.
-pub const ENDED_MOST: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// How long after the last crash a request in quarantine is tried once more, by how
 /// often it was tried before. It may have been beside the one that ends servers each
 /// time: that one is in quarantine by the first trial, and the servers are back. A
 /// request that does end servers costs one more at each trial.
-const TRIALS: [Millis; 2] = [Millis(5_000), Millis(600_000)];
+const TRIAL_DELAYS: [Millis; 2] = [Millis(5_000), Millis(600_000)];
 
 /// How long a crash counts. A request that is in quarantine comes back when its
 /// caller's data or the server's program is mended, which takes people a day.
@@ -46,7 +46,7 @@
 
 /// Requests that are remembered at once: a loss of a whole data centre with some
 /// thousand requests under way; about 3 MB.
-const REQUESTS_MOST: usize = 20_000;
+const MAX_REQUESTS: usize = 20_000;
 
 /// The servers that ended under each request since it was last answered.
 #[derive(Debug, Default)]
@@ -58,8 +58,8 @@
 impl Quarantine {
     /// The server `life` ended under `request`, `at` by the store's clock; false
     /// when that was known, or can't be remembered.
-    pub fn note(&mut self, request: Fingerprint, life: Life, at: Millis) -> bool {
-        if self.requests.len() >= REQUESTS_MOST && !self.requests.contains_key(&request) {
+    pub fn note_crash(&mut self, request: Fingerprint, life: Life, at: Millis) -> bool {
+        if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&request) {
             return false;
         }
         let ended = self.requests.entry(request).or_default();
@@ -79,7 +79,7 @@
 
     /// A server answered `request` at `now` and lives: what ended servers was
     /// another. Returns the lives that counted against it.
-    pub fn acquit(&mut self, request: Fingerprint, now: Millis) -> Vec<Life> {
+    pub fn clear(&mut self, request: Fingerprint, now: Millis) -> Vec<Life> {
         self.answered.note(request, now);
         let ended = self.requests.remove(&request).unwrap_or_default();
         ended.into_keys().collect()
@@ -93,28 +93,28 @@
     }
 
     /// How many servers ended under `request`.
-    pub fn ended(&self, request: Fingerprint) -> usize {
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.requests.get(&request).map_or(0, BTreeMap::len)
     }
 
     /// What may be done with `request` at `now` by the store's clock.
-    pub fn judge(&self, request: Fingerprint, now: Millis) -> Verdict {
+    pub fn state(&self, request: Fingerprint, now: Millis) -> QuarantineState {
         let Some(lives) = self.requests.get(&request) else {
-            return Verdict::Clear;
+            return QuarantineState::Clear;
         };
         let ended = lives.len();
-        if ended < ENDED_MOST {
+        if ended < MAX_CRASHES {
             return match ended {
-                0 => Verdict::Clear,
-                1 => Verdict::Watched,
-                _ => Verdict::Suspect,
+                0 => QuarantineState::Clear,
+                1 => QuarantineState::Watched,
+                _ => QuarantineState::Suspect,
             };
         }
         let last = lives.values().max().copied().unwrap_or_default();
-        let wait = TRIALS.get(ended - ENDED_MOST);
+        let wait = TRIAL_DELAYS.get(ended - MAX_CRASHES);
         match wait.is_some_and(|wait| now.since(last) >= *wait) {
-            true => Verdict::Trial,
-            false => Verdict::Barred,
+            true => QuarantineState::Trial,
+            false => QuarantineState::Barred,
         }
     }
 
@@ -143,15 +143,15 @@
 /// How long an answer is remembered at least: longer than a burst of crashes, which
 /// takes a call and its retries, and shorter than callers bear a request that no
 /// server answers any more.
-const ANSWERED_KEPT: Millis = Millis(5_000);
+const ANSWER_RETENTION: Millis = Millis(5_000);
 
 /// The most answers in one half; about 64 KB. A busier instance remembers less long.
-const ANSWERED_MOST: usize = 4_096;
+const MAX_ANSWERED: usize = 4_096;
 
 impl Answered {
     fn note(&mut self, request: Fingerprint, now: Millis) {
-        if now.since(self.since) >= ANSWERED_KEPT || self.newer.len() >= ANSWERED_MOST {
-            let idle = now.since(self.since) >= ANSWERED_KEPT + ANSWERED_KEPT;
+        if now.since(self.since) >= ANSWER_RETENTION || self.newer.len() >= MAX_ANSWERED {
+            let idle = now.since(self.since) >= ANSWER_RETENTION + ANSWER_RETENTION;
             self.older = std::mem::take(&mut self.newer);
             if idle {
                 self.older.clear();
@@ -163,7 +163,7 @@
 
     fn has(&self, request: Fingerprint, now: Millis) -> bool {
         let age = now.since(self.since);
-        let newer = age < ANSWERED_KEPT + ANSWERED_KEPT && self.newer.contains(&request);
-        newer || (age < ANSWERED_KEPT && self.older.contains(&request))
+        let newer = age < ANSWER_RETENTION + ANSWER_RETENTION && self.newer.contains(&request);
+        newer || (age < ANSWER_RETENTION && self.older.contains(&request))
     }
 }
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -21,27 +21,27 @@
 
 /// The most instances that one feeds. A runner asks some 25 times a second, and each
 /// question takes about 0.1 ms: 4% of a core.
-pub const CHILDREN_MOST: usize = 16;
+pub const MAX_CHILDREN: usize = 16;
 
 /// What is told may be older than the time that a question is held by this: a question
 /// that was lost, and the next one.
-const STALE_AFTER: Millis = Millis(700);
+const STALE_SLACK: Millis = Millis(700);
 
 /// An instance that has not asked for so long is fed no more: longer than the longest
 /// time that a question is held.
-const CHILD_KEPT: Millis = Millis(4_000);
+const CHILD_TIMEOUT: Millis = Millis(4_000);
 
 /// A feeder that was left is not asked again before: it may be frozen, or cut off.
-const LEFT_KEPT: Millis = Millis(3_000);
+const LEFT_RETENTION: Millis = Millis(3_000);
 
 /// A root that can't be reached for so long is replaced: one that starts again is back
 /// within this time.
-const GONE_AFTER: Millis = Millis(600);
+const GONE_TIMEOUT: Millis = Millis(600);
 
 /// Whether what a feeder tells is too old to go by, for a table whose questions are
 /// `hold` long.
 pub fn is_stale(age: Millis, hold: Millis) -> bool {
-    age > hold + STALE_AFTER
+    age > hold + STALE_SLACK
 }
 
 /// The instances that one feeds.
@@ -61,8 +61,8 @@
     /// when there is no room for another.
     pub fn admit(&mut self, instance: &str, address: SocketAddr, now: Millis) -> bool {
         self.known
-            .retain(|_, child| now.since(child.asked) < CHILD_KEPT);
-        if self.known.len() >= CHILDREN_MOST && !self.known.contains_key(instance) {
+            .retain(|_, child| now.since(child.asked) < CHILD_TIMEOUT);
+        if self.known.len() >= MAX_CHILDREN && !self.known.contains_key(instance) {
             return false;
         }
         let asked = now;
@@ -98,19 +98,19 @@
     }
 
     /// Nobody answers at `address`.
-    pub fn miss(&mut self, address: SocketAddr, now: Millis) {
+    pub fn note_unreachable(&mut self, address: SocketAddr, now: Millis) {
         self.gone.entry(address).or_insert(now);
     }
 
     /// Somebody answers at `address`.
-    pub fn reach(&mut self, address: SocketAddr) {
+    pub fn note_reachable(&mut self, address: SocketAddr) {
         self.gone.remove(&address);
     }
 
     /// Whether nobody has answered at `address` for long enough to replace it.
     pub fn is_gone(&self, address: SocketAddr, now: Millis) -> bool {
         let since = self.gone.get(&address);
-        since.is_some_and(|since| now.since(*since) >= GONE_AFTER)
+        since.is_some_and(|since| now.since(*since) >= GONE_TIMEOUT)
     }
 
     /// The order in which `instance` asks those at `addresses`: another one for each
@@ -121,7 +121,7 @@
         addresses: &[SocketAddr],
         now: Millis,
     ) -> Vec<SocketAddr> {
-        self.left.retain(|_, at| now.since(*at) < LEFT_KEPT);
+        self.left.retain(|_, at| now.since(*at) < LEFT_RETENTION);
         let asked = addresses.iter().copied();
         let mut order: Vec<SocketAddr> = asked.filter(|of| !self.left.contains_key(of)).collect();
         order.sort_by_cached_key(|address| weight(instance, *address));
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -9,14 +9,14 @@
 }
 
 /// The most retries saved up, and what a new budget starts with.
-const MOST: f64 = 20.0;
+const MAX_SAVED: f64 = 20.0;
 
 impl RetryBudget {
     /// A budget in which one success pays for `share` of a retry.
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            tokens: MOST,
+            tokens: MAX_SAVED,
         }
     }
 
@@ -30,8 +30,8 @@
     }
 
     /// A call succeeded.
-    pub fn succeed(&mut self) {
-        self.tokens = (self.tokens + self.share).min(MOST);
+    pub fn record_success(&mut self) {
+        self.tokens = (self.tokens + self.share).min(MAX_SAVED);
     }
 }
 
@@ -45,7 +45,7 @@
         while budget.spend() {}
         let mut retries = 0;
         for _ in 0..1_000 {
-            budget.succeed();
+            budget.record_success();
             retries += u32::from(budget.spend());
         }
         assert!((95..=100).contains(&retries), "{retries}");
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -69,18 +69,18 @@
 /// full, all entries would run to the server that looked idle half a second
 /// ago. What others do there now shows in the latency.
 pub fn cost<K>(candidate: &Candidate<K>) -> f64 {
-    let fade = 1.0 + candidate.report_age.0 as f64 / (FADE * candidate.latency);
+    let fade = 1.0 + candidate.report_age.0 as f64 / (REPORT_FADE * candidate.latency);
     let others = f64::from(candidate.others) / fade;
-    let ahead = 1.0 + f64::from(candidate.in_flight) + others / OTHERS_SHARE;
+    let ahead = 1.0 + f64::from(candidate.in_flight) + others / ASSUMED_ENTRIES;
     ahead * candidate.latency + 2.0 * candidate.distance.0 as f64
 }
 
 /// A report counts half after this many times the latency.
-const FADE: f64 = 2.0;
+const REPORT_FADE: f64 = 2.0;
 
 /// Own requests are compared with those of others as if so many entries sent
 /// evenly to the pool.
-const OTHERS_SHARE: f64 = 4.0;
+const ASSUMED_ENTRIES: f64 = 4.0;
 
 /// Chooses among `candidates`; `draw` supplies random bits.
 ///
--- a/src/policy/server_choice.rs
+++ b/src/policy/server_choice.rs
@@ -43,7 +43,7 @@
 const QUEUE_COST: f64 = 1.0;
 
 /// The slots assumed of a server that names none.
-const SLOTS_DEFAULT: u32 = 4;
+const DEFAULT_SLOTS: u32 = 4;
 
 /// Picks the candidate that should answer first. One that this call was sent
 /// to before is taken only when there is no other, and one without trust only
@@ -66,7 +66,7 @@
 
 fn cost(candidate: &Candidate) -> f64 {
     let slots = match candidate.slots {
-        0 => SLOTS_DEFAULT,
+        0 => DEFAULT_SLOTS,
         slots => slots,
     };
     let load = candidate.in_flight.max(candidate.reported.unwrap_or(0));
@@ -85,13 +85,13 @@
 /// How long one server may be silent on an idempotent call before another is
 /// asked as well: well beyond what calls take as a rule, and soon enough for
 /// the second answer to be in time.
-pub fn hedge_after(typical: f64, left: Millis) -> Millis {
-    let patient = Millis((typical * HEDGE_FACTOR) as u64 + HEDGE_LEAST.0);
-    Millis(patient.0.min(left.0 / 3).max(HEDGE_FLOOR.0))
+pub fn hedge_delay(typical: f64, left: Millis) -> Millis {
+    let patient = Millis((typical * HEDGE_FACTOR) as u64 + HEDGE_MARGIN.0);
+    Millis(patient.0.min(left.0 / 3).max(MIN_HEDGE_DELAY.0))
 }
 
 /// Calls spread by about half their mean, with one in a hundred five times as
 /// long: three means and a constant leave nearly all of them alone.
 const HEDGE_FACTOR: f64 = 2.0;
-const HEDGE_LEAST: Millis = Millis(50);
-const HEDGE_FLOOR: Millis = Millis(20);
+const HEDGE_MARGIN: Millis = Millis(50);
+const MIN_HEDGE_DELAY: Millis = Millis(20);
--- a/src/policy/step.rs
+++ b/src/policy/step.rs
@@ -77,7 +77,7 @@
 }
 
 /// The wait before a failed sample is tried again.
-const RETRY_WAIT: Millis = Millis(100);
+const RETRY_DELAY: Millis = Millis(100);
 
 impl Step {
     /// A step without any sample made.
@@ -105,17 +105,17 @@
 
     /// An attempt failed; the sample waits for its next one.
     pub fn fail(&mut self, now: Millis, number: u32, failure: &Failure) {
-        let wait = failure.retry_after.unwrap_or(RETRY_WAIT).max(RETRY_WAIT);
+        let wait = failure.retry_after.unwrap_or(RETRY_DELAY).max(RETRY_DELAY);
         self.restart(number, now + wait);
     }
 
-    /// Hands out whole groups, at most `most` of them.
+    /// Hands out whole groups, at most `limit` of them.
     pub fn fetch(
         &mut self,
         now: Millis,
         have: &Bitmap,
         version: WeightVersion,
-        most: usize,
+        limit: usize,
     ) -> Fetched {
         self.acknowledge(have);
         let dropped = self.drop_stale(now, version);
@@ -126,7 +126,7 @@
             .iter()
             .copied()
             .filter(|group| self.is_ready(*group))
-            .take(most)
+            .take(limit)
             .collect();
         Fetched {
             dropped,
@@ -141,7 +141,7 @@
     }
 
     /// The group and the index in it of sample `number`.
-    pub fn identity(&self, number: u32) -> (u32, u32) {
+    pub fn group_and_index(&self, number: u32) -> (u32, u32) {
         let group = self.firsts.partition_point(|first| *first <= number) - 1;
         (group as u32, number - self.firsts[group])
     }
--- a/src/policy/step_order.rs
+++ b/src/policy/step_order.rs
@@ -18,9 +18,9 @@
 
 /// What waits of one open step.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
+pub struct OpenStep {
     /// The work of its groups beyond those that its trainer waits for.
-    pub beyond: u64,
+    pub surplus: u64,
     /// When its results are due.
     pub due: Millis,
     /// The work of the groups that its trainer waits for: the expected output tokens of
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Supply {
     /// Items that they run at once.
-    pub places: u32,
+    pub slots: u32,
     /// What one place takes for an expected token, in ms; 0 while it is not known.
-    pub token: f64,
+    pub token_ms: f64,
 }
 
 /// How the waiting bundles of a step begin.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum StepMode {
     /// It can't be whole in time: one group after another.
     ByGroup,
     /// What begins now is late: after all that may be in time, one group after another.
@@ -52,52 +52,52 @@
 /// begun last are short, and a trainer reads twice a second. Of 0 to 2,500 ms this
 /// brought the most in a replay of ten loads by eight seeds: 0.80 of what trainers wait
 /// for, by its worth, for 0.78 to 0.79 at either end.
-const TAIL: Millis = Millis(1_000);
+const READ_DELAY: Millis = Millis(1_000);
 
 /// A group that begins less than this before its step is due is late: most texts take
 /// that long.
-const LAST_START: Millis = Millis(500);
+const MIN_RUN_TIME: Millis = Millis(500);
 
 /// While all that waits will have begun so long before its step is due, the groups
 /// beyond what trainers wait for go with the others: there is room for all, and they
 /// may be whole before a group with a text that takes nearly as long as a step may.
 /// With 3 s in its place, steps at the edge of the engines' capacity lost 0.03 of their
 /// worth in a replay.
-const AMPLE: Millis = Millis(5_000);
+const AMPLE_SLACK: Millis = Millis(5_000);
 
 /// Whether all that waits of a model's open `steps`, which stand in the order in which
 /// they are due, will begin early enough to be worked off alike.
-pub fn is_ample(steps: &[Step], supply: Supply, now: Millis) -> bool {
+pub fn is_ample(steps: &[OpenStep], supply: Supply, now: Millis) -> bool {
     let mut ahead = 0;
     let mut begins = steps.iter().map(|step| {
-        ahead += step.needed + step.beyond;
-        (step, now + time(ahead, supply))
+        ahead += step.needed + step.surplus;
+        (step, now + time_to_start(ahead, supply))
     });
-    begins.all(|(step, begun)| begun + AMPLE <= step.due)
+    begins.all(|(step, begun)| begun + AMPLE_SLACK <= step.due)
 }
 
 /// The turn of each of a model's open `steps`, which stand in the order in which they
 /// are due.
-pub fn turns(steps: &[Step], supply: Supply, now: Millis) -> Vec<Turn> {
+pub fn step_modes(steps: &[OpenStep], supply: Supply, now: Millis) -> Vec<StepMode> {
     let mut ahead = 0;
-    let turn = |step: &Step| {
-        if now + LAST_START >= step.due {
-            return Turn::Late;
+    let mode = |step: &OpenStep| {
+        if now + MIN_RUN_TIME >= step.due {
+            return StepMode::Late;
         }
         ahead += step.needed;
-        let begun = now + time(ahead, supply);
-        match begun + TAIL > step.due {
-            true => Turn::ByGroup,
-            false => Turn::Whole,
+        let begun = now + time_to_start(ahead, supply);
+        match begun + READ_DELAY > step.due {
+            true => StepMode::ByGroup,
+            false => StepMode::Whole,
         }
     };
-    steps.iter().map(turn).collect()
+    steps.iter().map(mode).collect()
 }
 
 /// What the engines take to begin all of `work`.
-fn time(work: u64, supply: Supply) -> Millis {
-    let places = f64::from(supply.places.max(1));
-    Millis((work as f64 * supply.token / places) as u64)
+fn time_to_start(work: u64, supply: Supply) -> Millis {
+    let slots = f64::from(supply.slots.max(1));
+    Millis((work as f64 * supply.token_ms / slots) as u64)
 }
 
 /// What a place takes for an expected token, by the runs that ended here.
@@ -119,7 +119,7 @@
     }
 
     /// In ms; 0 before the first run.
-    pub fn token(&self) -> f64 {
+    pub fn token_ms(&self) -> f64 {
         match self.tokens > 0.0 {
             true => self.taken / self.tokens,
             false => 0.0,
--- a/src/policy/step_spec.rs
+++ b/src/policy/step_spec.rs
@@ -28,7 +28,7 @@
     pub max_tokens: u32,
     #[serde(default)]
     pub seed: u64,
-    #[serde(default = "one")]
+    #[serde(default = "default_temperature")]
     pub temperature: f32,
 }
 
@@ -66,9 +66,9 @@
 pub const MAX_TOKENS: u32 = 131_072;
 
 /// The bytes of one prompt.
-pub const MAX_PROMPT: usize = 128 * 1024;
+pub const MAX_PROMPT_BYTES: usize = 128 * 1024;
 
-fn one() -> f32 {
+fn default_temperature() -> f32 {
     1.0
 }
 
@@ -110,7 +110,7 @@
                 }
             );
             ensure!(
-                group.prompt.len() <= MAX_PROMPT,
+                group.prompt.len() <= MAX_PROMPT_BYTES,
                 RangeSnafu {
                     expected: "at most 131072 bytes",
                     field: format!("groups[{index}].prompt"),
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -7,15 +7,19 @@
 /// With 3,300 samplers a full mesh from 460 entries would be 1.5 million
 /// links. An entry that serves two pools keeps 32, which fits its budget for
 /// control (`docs/CAPACITY.md`); an agent among 412 of a pool gets some 18.
-pub const SUBSET: usize = 16;
+pub const SUBSET_SIZE: usize = 16;
 
-/// Orders `servers` by their weight for `who`, best first, and keeps `size`.
+/// Orders `servers` by their weight for `entry`, best first, and keeps `size`.
 ///
 /// Rendezvous hashing: a server that joins or leaves changes only its own
 /// place, and each server is kept by about the same number of entries.
-pub fn choose<'a>(who: &str, servers: impl Iterator<Item = &'a str>, size: usize) -> Vec<&'a str> {
+pub fn choose<'a>(
+    entry: &str,
+    servers: impl Iterator<Item = &'a str>,
+    size: usize,
+) -> Vec<&'a str> {
     let mut ranked: Vec<(u64, &str)> = servers
-        .map(|server| (stable_hash(&[who.as_bytes(), server.as_bytes()]), server))
+        .map(|server| (stable_hash(&[entry.as_bytes(), server.as_bytes()]), server))
         .collect();
     ranked.sort_unstable();
     ranked.truncate(size);
@@ -31,9 +35,9 @@
         let servers: Vec<String> = (0..330).map(|i| format!("sampler-{i}")).collect();
         let mut kept = vec![0; servers.len()];
         for entry in 0..460 {
-            let who = format!("entry-{entry}");
-            let before = choose(&who, servers.iter().map(String::as_str), SUBSET);
-            let after = choose(&who, servers[1..].iter().map(String::as_str), SUBSET);
+            let entry = format!("entry-{entry}");
+            let before = choose(&entry, servers.iter().map(String::as_str), SUBSET_SIZE);
+            let after = choose(&entry, servers[1..].iter().map(String::as_str), SUBSET_SIZE);
             let gone = before.iter().filter(|name| !after.contains(name)).count();
             assert!(gone <= 1);
             for name in before {
@@ -44,7 +48,7 @@
         let most = kept.iter().max().unwrap();
         let least = kept.iter().min().unwrap();
         // Four standard deviations around the binomial mean.
-        let share = SUBSET as f64 / 330.0;
+        let share = SUBSET_SIZE as f64 / 330.0;
         let mean = 460.0 * share;
         let spread = 4.0 * (mean * (1.0 - share)).sqrt();
         let (least, most) = (f64::from(*least), f64::from(*most));
--- a/src/policy/typical.rs
+++ b/src/policy/typical.rs
@@ -3,7 +3,7 @@
 /// A moving average that does not fade: a service that was idle for a while
 /// still takes what it took.
 #[derive(Clone, Copy, Debug)]
-pub struct Typical {
+pub struct TypicalLatency {
     value: f64,
 }
 
@@ -11,15 +11,15 @@
 const WEIGHT: f64 = 0.1;
 
 /// Before any answer: what the users' services take, with room.
-const FIRST: f64 = 80.0;
+const INITIAL: f64 = 80.0;
 
-impl Default for Typical {
+impl Default for TypicalLatency {
     fn default() -> Self {
-        Self { value: FIRST }
+        Self { value: INITIAL }
     }
 }
 
-impl Typical {
+impl TypicalLatency {
     /// Notes that an answer took `taken` ms.
     pub fn note(&mut self, taken: f64) {
         self.value += WEIGHT * (taken - self.value);
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -59,10 +59,10 @@
 
 /// How long after its end requests of a window may still be found to have begun in
 /// it: the longest that callers wait for a plain call, and a little more.
-const CLOSED_AFTER: Millis = Millis(1_800);
+const CLOSE_DELAY: Millis = Millis(1_800);
 
 /// Windows that are kept for the store to come back.
-const KEPT: usize = 120;
+const MAX_WINDOWS: usize = 120;
 
 impl Tally {
     /// Nothing is counted yet at `now`.
@@ -85,13 +85,13 @@
 
     /// Closes the windows that are over at `now`.
     pub fn close(&mut self, now: Millis) {
-        while self.windows.end(self.open) + CLOSED_AFTER <= now {
+        while self.windows.end(self.open) + CLOSE_DELAY <= now {
             let counted = self.parts.entry(self.open).or_default();
             counted.part.closed = true;
             counted.written = false;
             self.open += 1;
         }
-        while self.parts.len() > KEPT {
+        while self.parts.len() > MAX_WINDOWS {
             self.parts.pop_first();
         }
     }
@@ -117,13 +117,13 @@
 
 /// When a window may be summed up although a gateway has not closed it: it was killed
 /// or is cut off, and the report is due a few seconds later.
-const SUMMED_LATEST: Millis = Millis(6_500);
+const MAX_SUM_DELAY: Millis = Millis(6_500);
 
 /// Whether a window that ended at `end` may be summed up at `now`, when `missing`
 /// gateways that were heard of lately have not closed it.
 pub fn may_sum(end: Millis, missing: usize, now: Millis) -> bool {
     let over = now.since(end);
-    (missing == 0 && over >= CLOSED_AFTER) || over >= SUMMED_LATEST
+    (missing == 0 && over >= CLOSE_DELAY) || over >= MAX_SUM_DELAY
 }
 
 /// Adds up what the gateways counted.
@@ -138,8 +138,8 @@
 }
 
 /// The offset of true time from the store's clock, by what all gateways read: the
-/// middle one, so that a few whose clocks are wrong don't move it.
-pub fn middle(offsets: &mut [i64]) -> Option<i64> {
+/// median one, so that a few whose clocks are wrong don't move it.
+pub fn median(offsets: &mut [i64]) -> Option<i64> {
     offsets.sort_unstable();
     offsets.get(offsets.len() / 2).copied()
 }
--- a/src/policy/version_plan.rs
+++ b/src/policy/version_plan.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Situation {
     /// How long the store has not answered; `None` while it does.
-    pub away_for: Option<Millis>,
+    pub outage: Option<Millis>,
     /// Other engines that are changing weights.
     pub loading: usize,
     /// The models that the service's engines hold.
@@ -39,15 +39,15 @@
     /// The runners of the service.
     pub runners: usize,
     /// Whether it is this runner's turn to begin a load that nothing waits for.
-    pub slot: bool,
+    pub is_turn: bool,
     /// Whether the next step is near: its trainer keeps two under way, and only
     /// the newest is.
-    pub soon: bool,
+    pub next_near: bool,
 }
 
 /// What to do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum LoadDecision {
     /// Order the engine to take this version.
     Load(u64),
     Wait,
@@ -56,8 +56,8 @@
 /// The share of a service's engines that load at once without slowing each other
 /// down, and the least: 2 of 9 and 9 of 46 on the users' sites. Each one more
 /// slows them all; fewer keep steps waiting that need the weights.
-const SHARE_AT_ONCE: f64 = 0.2;
-const LEAST_AT_ONCE: usize = 2;
+const MAX_LOADING_SHARE: f64 = 0.2;
+const MIN_LOADING_LIMIT: usize = 2;
 
 /// What one load takes.
 const LOAD_TIME: Millis = Millis(900);
@@ -65,79 +65,79 @@
 /// The engines that may load at once when half of a model's engines are ready for
 /// its next step: most loads are such that nothing waits for, and they kept those
 /// waiting that a step needed.
-const SPARE_AT_ONCE: usize = 1;
+const MAX_SPARE_LOADING: usize = 1;
 
 /// An engine waits this long after a version was named: the step that was asked
 /// with it may be on its way.
-const QUIET: Millis = Millis(500);
+const QUIET_PERIOD: Millis = Millis(500);
 
 /// Runners begin in waves this far apart, so that each sees by the heartbeats
 /// how many before it are loading.
-const STAGGER: Millis = Millis(70);
+const WAVE_INTERVAL: Millis = Millis(70);
 
 /// Without the store no heartbeat tells who loads: the waves are a whole load
 /// and some slack apart then.
-const AWAY_STAGGER: Millis = Millis(1_000);
+const OUTAGE_WAVE_INTERVAL: Millis = Millis(1_000);
 
 /// Work that a model's own runners leave waiting this long is taken by runners
 /// of other models, one after another, which load its weights for it. Sooner,
 /// their loads would slow those of the model's own runners; all at once, one
 /// bundle that waited for a slot made 21 of 44 engines load at the same moment.
-const RESCUE_AGE: Millis = Millis(3_000);
-const RESCUE_STAGGER: Millis = Millis(400);
+const RESCUE_DELAY: Millis = Millis(3_000);
+const RESCUE_INTERVAL: Millis = Millis(400);
 
 /// The length of one turn to begin a load that nothing waits for: a heartbeat
 /// written in it is seen by all before the next turn. Six engines of nine, idle at
 /// the same moment, began loads within 10 ms and saw none of the others'; a step that
 /// was asked then began 1.9 s late, twice what one load takes.
-const TURN: Millis = Millis(150);
+const TURN_LENGTH: Millis = Millis(150);
 
 /// Whether it is the turn of the runner at `place` among all, by the store's clock.
 /// Half of those that may load at once share a turn.
-pub fn may_begin(store_now: Millis, place: Place) -> bool {
-    let group = (at_once(place.count) / 2).max(1);
+pub fn is_load_turn(store_now: Millis, place: Place) -> bool {
+    let group = (loading_limit(place.count) / 2).max(1);
     let turns = place.count.div_ceil(group).max(1) as u64;
-    (store_now.0 / TURN.0) % turns == (place.rank / group) as u64
+    (store_now.0 / TURN_LENGTH.0) % turns == (place.rank / group) as u64
 }
 
 /// How many of `runners` engines may load at once.
-pub fn at_once(runners: usize) -> usize {
-    ((runners as f64 * SHARE_AT_ONCE) as usize).max(LEAST_AT_ONCE)
+pub fn loading_limit(runners: usize) -> usize {
+    ((runners as f64 * MAX_LOADING_SHARE) as usize).max(MIN_LOADING_LIMIT)
 }
 
 /// Whether the engine takes new weights now.
-pub fn step(now: &Situation) -> Step {
+pub fn decide(now: &Situation) -> LoadDecision {
     if now.held >= now.named {
-        return Step::Wait;
+        return LoadDecision::Wait;
     }
-    let most = at_once(now.runners);
+    let most = loading_limit(now.runners);
     let wave = (most / now.models.max(1)).max(1);
     let turns = (now.place.rank / wave) as u64;
-    if let Some(away_for) = now.away_for {
-        return when(is_due_away(now, away_for, turns), now.named);
+    if let Some(outage) = now.outage {
+        return load_if(is_due_in_outage(now, outage, turns), now.named);
     }
-    let turn = Millis(STAGGER.0 * turns);
+    let turn = Millis(WAVE_INTERVAL.0 * turns);
     let free = now.loading < most;
     if now.needed > now.held {
         // A heartbeat that says "loading" may be all that is left of a runner.
         let overdue = now.needed_for >= Millis(LOAD_TIME.0 * (turns + 2));
-        let rescue = RESCUE_AGE + Millis(RESCUE_STAGGER.0 * now.place.rank as u64);
+        let rescue = RESCUE_DELAY + Millis(RESCUE_INTERVAL.0 * now.place.rank as u64);
         let due = match now.home {
             true => (free && now.needed_for >= turn) || overdue,
             false => free && now.needed_for >= rescue,
         };
-        return when(due, now.named);
+        return load_if(due, now.named);
     }
-    if now.soon && is_early(now) {
-        return when(free && now.named_for >= turn, now.named);
+    if now.next_near && is_early(now) {
+        return load_if(free && now.named_for >= turn, now.named);
     }
-    let idle = now.home && !now.waiting && now.slot;
+    let idle = now.home && !now.waiting && now.is_turn;
     let spare = match now.ready * 2 >= now.place.count {
-        true => SPARE_AT_ONCE.min(most),
+        true => MAX_SPARE_LOADING.min(most),
         false => most,
     };
-    when(
-        idle && now.loading < spare && now.named_for >= QUIET,
+    load_if(
+        idle && now.loading < spare && now.named_for >= QUIET_PERIOD,
         now.named,
     )
 }
@@ -147,10 +147,10 @@
 /// two steps after an outage of 7 s began 1.5 to 2.2 s late, as all engines had
 /// to load. A version that was named since is news of the store's return, and
 /// all engines would take it at the same moment.
-fn is_due_away(now: &Situation, away_for: Millis, turns: u64) -> bool {
+fn is_due_in_outage(now: &Situation, outage: Millis, turns: u64) -> bool {
     let idle = now.home && !now.waiting;
-    let old = now.named_for >= away_for;
-    idle && old && away_for >= QUIET + Millis(AWAY_STAGGER.0 * turns)
+    let old = now.named_for >= outage;
+    idle && old && outage >= QUIET_PERIOD + Millis(OUTAGE_WAVE_INTERVAL.0 * turns)
 }
 
 /// Whether the engine is one of the half that takes the version before the work
@@ -163,9 +163,9 @@
     now.home && now.place.count > 1 && turn
 }
 
-fn when(due: bool, version: u64) -> Step {
+fn load_if(due: bool, version: u64) -> LoadDecision {
     match due {
-        true => Step::Load(version),
-        false => Step::Wait,
+        true => LoadDecision::Load(version),
+        false => LoadDecision::Wait,
     }
 }
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -196,8 +196,8 @@
         let reply = self.ask(&peer, Want::Join, hold, hold + JOIN_WITHIN).await;
         let now = self.clock.now();
         match reply {
-            Some(_) => self.feeders().reach(address),
-            None => self.feeders().miss(address, now),
+            Some(_) => self.feeders().note_reachable(address),
+            None => self.feeders().note_unreachable(address, now),
         }
         match reply {
             Some(Reply::Joined) => Join::Joined(Parent { address, peer }),
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -10,8 +10,8 @@
     base::Millis,
     batch::{Claim, WORK, WorkKey, decode, encode, part_of},
     policy::{
-        claim_choice::{Holder, Offer, Taker, capacity, choose, is_mine_by_rule},
-        pace::is_slow, //
+        claim_choice::{Holder, Offer, Runner, choose, is_assigned, usable_slots},
+        pace::is_straggler, //
     },
     store::{Key, Outcome, StoreError, Transaction}, //
 };
@@ -40,20 +40,20 @@
         // Items in quarantine take no place of the engine. Counted in, those of some
         // batches kept all others from running until they were given up.
         let load = held.saturating_sub(self.engine.waiting.load(Ordering::Relaxed));
-        let mut room = capacity(self.slots, self.pace, usual).saturating_sub(load as u32);
+        let mut room = usable_slots(self.slots, self.pace, usual).saturating_sub(load as u32);
         if room == 0 {
             return;
         }
         let place = standing.place;
         let home = standing.home.as_deref();
-        let home = home.filter(|_| !is_slow(self.pace, usual));
+        let home = home.filter(|_| !is_straggler(self.pace, usual));
         let mut offers = self.offers(&ids, home, now);
         if self.away_since.is_some() {
-            offers.retain(|offer| is_mine_by_rule(offer, place));
+            offers.retain(|offer| is_assigned(offer, place));
             offers.sort_by_key(|offer| (offer.due, offer.order));
             for offer in offers {
                 if room > 0 {
-                    room = room.saturating_sub(offer.left);
+                    room = room.saturating_sub(offer.remaining);
                     self.run_unclaimed(&ids[offer.batch], offer.bundle);
                 }
             }
@@ -64,7 +64,7 @@
         }
         let places = place.count as u32 * self.slots;
         self.line_up(&ids, &mut offers, places);
-        let mut taker = Taker {
+        let mut taker = Runner {
             place: standing.share,
             room,
             slower: self.kind.slower,
@@ -72,7 +72,7 @@
         };
         while let Some(offer) = choose(&offers, taker).copied() {
             offers.retain(|other| (other.batch, other.bundle) != (offer.batch, offer.bundle));
-            taker.room = taker.room.saturating_sub(offer.left);
+            taker.room = taker.room.saturating_sub(offer.remaining);
             self.claim(&ids[offer.batch], &offer);
         }
     }
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -4,8 +4,8 @@
 use crate::{
     base::Millis,
     policy::{
-        engine_life::{is_settled, present},
-        pace::{Kind, Pace}, //
+        engine_life::{current, is_caught_up},
+        pace::{EngineKind, Pace}, //
     },
     routing::Life, //
 };
@@ -28,7 +28,7 @@
         let announced_id = announced.as_ref().map(|server| server.life.id.as_str());
         let met = self.engine.met.borrow().clone();
         let confirmed = met.as_ref().is_some_and(|met| self.is_ours_since(met.at));
-        let present = present(announced_id, met.as_ref(), confirmed);
+        let present = current(announced_id, met.as_ref(), confirmed);
 
         let started = announced
             .as_ref()
@@ -50,7 +50,7 @@
             .map_or(Millis(0), |(report, _)| report.born);
         let id = present.filter(|id| fresh && !draining(id));
         let life = id.map(|id| Life::new(id, born));
-        if met.is_some_and(|met| is_settled(announced_id, &met)) {
+        if met.is_some_and(|met| is_caught_up(announced_id, &met)) {
             self.engine.met.send_replace(None);
         }
         if let (Some(present), Some((_, seen))) = (&life, &self.report) {
@@ -78,7 +78,7 @@
     fn forget_engine(&mut self) {
         self.order = None;
         self.pace = 0.0;
-        self.kind = Kind::default();
+        self.kind = EngineKind::default();
         *self.engine.pace() = Pace::default();
     }
 
@@ -100,7 +100,7 @@
     /// Takes what the runs under way tell of the engine's pace; returns the usual
     /// one, in ms an event.
     pub(super) fn look_at_pace(&mut self, now: Millis) -> f64 {
-        self.pace = self.engine.pace().settle(now);
+        self.pace = self.engine.pace().update(now);
         let usual = self.heartbeats.usual_pace(&self.service);
         if self.kind.note(self.pace, usual, now) {
             let (pace, slower) = (self.pace, self.kind.slower);
--- a/src/runner/heartbeats.rs
+++ b/src/runner/heartbeats.rs
@@ -4,8 +4,8 @@
     base::Millis,
     batch::Heartbeat,
     policy::{
-        liveness::{self, Beat, Sign, is_alive},
-        pace::usual, //
+        liveness::{self, ClaimWrite, LastHeartbeat, is_alive},
+        pace::usual_pace, //
     },
 };
 use std::collections::BTreeMap;
@@ -27,12 +27,12 @@
 
 impl Seen {
     /// What it tells of the runner's life.
-    fn beat(&self) -> Beat {
-        Beat {
+    fn beat(&self) -> LastHeartbeat {
+        LastHeartbeat {
             at: self.at,
             revision: self.revision,
             token: self.heartbeat.token,
-            works: self.heartbeat.working || self.heartbeat.leaving,
+            working: self.heartbeat.working || self.heartbeat.leaving,
         }
     }
 
@@ -79,9 +79,9 @@
     }
 
     /// Whether the runner `instance`, which wrote `sign`, still works.
-    pub(super) fn works(&self, instance: &str, sign: Sign, now: Millis) -> bool {
+    pub(super) fn works(&self, instance: &str, sign: ClaimWrite, now: Millis) -> bool {
         let beat = self.seen.get(instance).map(Seen::beat);
-        liveness::works(sign, beat, now)
+        liveness::is_working(sign, beat, now)
     }
 
     /// The last heartbeat of `instance`.
@@ -94,7 +94,7 @@
     pub(super) fn usual_pace(&self, service: &str) -> f64 {
         let beats = self.seen.values().map(|seen| &seen.heartbeat);
         let ours = beats.filter(|beat| beat.service == service);
-        usual(ours.map(|beat| beat.pace).collect())
+        usual_pace(ours.map(|beat| beat.pace).collect())
     }
 
     /// The instances that work for `service`, in one order for all runners.
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -35,7 +35,7 @@
         }
         let bundles = 0..batch.head.bundles.len() as u16;
         let mine: Vec<u16> = bundles
-            .filter(|bundle| place.has(batch.order_of(*bundle)))
+            .filter(|bundle| place.owns(batch.order_of(*bundle)))
             .collect();
         for bundle in mine {
             self.fetch(id, bundle);
--- a/src/runner/line.rs
+++ b/src/runner/line.rs
@@ -6,7 +6,7 @@
 };
 use crate::policy::{
     claim_choice::Offer,
-    claim_line::{StepLine, line_up},
+    claim_line::{StepPlan, plan_start_order},
     step_order::Supply, //
 };
 
@@ -15,20 +15,25 @@
     /// its engines.
     pub(super) fn line_up(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
         let supply = Supply {
-            places,
-            token: self.engine.rate().token(),
+            slots: places,
+            token_ms: self.engine.rate().token_ms(),
         };
-        for step in line_up(offers, supply, self.store.now()) {
+        for step in plan_start_order(offers, supply, self.store.now()) {
             self.note_turn(&ids[step.batch], step, supply);
         }
     }
 
-    fn note_turn(&mut self, id: &str, step: StepLine, supply: Supply) {
-        let StepLine { turn, work, .. } = step;
+    fn note_turn(&mut self, id: &str, step: StepPlan, supply: Supply) {
+        let StepPlan {
+            mode: turn, work, ..
+        } = step;
         let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.turn != turn) else {
             return;
         };
-        let Supply { places, token } = supply;
+        let Supply {
+            slots: places,
+            token_ms: token,
+        } = supply;
         let before = batch.turn;
         tracing::info!(
             batch = id,
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -8,8 +8,8 @@
     base::Millis,
     policy::{
         claim_choice::{Holder, Offer, Place},
-        model_share::{Asked, Demand, Member, demands, homes},
-        step_order::Turn, //
+        model_share::{BatchDemand, Demand, Member, assign_models, demands},
+        step_order::StepMode, //
     },
     routing::Route, //
 };
@@ -66,7 +66,7 @@
             slower: self.is_steadily_slower(name),
         };
         let members: Vec<Member> = runners.iter().map(member).collect();
-        let homes = homes(&demands, &members);
+        let homes = assign_models(&demands, &members);
         let Some(mine) = homes.get(rank).copied() else {
             return Standing {
                 all,
@@ -137,7 +137,7 @@
             .as_ref()
             .and_then(|config| config.service(&self.service));
         let models = service.map_or(&[][..], |service| &service.models);
-        let asked = |model: &str| -> Vec<Asked> {
+        let asked = |model: &str| -> Vec<BatchDemand> {
             let batches = self.batches.values();
             let same = batches.filter(|batch| batch.head.model == model);
             same.map(|batch| batch.asked).collect()
@@ -187,7 +187,7 @@
                 offers.push(Offer {
                     age: now.since(batch.seen),
                     batch: number,
-                    beyond: batch
+                    surplus: batch
                         .head
                         .is_beyond(&batch.head.bundles[usize::from(bundle)]),
                     due: batch.head.accepted + route.results_due,
@@ -196,10 +196,10 @@
                     order: batch.order_of(bundle),
                     holder,
                     home: home == Some(batch.head.model.as_str()),
-                    left,
-                    line: 0,
+                    remaining: left,
+                    position: 0,
                     loaded,
-                    turn: Turn::Whole,
+                    mode: StepMode::Whole,
                     work: batch.work(&items),
                 });
             }
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::Millis,
     batch::{Claim, Head, Item, Log, Partial, Sample},
-    policy::{liveness::Sign, model_share::Asked, step_order::Turn}, //
+    policy::{liveness::ClaimWrite, model_share::BatchDemand, step_order::StepMode}, //
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -19,7 +19,7 @@
     /// When this runner saw it.
     pub(super) seen: Millis,
     /// When its holder wrote it.
-    pub(super) sign: Sign,
+    pub(super) sign: ClaimWrite,
 }
 
 /// A bundle that this runner has taken.
@@ -39,7 +39,7 @@
     /// Whether results are on their way to the store.
     pub(super) appending: bool,
     /// What it asks for, as all runners weigh it.
-    pub(super) asked: Asked,
+    pub(super) asked: BatchDemand,
     pub(super) chunks: HashMap<u16, Arc<Vec<Item>>>,
     pub(super) claims: BTreeMap<u16, Held>,
     pub(super) fetching: Vec<u16>,
@@ -58,7 +58,7 @@
     pub(super) running: HashMap<u16, AbortHandle>,
     pub(super) seen: Millis,
     /// How its waiting bundles begin, as this runner last worked it out.
-    pub(super) turn: Turn,
+    pub(super) turn: StepMode,
 }
 
 impl OpenBatch {
@@ -70,7 +70,7 @@
         }
         Self {
             appending: false,
-            asked: Asked {
+            asked: BatchDemand {
                 items: head.items.len(),
                 step: head.step,
                 tokens: head.tokens(),
@@ -88,7 +88,7 @@
             results: Vec::new(),
             running: HashMap::new(),
             seen: now,
-            turn: Turn::Whole,
+            turn: StepMode::Whole,
         }
     }
 
@@ -193,10 +193,10 @@
 
     /// When the holder of `claim` wrote it. A second runner that joins writes the row
     /// as well, which is no sign of life of its holder.
-    fn sign_of(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
+    fn sign_of(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> ClaimWrite {
         let token = claim.token;
         if claim.second.is_none() {
-            return Sign {
+            return ClaimWrite {
                 at: now,
                 revision,
                 token,
@@ -204,7 +204,7 @@
         }
         let same = self.is_claimed_by(bundle, &claim.holder, token);
         let before = self.claims.get(&bundle).filter(|_| same);
-        let unknown = Sign {
+        let unknown = ClaimWrite {
             at: now,
             revision: 0,
             token,
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -11,7 +11,7 @@
     platform::{OrderAnswer, VersionOrder, order_answer, order_request},
     policy::{
         claim_choice::Place,
-        version_plan::{Situation, Step, may_begin, step}, //
+        version_plan::{LoadDecision, Situation, decide, is_load_turn}, //
     },
 };
 
@@ -47,14 +47,14 @@
         }
 
         let loading = self.heartbeats.loading(&self.instance, now);
-        let slot = may_begin(self.store.now(), standing.all);
+        let is_turn = is_load_turn(self.store.now(), standing.all);
         let mut due = None;
         for weights in &report.weights {
             let is_home = standing.home.as_ref() == Some(&weights.model);
             let (named, seen) = self.site.named(&weights.model);
             let needs = self.needs(&weights.model, standing, now);
             let situation = Situation {
-                away_for: self.away_since.map(|since| now.since(since)),
+                outage: self.away_since.map(|since| now.since(since)),
                 held: weights.version,
                 home: is_home,
                 loading,
@@ -68,11 +68,11 @@
                     .heartbeats
                     .ready(&weights.model, named, &self.instance, now),
                 runners: standing.runners,
-                slot,
-                soon: self.is_step_near(&weights.model, named),
+                is_turn,
+                next_near: self.is_step_near(&weights.model, named),
                 waiting: needs.waiting,
             };
-            if let Step::Load(version) = step(&situation) {
+            if let LoadDecision::Load(version) = decide(&situation) {
                 due = Some((weights.model.clone(), version, situation));
                 break;
             }
@@ -221,7 +221,7 @@
     /// begun.
     fn waits_for(&self, place: Place) -> bool {
         let mine =
-            |bundle: &u16| place.has(self.order_of(*bundle)) && !self.mine.contains_key(bundle);
+            |bundle: &u16| place.owns(self.order_of(*bundle)) && !self.mine.contains_key(bundle);
         self.waiting_bundles().any(|bundle| mine(&bundle))
     }
 }
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -10,7 +10,7 @@
     batch::{Item, Partial, Sample, State},
     net::{CallError, Opened, Peer},
     platform::{EngineRequest, EventReader, Store, instance_of, not_executed, version_of_head},
-    policy::{engine_life::Met, pace::Pace, step_order::Rate},
+    policy::{engine_life::Mismatch, pace::Pace, step_order::Rate},
     routing::Life,
     view::Crashes, //
 };
@@ -53,7 +53,7 @@
     /// The life whose end a run saw last.
     pub(super) lost: watch::Sender<Option<Life>>,
     /// A life of the engine that refused what was meant for another.
-    pub(super) met: watch::Sender<Option<Met>>,
+    pub(super) met: watch::Sender<Option<Mismatch>>,
     /// What all runs tell of its pace.
     pub(super) pace: Arc<Mutex<Pace>>,
     pub(super) peer: Peer,
@@ -101,13 +101,14 @@
         let Some(found) = instance_of(headers).filter(|found| *found != expected) else {
             return;
         };
-        let met = Met {
+        let met = Mismatch {
             at: self.clock.now(),
             expected: expected.to_owned(),
             found: found.to_owned(),
         };
         self.met.send_if_modified(|known| {
-            let same = |known: &Met| (&known.expected, &known.found) == (&met.expected, &met.found);
+            let same =
+                |known: &Mismatch| (&known.expected, &known.found) == (&met.expected, &met.found);
             if known.as_ref().is_some_and(same) {
                 return false;
             }
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -5,7 +5,7 @@
     batch::Scorer,
     calls::{Call, CallEnd, Caller},
     platform::{self, ATTEMPT_ID},
-    policy::quarantine::Verdict,
+    policy::quarantine::QuarantineState,
     view::Site, //
 };
 use hyper::{
@@ -98,8 +98,10 @@
                 return Score::GivenUp;
             }
             let wait = match self.caller.crashes.judge(fingerprint) {
-                Verdict::Clear | Verdict::Watched => AGAIN,
-                Verdict::Suspect | Verdict::Trial | Verdict::Barred => AGAIN_SUSPECT,
+                QuarantineState::Clear | QuarantineState::Watched => AGAIN,
+                QuarantineState::Suspect | QuarantineState::Trial | QuarantineState::Barred => {
+                    AGAIN_SUSPECT
+                }
             };
             tokio::time::sleep(wait.as_duration()).await;
         }
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -8,7 +8,7 @@
 use crate::{
     base::{Fingerprint, Millis},
     net::CallError,
-    policy::quarantine::Verdict,
+    policy::quarantine::QuarantineState,
     routing::Life,
     view::{Attempt, Claimed}, //
 };
@@ -48,11 +48,13 @@
 
 impl Place<'_> {
     /// Whether an item of which `verdict` is known may begin here.
-    fn suits(&self, verdict: Verdict) -> bool {
+    fn suits(&self, verdict: QuarantineState) -> bool {
         match verdict {
-            Verdict::Clear | Verdict::Watched => matches!(self, Self::Shared { .. }),
-            Verdict::Suspect | Verdict::Trial => matches!(self, Self::Alone { .. }),
-            Verdict::Barred => false,
+            QuarantineState::Clear | QuarantineState::Watched => {
+                matches!(self, Self::Shared { .. })
+            }
+            QuarantineState::Suspect | QuarantineState::Trial => matches!(self, Self::Alone { .. }),
+            QuarantineState::Barred => false,
         }
     }
 
@@ -164,14 +166,14 @@
         }
         loop {
             let place = match self.crashes.judge(request) {
-                Verdict::Clear | Verdict::Watched => {
+                QuarantineState::Clear | QuarantineState::Watched => {
                     let shared = tokio::time::timeout_at(end, self.places.read()).await;
                     Some(Place::Shared {
                         _guard: shared.ok()?,
                     })
                 }
-                Verdict::Suspect | Verdict::Trial => Some(self.isolate().await),
-                Verdict::Barred => None,
+                QuarantineState::Suspect | QuarantineState::Trial => Some(self.isolate().await),
+                QuarantineState::Barred => None,
             };
             // Whoever ran before may have shown what this one is.
             let verdict = self.crashes.judge(request);
@@ -181,7 +183,7 @@
                     Turn::Again => continue,
                     Turn::Others => {}
                 },
-                Some(_) if verdict != Verdict::Barred => continue,
+                Some(_) if verdict != QuarantineState::Barred => continue,
                 Some(_) | None => {}
             }
             if waiting.is_none() {
@@ -196,17 +198,17 @@
     }
 
     /// Takes the attempt of a request of which `verdict` was known, unless it is clear.
-    async fn claim(&self, request: Fingerprint, verdict: Verdict) -> Turn {
+    async fn claim(&self, request: Fingerprint, verdict: QuarantineState) -> Turn {
         let claimed = match verdict {
-            Verdict::Clear => return Turn::Mine(None),
-            Verdict::Watched | Verdict::Suspect => {
+            QuarantineState::Clear => return Turn::Mine(None),
+            QuarantineState::Watched | QuarantineState::Suspect => {
                 self.crashes.claim_attempt(request, ATTEMPT_KEPT).await
             }
-            Verdict::Trial => match self.crashes.claim_trial(request).await {
+            QuarantineState::Trial => match self.crashes.claim_trial(request).await {
                 Some(attempt) => Claimed::Here(attempt),
                 None => Claimed::Elsewhere,
             },
-            Verdict::Barred => return Turn::Others,
+            QuarantineState::Barred => return Turn::Others,
         };
         match claimed {
             // The claim has read what others saw meanwhile.
@@ -359,7 +361,7 @@
             self.crashes.survived(request);
         }
         let verdict = self.crashes.judge(request);
-        if !ended || matches!(verdict, Verdict::Clear | Verdict::Watched) {
+        if !ended || matches!(verdict, QuarantineState::Clear | QuarantineState::Watched) {
             return Settled::Kept;
         }
         // Others take its bundle over by now. It is claimed anew, so that it does
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -10,7 +10,7 @@
     base::{Millis, stable_hash},
     batch::{BODIES, PARTIALS, RESULTS, WORK, part_of},
     platform::Store,
-    policy::batch_age::{Age, Verdict, judge},
+    policy::batch_age::{Action, BatchAge, decide},
     store::{Key, StoreError, Transaction}, //
 };
 
@@ -43,16 +43,16 @@
                 continue;
             }
             let route = config.route(&batch.head.host, &batch.head.path);
-            let age = Age {
+            let age = BatchAge {
                 age: store_now.since(batch.head.accepted),
                 over: batch.is_over(),
                 retention: self.retention,
                 ttl: route.map_or(TTL_DEFAULT, |route| route.item_ttl),
             };
-            match judge(age) {
-                Verdict::GiveUp if batch.results.is_empty() => batch.give_up(id),
-                Verdict::GiveUp | Verdict::Keep => {}
-                Verdict::Remove => old.push(id.clone()),
+            match decide(age) {
+                Action::GiveUp if batch.results.is_empty() => batch.give_up(id),
+                Action::GiveUp | Action::Keep => {}
+                Action::Remove => old.push(id.clone()),
             }
         }
         for id in old {
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -12,7 +12,7 @@
     batch::WORK,
     duty::{Context, Phase},
     platform::{EngineReport, Store},
-    policy::pace::Kind,
+    policy::pace::EngineKind,
     relay::{BACKOFF_MOST, Followed, Following, HOLD, Relay, follow},
     routing::Life,
     store::Row,
@@ -46,7 +46,7 @@
     /// The model is changed from then on, if it should be.
     pub(super) moves_from: Millis,
     /// How fast the engine is among others.
-    pub(super) kind: Kind,
+    pub(super) kind: EngineKind,
     pub(super) leaving: bool,
     /// The engine's newest life that took work; `None` before the first.
     pub(super) life: Option<Life>,
@@ -129,7 +129,7 @@
             instance: seed.instance,
             home,
             moves_from: Millis(0),
-            kind: Kind::default(),
+            kind: EngineKind::default(),
             leaving: false,
             life: None,
             changed: None,
--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -10,7 +10,7 @@
     base::{Clock, Millis},
     batch::{decode, encode},
     platform::Store,
-    policy::usage::middle,
+    policy::usage::median,
     store::{StoreError, Transaction}, //
 };
 use std::sync::atomic::{
@@ -18,7 +18,7 @@
     Ordering, //
 };
 
-/// Tells true time: the store's steady clock, and the offset from it that the middle
+/// Tells true time: the store's steady clock, and the offset from it that the median
 /// one of all gateways' clocks has. One whose clock was set wrong, or that was
 /// suspended, would count requests in other windows than they belong to.
 pub(super) struct Clocks {
@@ -65,7 +65,7 @@
         Ok(rows.collect())
     }
 
-    /// Tells the others what this gateway's clock says, and takes the middle of what
+    /// Tells the others what this gateway's clock says, and takes the median of what
     /// all say.
     pub(super) async fn settle(&self, author: &Author) -> Result<(), StoreError> {
         let others = self.others(author).await?;
@@ -73,7 +73,7 @@
         let own = self.clock.wall().0.cast_signed() - now.0.cast_signed();
         let mut offsets: Vec<i64> = others.into_iter().map(|(_, offset)| offset).collect();
         offsets.push(own);
-        if let Some(offset) = middle(&mut offsets) {
+        if let Some(offset) = median(&mut offsets) {
             let before = self.offset.swap(offset, Ordering::Relaxed);
             if before.abs_diff(offset) > TOLD_FROM {
                 let gateways = offsets.len();
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -20,7 +20,7 @@
     net::Peer,
     platform::{ROWS_MOST, Store, UsageReport},
     policy::{
-        lease::{Claimant, Held, Lease, Step, Watch},
+        lease::{Claimant, HeldLease, Lease, LeaseAction, LeaseWatch},
         usage::{Part, may_sum, sum}, //
     },
     store::{Key, Outcome, StoreError, Transaction}, //
@@ -76,7 +76,7 @@
         peer: Peer::open(reporting.address, clock),
         reporting,
         store,
-        watch: Watch::default(),
+        watch: LeaseWatch::default(),
     };
     let mut windows: Option<Reports> = None;
     loop {
@@ -102,12 +102,12 @@
     author: Author,
     clock: Clock,
     counter: Arc<Counter>,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     me: Claimant,
     peer: Peer,
     reporting: Reporting,
     store: Store,
-    watch: Watch,
+    watch: LeaseWatch,
 }
 
 impl Reporter {
@@ -127,12 +127,13 @@
         let revision = row.as_ref().map_or(0, |row| row.revision);
         let value = row.and_then(|row| row.value);
         let lease = value.and_then(|value| decode::<Lease>("lease", &value));
-        self.watch.see(self.clock.boottime(), lease.clone());
+        self.watch.observe(self.clock.boottime(), lease.clone());
         if !lease.is_some_and(|lease| self.me.holds(&lease)) {
             self.lose();
         }
         let asked = self.clock.boottime();
-        let Step::Write(next) = self.watch.decide(asked, &self.me, self.reporting.lease) else {
+        let LeaseAction::Write(next) = self.watch.decide(asked, &self.me, self.reporting.lease)
+        else {
             return;
         };
         let write = Transaction {
@@ -146,11 +147,11 @@
                     let (fence, instance) = (next.epoch, &self.author.instance);
                     tracing::info!(fence, instance, "holds the lease of reporting");
                 }
-                self.held = Some(Held {
+                self.held = Some(HeldLease {
                     epoch: next.epoch,
                     since: asked,
                 });
-                self.watch.see(self.clock.boottime(), Some(next));
+                self.watch.observe(self.clock.boottime(), Some(next));
             }
             Ok(Outcome::Conflict { .. }) => self.lose(),
             // It may be renewed or not; what was held before lasts as it did.
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -10,7 +10,7 @@
 use crate::{
     base::{Fingerprint, Millis},
     platform::Store,
-    policy::quarantine::{ENDED_MOST, Quarantine, Verdict},
+    policy::quarantine::{MAX_CRASHES, Quarantine, QuarantineState},
     relay::{BACKOFF_MOST, Followed, Following, Relay, follow},
     routing::Life,
     store::{Change, Key, Outcome, Transaction}, //
@@ -129,14 +129,14 @@
                 tracing::info!(%request, server, "server ended beside a request that others answer");
                 continue;
             }
-            if !self.quarantine().note(request, life.clone(), now) {
+            if !self.quarantine().note_crash(request, life.clone(), now) {
                 continue;
             }
-            let ended = self.quarantine().ended(request);
+            let ended = self.quarantine().crash_count(request);
             let server = &life.id;
             tracing::warn!(%request, server, ended, "server ended under a request");
             metrics::counter!("redwing_crashes_seen_total").increment(1);
-            if ended == ENDED_MOST {
+            if ended == MAX_CRASHES {
                 tracing::warn!(%request, ended, "request in quarantine");
                 metrics::counter!("redwing_requests_quarantined_total").increment(1);
             }
@@ -146,7 +146,7 @@
 
     /// A server answered `request`.
     pub fn survived(&self, request: Fingerprint) {
-        let acquitted = self.quarantine().acquit(request, self.store.now());
+        let acquitted = self.quarantine().clear(request, self.store.now());
         if acquitted.is_empty() {
             return;
         }
@@ -158,9 +158,9 @@
     }
 
     /// What may be done with `request`.
-    pub fn judge(&self, request: Fingerprint) -> Verdict {
+    pub fn judge(&self, request: Fingerprint) -> QuarantineState {
         let now = self.store.now();
-        self.quarantine().judge(request, now)
+        self.quarantine().state(request, now)
     }
 
     /// Takes the one attempt of `request` that all instances may make at a time, and
@@ -213,7 +213,7 @@
             return None;
         };
         // Others may have tried it meanwhile.
-        if self.judge(request) == Verdict::Barred {
+        if self.judge(request) == QuarantineState::Barred {
             self.release_attempt(attempt);
             return None;
         }
@@ -222,7 +222,7 @@
 
     /// How many servers ended under `request`.
     pub fn ended(&self, request: Fingerprint) -> usize {
-        self.quarantine().ended(request)
+        self.quarantine().crash_count(request)
     }
 
     /// Whether the crashes that others saw were read since the start.
@@ -316,8 +316,8 @@
             Some(Some(at)) => {
                 let mut quarantine = self.quarantine();
                 let server = life.id.clone();
-                if quarantine.note(request, life, at) {
-                    let ended = quarantine.ended(request);
+                if quarantine.note_crash(request, life, at) {
+                    let ended = quarantine.crash_count(request);
                     tracing::info!(%request, server, ended, "crash heard of");
                 }
             }
--- a/standins/src/fleet/deployment.rs
+++ b/standins/src/fleet/deployment.rs
@@ -168,7 +168,10 @@
         let servers: u32 = plans
             .iter()
             .flat_map(|plan| plan.pools.values())
-            .map(|pool| pool.servers.min(redwingpond::policy::subset::SUBSET as u32))
+            .map(|pool| {
+                pool.servers
+                    .min(redwingpond::policy::subset::SUBSET_SIZE as u32)
+            })
             .sum();
         let clock = Clock::open();
         let begun = clock.now();
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -13,7 +13,7 @@
 use redwingpond::{
     base::{Incarnation, Millis},
     entry::Entry,
-    policy::{router::Policy, subset::SUBSET},
+    policy::{router::Policy, subset::SUBSET_SIZE},
     settings::{Common, DrainSettings, EntrySettings, LogFormat},
     table::{Instance, InstanceState},
     wire::{
@@ -142,7 +142,7 @@
             data_centre: "hall".to_owned(),
             links: listener.local_addr()?,
             name: format!("agent-{number}"),
-            pool: Some(format!("pool-{}", number / SUBSET)),
+            pool: Some(format!("pool-{}", number / SUBSET_SIZE)),
             state: InstanceState::Live,
         });
         tasks.spawn(agent(listener, number));
--- a/tests/integration/access.rs
+++ b/tests/integration/access.rs
@@ -3,7 +3,7 @@
 use redwingpond::{
     base::Millis,
     policy::{
-        access::{Denial, judge},
+        access::{Denial, authenticate},
         freshness::Freshness, //
     },
     routing::{Credential, KeyDigest, Workspace, Workspaces}, //
@@ -80,7 +80,7 @@
         },
     ] {
         let name = |open: bool| {
-            let judged = judge(Some(&all), open, test.credential);
+            let judged = authenticate(Some(&all), open, test.credential);
             judged.map(|workspace| workspace.map(|workspace| workspace.name.clone()))
         };
         let closed = test.closed.map(|name| name.map(str::to_owned));
@@ -88,11 +88,11 @@
         let open = Ok(test.open.map(str::to_owned));
         assert_eq!(name(true), open, "{:?}", test.credential);
         // Where no workspaces are configured nobody needs a key.
-        assert_eq!(judge(None, false, test.credential), Ok(None));
+        assert_eq!(authenticate(None, false, test.credential), Ok(None));
     }
     // A configuration without a single workspace lets nobody in.
     let none = Workspaces::default();
-    let judged = judge(Some(&none), false, key("f-1"));
+    let judged = authenticate(Some(&none), false, key("f-1"));
     assert_eq!(judged, Err(Denial::Unknown));
 }
 
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -5,16 +5,16 @@
 use redwingpond::{
     base::Millis,
     policy::{
-        batch_age::{Age, Verdict, judge},
-        claim_choice::{Holder, Offer, Place, Taker, capacity, choose, is_mine_by_rule},
-        engine_life::{Met, is_settled, present},
-        liveness::{Beat, Sign, works},
-        model_share::{Asked, Demand, Member, demands, homes},
-        pace::{Pace, is_slow, is_slower, usual},
-        patience::Patience,
-        server_choice::{self, Candidate, hedge_after},
-        step_order::{Rate, Step as OpenStep, Supply, Turn, is_ample, turns},
-        version_plan::{Situation, Step, may_begin, step}, //
+        batch_age::{Action, BatchAge, decide},
+        claim_choice::{Holder, Offer, Place, Runner, choose, is_assigned, usable_slots},
+        engine_life::{Mismatch, current, is_caught_up},
+        liveness::{ClaimWrite, LastHeartbeat, is_working},
+        model_share::{BatchDemand, Demand, Member, assign_models, demands},
+        pace::{Pace, is_slower, is_straggler, usual_pace},
+        patience::AdaptiveTimeout,
+        server_choice::{self, Candidate, hedge_delay},
+        step_order::{OpenStep, Rate, StepMode, Supply, is_ample, step_modes},
+        version_plan::{self, LoadDecision, Situation, is_load_turn}, //
     },
 };
 
@@ -24,17 +24,17 @@
     Offer {
         age: Millis(0),
         batch: 0,
-        beyond: false,
+        surplus: false,
         due: Millis(7_500),
         bundle,
         claimed: false,
         holder: Holder::Nobody,
         home: true,
-        left: 4,
-        line: usize::from(bundle),
+        remaining: 4,
+        position: usize::from(bundle),
         loaded: true,
         order: bundle,
-        turn: Turn::Whole,
+        mode: StepMode::Whole,
         work: 0,
     }
 }
@@ -48,8 +48,8 @@
     }
 }
 
-fn usual_taker(place: Place, room: u32) -> Taker {
-    Taker {
+fn usual_taker(place: Place, room: u32) -> Runner {
+    Runner {
         place,
         room,
         slower: false,
@@ -211,7 +211,7 @@
         let mut room = 12;
         while let Some(chosen) = choose(&offers, usual_taker(place, room)).copied() {
             offers.retain(|other| other.bundle != chosen.bundle);
-            room -= chosen.left.min(room);
+            room -= chosen.remaining.min(room);
             taken.push(chosen.bundle);
         }
     }
@@ -230,7 +230,7 @@
                 count: 5,
                 rank: *rank,
             };
-            is_mine_by_rule(&offer(bundle), place)
+            is_assigned(&offer(bundle), place)
         });
         assert_eq!(runners.count(), 1, "bundle {bundle}");
     }
@@ -238,7 +238,7 @@
         holder: held(1.0, 0),
         ..offer(0)
     };
-    assert!(!is_mine_by_rule(&claimed, ALONE));
+    assert!(!is_assigned(&claimed, ALONE));
 }
 
 /// The store goes away as it answers a claim. The runner that made it hears of it
@@ -251,13 +251,13 @@
         claimed: true,
         ..offer(0)
     };
-    assert!(!is_mine_by_rule(&offer(0), other));
-    assert!(is_mine_by_rule(&known, other));
+    assert!(!is_assigned(&offer(0), other));
+    assert!(is_assigned(&known, other));
     let unloaded = Offer {
         loaded: false,
         ..known
     };
-    assert!(!is_mine_by_rule(&unloaded, other));
+    assert!(!is_assigned(&unloaded, other));
 }
 
 /// An engine that takes four times as long as usual gets a quarter of its
@@ -270,26 +270,31 @@
         (40.0, 30.0, 12),
         (120.0, 30.0, 3),
     ] {
-        assert_eq!(capacity(12, pace, usual), slots, "{pace} of {usual}");
+        assert_eq!(usable_slots(12, pace, usual), slots, "{pace} of {usual}");
     }
-    assert_eq!(capacity(2, 120.0, 30.0), 1);
+    assert_eq!(usable_slots(2, 120.0, 30.0), 1);
 }
 
 /// A situation of an engine, and whether it takes new weights.
 struct Loading {
     name: &'static str,
     now: Situation,
-    step: Step,
+    decision: LoadDecision,
 }
 
 impl Loading {
     fn run(&self) {
-        assert_eq!(step(&self.now), self.step, "{}", self.name);
+        assert_eq!(
+            version_plan::decide(&self.now),
+            self.decision,
+            "{}",
+            self.name
+        );
     }
 }
 
 const CALM: Situation = Situation {
-    away_for: None,
+    outage: None,
     held: 4,
     home: true,
     loading: 0,
@@ -301,8 +306,8 @@
     place: Place { count: 5, rank: 0 },
     ready: 0,
     runners: 9,
-    slot: true,
-    soon: false,
+    is_turn: true,
+    next_near: false,
     waiting: false,
 };
 
@@ -318,12 +323,12 @@
                 ready: 3,
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "half are ready, and nobody loads",
             now: Situation { ready: 3, ..CALM },
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "too few are ready, and another loads",
@@ -332,15 +337,15 @@
                 ready: 2,
                 ..CALM
             },
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "another's turn",
             now: Situation {
-                slot: false,
+                is_turn: false,
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
     ] {
         test.run();
@@ -354,12 +359,12 @@
         Loading {
             name: "the newest is held",
             now: Situation { held: 5, ..CALM },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "nothing waits",
             now: CALM,
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "work waits that the held version serves",
@@ -367,7 +372,7 @@
                 waiting: true,
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "the step may be on its way",
@@ -375,7 +380,7 @@
                 named_for: Millis(100),
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "another model's engine",
@@ -383,12 +388,12 @@
                 home: false,
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "two load already",
             now: Situation { loading: 2, ..CALM },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "nine of 46 may load at once",
@@ -398,7 +403,7 @@
                 runners: 46,
                 ..CALM
             },
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "nine of 46 load already",
@@ -408,7 +413,7 @@
                 runners: 46,
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
     ] {
         test.run();
@@ -436,7 +441,7 @@
                 waiting: true,
                 ..CALM
             };
-            step(&now) != Step::Wait
+            version_plan::decide(&now) != LoadDecision::Wait
         };
         (0..18).filter(helps).count()
     };
@@ -462,11 +467,11 @@
                     rank: *rank,
                 },
                 runners: 44,
-                soon,
+                next_near: soon,
                 waiting: true,
                 ..CALM
             };
-            step(&now) != Step::Wait
+            version_plan::decide(&now) != LoadDecision::Wait
         };
         (0..6).filter(takes).collect()
     };
@@ -475,11 +480,15 @@
     assert_eq!(loads(7, true), [1, 3, 5]);
     let alone = Situation {
         place: ALONE,
-        soon: true,
+        next_near: true,
         waiting: true,
         ..CALM
     };
-    assert_eq!(step(&alone), Step::Wait, "nobody else would work");
+    assert_eq!(
+        version_plan::decide(&alone),
+        LoadDecision::Wait,
+        "nobody else would work"
+    );
 }
 
 /// An engine's life as the store announces it, and as a refusal told it.
@@ -493,7 +502,7 @@
         present: Option<&'static str>,
     }
 
-    let met = Met {
+    let met = Mismatch {
         at: Millis(0),
         expected: "a".to_owned(),
         found: "b".to_owned(),
@@ -540,11 +549,11 @@
         },
     ] {
         let met = test.met.then_some(&met);
-        let found = present(test.announced, met, test.confirmed);
+        let found = current(test.announced, met, test.confirmed);
         assert_eq!(found, test.present, "{}", test.name);
     }
-    assert!(!is_settled(None, &met) && !is_settled(Some("a"), &met));
-    assert!(is_settled(Some("b"), &met) && is_settled(Some("c"), &met));
+    assert!(!is_caught_up(None, &met) && !is_caught_up(Some("a"), &met));
+    assert!(is_caught_up(Some("b"), &met) && is_caught_up(Some("c"), &met));
 }
 
 /// The store is away, and no heartbeat tells who loads: idle engines take the
@@ -552,7 +561,7 @@
 #[test]
 fn weights_are_taken_in_waves_without_the_store() {
     let away = |millis: u64, rank: usize| Situation {
-        away_for: Some(Millis(millis)),
+        outage: Some(Millis(millis)),
         loading: 9,
         named_for: Millis(20_000),
         place: Place { count: 5, rank },
@@ -562,22 +571,22 @@
         Loading {
             name: "a moment without the store",
             now: away(200, 0),
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "the first wave, whatever old heartbeats say",
             now: away(500, 0),
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "the third wave waits for two loads",
             now: away(2_400, 2),
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "the third wave",
             now: away(2_500, 2),
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "a version that the returning store has told",
@@ -585,7 +594,7 @@
                 named_for: Millis(10),
                 ..away(7_000, 0)
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "work waits for this engine",
@@ -593,7 +602,7 @@
                 waiting: true,
                 ..away(9_000, 0)
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "another model's engine",
@@ -601,7 +610,7 @@
                 home: false,
                 ..away(9_000, 0)
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
     ] {
         test.run();
@@ -620,7 +629,7 @@
                 waiting: true,
                 ..CALM
             },
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
         Loading {
             name: "too old, but two load already",
@@ -630,7 +639,7 @@
                 needed: 5,
                 ..CALM
             },
-            step: Step::Wait,
+            decision: LoadDecision::Wait,
         },
         Loading {
             name: "too old, and who loads may be gone",
@@ -641,7 +650,7 @@
                 needed: 5,
                 ..CALM
             },
-            step: Step::Load(5),
+            decision: LoadDecision::Load(5),
         },
     ] {
         test.run();
@@ -650,7 +659,7 @@
 
 fn demand(model: &str, work: f64) -> Demand {
     Demand {
-        length: 0,
+        length_class: 0,
         model: model.to_owned(),
         work,
     }
@@ -663,7 +672,7 @@
 
 /// Deals `count` runners out that have no model yet.
 fn deal(demands: &[Demand], count: usize) -> Vec<usize> {
-    homes(demands, &vec![NEW; count])
+    assign_models(demands, &vec![NEW; count])
 }
 
 #[test]
@@ -756,11 +765,11 @@
             shares: &[43, 1],
         },
     ] {
-        let mut models: Vec<(String, Vec<Asked>)> = Vec::new();
+        let mut models: Vec<(String, Vec<BatchDemand>)> = Vec::new();
         let names = ["a", "b", "c"];
         for name in &names[..test.shares.len()] {
             let same = test.batches.iter().filter(|batch| batch.0 == *name);
-            let asked = same.map(|(_, step, items, tokens)| Asked {
+            let asked = same.map(|(_, step, items, tokens)| BatchDemand {
                 items: *items,
                 step: *step,
                 tokens: *tokens,
@@ -791,10 +800,10 @@
         prop_assert_eq!(before.len(), count);
         let keeps = |home: &usize| Member { home: Some(*home), ..NEW };
         let mut members: Vec<Member> = before.iter().map(keeps).collect();
-        prop_assert_eq!(&homes(&demands, &members), &before);
+        prop_assert_eq!(&assign_models(&demands, &members), &before);
 
         members.push(NEW);
-        let after = homes(&demands, &members);
+        let after = assign_models(&demands, &members);
         prop_assert_eq!(after.len(), count + 1);
         let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
         prop_assert!(moved <= 1, "{moved} of {count} moved");
@@ -810,13 +819,13 @@
         let demands: Vec<Demand> = works.iter().map(|work| demand("m", *work)).collect();
         let member = |(home, slower): &(Option<usize>, bool)| Member { home: *home, slower: *slower };
         let members: Vec<Member> = stand.iter().map(member).collect();
-        let first = homes(&demands, &members);
+        let first = assign_models(&demands, &members);
         let again: Vec<Member> = members
             .iter()
             .zip(&first)
             .map(|(member, home)| Member { home: Some(*home), ..*member })
             .collect();
-        prop_assert_eq!(&homes(&demands, &again), &first);
+        prop_assert_eq!(&assign_models(&demands, &again), &first);
         let all = members.len() >= demands.len();
         let none = (0..demands.len()).any(|model| !first.contains(&model));
         prop_assert!(!all || !none, "a model without a runner: {first:?}");
@@ -829,7 +838,7 @@
 #[test]
 fn the_longest_texts_get_the_fastest_engines() {
     let asked = |items, tokens| {
-        vec![Asked {
+        vec![BatchDemand {
             items,
             step: 1,
             tokens,
@@ -846,7 +855,7 @@
     let new = |slower| Member { home: None, slower };
     let mut members = vec![new(false); 6];
     members.extend([new(true); 3]);
-    let dealt = homes(&wanted, &members);
+    let dealt = assign_models(&wanted, &members);
     let usual = |model: usize| dealt[..6].iter().filter(|home| **home == model).count();
     assert_eq!([usual(0), usual(1), usual(2)], [3, 3, 0], "{dealt:?}");
     assert!(dealt[6..].iter().filter(|home| **home == 2).count() >= 2);
@@ -871,11 +880,11 @@
         (50.0, 110.0, 98.0),
         (54.0, 92.0, 112.0),
     ] {
-        assert_eq!(homes(&works(a, b, c), &stand), before);
+        assert_eq!(assign_models(&works(a, b, c), &stand), before);
     }
     let mut fewer = stand;
     fewer.remove(4);
-    let after = homes(&works(54.0, 100.0, 104.0), &fewer);
+    let after = assign_models(&works(54.0, 100.0, 104.0), &fewer);
     let kept = fewer.iter().zip(&after);
     let moved = kept.filter(|(member, home)| member.home != Some(**home));
     assert!(moved.count() <= 1, "{after:?}");
@@ -887,10 +896,10 @@
 fn idle_engines_load_by_turns() {
     for (count, most) in [(9, 1), (46, 4), (1, 1)] {
         for now in (0..6_000).step_by(75) {
-            let turn = |rank: &usize| may_begin(Millis(now), Place { count, rank: *rank });
+            let turn = |rank: &usize| is_load_turn(Millis(now), Place { count, rank: *rank });
             assert!((0..count).filter(turn).count() <= most, "{count}");
         }
-        let each = |rank| (0..4_000).any(|now| may_begin(Millis(now), Place { count, rank }));
+        let each = |rank| (0..4_000).any(|now| is_load_turn(Millis(now), Place { count, rank }));
         assert!((0..count).all(each), "{count}: someone has no turn");
     }
 }
@@ -1056,7 +1065,7 @@
 #[test]
 fn a_second_server_is_asked_in_time() {
     for (typical, left, wait) in [(25.0, 1_500, 100), (80.0, 2_000, 210), (80.0, 300, 100)] {
-        assert_eq!(hedge_after(typical, Millis(left)), Millis(wait));
+        assert_eq!(hedge_delay(typical, Millis(left)), Millis(wait));
     }
 }
 
@@ -1066,43 +1075,43 @@
     struct Test {
         age: u64,
         over: bool,
-        verdict: Verdict,
+        action: Action,
     }
 
     for test in [
         Test {
             age: 10_000,
             over: false,
-            verdict: Verdict::Keep,
+            action: Action::Keep,
         },
         Test {
             age: 41_000,
             over: false,
-            verdict: Verdict::GiveUp,
+            action: Action::GiveUp,
         },
         Test {
             age: 41_000,
             over: true,
-            verdict: Verdict::Keep,
+            action: Action::Keep,
         },
         Test {
             age: 181_000,
             over: true,
-            verdict: Verdict::Remove,
+            action: Action::Remove,
         },
         Test {
             age: 181_000,
             over: false,
-            verdict: Verdict::GiveUp,
+            action: Action::GiveUp,
         },
     ] {
-        let batch = Age {
+        let batch = BatchAge {
             age: Millis(test.age),
             over: test.over,
             retention: Millis(120_000),
             ttl: Millis(40_000),
         };
-        assert_eq!(judge(batch), test.verdict, "{} {}", test.age, test.over);
+        assert_eq!(decide(batch), test.action, "{} {}", test.age, test.over);
     }
 }
 
@@ -1112,7 +1121,7 @@
 /// the slower one takes the shortest of the rest, a moment later.
 #[test]
 fn long_texts_run_at_the_faster_engines() {
-    let slower = Taker {
+    let slower = Runner {
         slower: true,
         yields: true,
         ..usual_taker(ALONE, 16)
@@ -1125,7 +1134,7 @@
         while let Some(chosen) = choose(&offers, usual_taker(place, room)).copied() {
             assert!(chosen.order < 8, "{}", chosen.order);
             offers.retain(|other| other.bundle != chosen.bundle);
-            room -= chosen.left;
+            room -= chosen.remaining;
         }
     }
     for offer in &mut offers {
@@ -1171,7 +1180,7 @@
             slower: true,
         };
         let offers = [Offer { holder, ..offer(0) }];
-        let taker = Taker {
+        let taker = Runner {
             slower: test.slower,
             yields: test.slower,
             ..usual_taker(ALONE, 16)
@@ -1192,7 +1201,7 @@
     let mut pace = Pace::default();
     let mut play = |from: u64, gap: f64, count: u32| {
         (0..count).for_each(|_| pace.note(gap));
-        pace.settle(Millis(from))
+        pace.update(Millis(from))
     };
     assert!((play(500, 40.0, 50) - 40.0).abs() < 0.1);
     assert!((play(1_000, 40.0, 4) - 40.0).abs() < 0.1, "too few gaps");
@@ -1200,14 +1209,14 @@
     for window in 3..9 {
         known = play(window * 500, 160.0, 50);
     }
-    assert!(is_slow(known, 40.0), "{known}");
+    assert!(is_straggler(known, 40.0), "{known}");
 
     let mut pace = Pace::default();
     (0..50).for_each(|_| pace.note(40.0));
-    pace.settle(Millis(500));
+    pace.update(Millis(500));
     (0..50).for_each(|_| pace.note(40.0));
     (0..3).for_each(|_| pace.note(900.0));
-    let known = pace.settle(Millis(1_000));
+    let known = pace.update(Millis(1_000));
     assert!(
         !is_slower(known, 40.0, false),
         "{known} after a load of weights"
@@ -1228,8 +1237,8 @@
         assert_eq!(is_slower(pace, known, before), slower, "{pace} of {known}");
     }
     let mixed = vec![50.0, 0.0, 40.0, 51.0, 41.0, 52.0, 40.0, 50.0];
-    assert!((usual(mixed) - 40.0).abs() < 1.1);
-    assert!(usual(Vec::new()).abs() < 0.1);
+    assert!((usual_pace(mixed) - 40.0).abs() < 1.1);
+    assert!(usual_pace(Vec::new()).abs() < 0.1);
 }
 
 /// The store loses a third of its answers, then takes sixty times as long, then is
@@ -1237,16 +1246,16 @@
 /// one is waited for after the first that was given up too soon.
 #[test]
 fn lost_answers_are_told_from_slow_ones() {
-    let mut patience = Patience::default();
+    let mut patience = AdaptiveTimeout::default();
     for call in 0..100 {
         patience.note(Millis(call * 20), Millis(9));
     }
     let mut now = Millis(2_000);
     for _ in 0..10 {
-        let wait = patience.wait(now);
+        let wait = patience.timeout(now);
         assert!(wait <= Millis(300), "{wait} for a lost answer");
         now = now + wait;
-        patience.give_up();
+        patience.note_timeout();
         for _ in 0..2 {
             now = now + Millis(100);
             patience.note(now, Millis(9));
@@ -1255,23 +1264,23 @@
 
     let mut given_up = 0;
     for _ in 0..20 {
-        let wait = patience.wait(now);
+        let wait = patience.timeout(now);
         now = now + Millis(wait.0.min(540));
         if wait < Millis(540) {
             given_up += 1;
-            patience.give_up();
+            patience.note_timeout();
         } else {
             patience.note(now, Millis(540));
         }
     }
     assert!(given_up <= 2, "{given_up} of 20 slow answers given up");
-    assert!(patience.wait(now + Millis(20_000)) <= Millis(300));
+    assert!(patience.timeout(now + Millis(20_000)) <= Millis(300));
 }
 
 /// A claim, its holder's last heartbeat, and whether the holder still works.
 struct Holding {
     name: &'static str,
-    beat: Option<Beat>,
+    beat: Option<LastHeartbeat>,
     now: u64,
     works: bool,
 }
@@ -1280,17 +1289,17 @@
 /// others take its bundle over is decided by what the holder wrote last.
 #[test]
 fn a_claims_holder_is_known_to_work() {
-    let sign = Sign {
+    let sign = ClaimWrite {
         at: Millis(1_000),
         revision: 50,
         token: 20,
     };
-    let beat = |at: u64, revision: u64, token: u64, works: bool| {
-        Some(Beat {
+    let beat = |at: u64, revision: u64, token: u64, working: bool| {
+        Some(LastHeartbeat {
             at: Millis(at),
             revision,
             token,
-            works,
+            working,
         })
     };
     let cases = [
@@ -1362,7 +1371,7 @@
         },
     ];
     for case in cases {
-        let found = works(sign, case.beat, Millis(case.now));
+        let found = is_working(sign, case.beat, Millis(case.now));
         assert_eq!(found, case.works, "{}", case.name);
     }
 }
@@ -1373,7 +1382,7 @@
     /// When each step is due and its waiting work, in s of one place.
     steps: Vec<(u64, u64)>,
     places: u32,
-    turns: Vec<Turn>,
+    turns: Vec<StepMode>,
 }
 
 /// It is second 10, and a place takes 1 ms for a token. A step that can be whole in
@@ -1381,7 +1390,7 @@
 /// is late makes way.
 #[test]
 fn a_steps_order_follows_what_can_be_in_time() {
-    use Turn::{ByGroup, Late, Whole};
+    use StepMode::{ByGroup, Late, Whole};
     for test in [
         Order {
             name: "enough engines",
@@ -1412,22 +1421,22 @@
             .steps
             .iter()
             .map(|(due, work)| OpenStep {
-                beyond: 0,
+                surplus: 0,
                 due: Millis(due * 1_000),
                 needed: work * 1_000,
             })
             .collect();
         let supply = Supply {
-            places: test.places,
-            token: 1.0,
+            slots: test.places,
+            token_ms: 1.0,
         };
-        let found = turns(&steps, supply, Millis(10_000));
+        let found = step_modes(&steps, supply, Millis(10_000));
         assert_eq!(found, test.turns, "{}", test.name);
         let unknown = Supply {
-            token: 0.0,
+            token_ms: 0.0,
             ..supply
         };
-        assert!(!turns(&steps, unknown, Millis(10_000)).contains(&ByGroup));
+        assert!(!step_modes(&steps, unknown, Millis(10_000)).contains(&ByGroup));
     }
 }
 
@@ -1437,20 +1446,20 @@
 #[test]
 fn a_late_steps_groups_are_taken_one_after_another() {
     let by_group = |line: u16| Offer {
-        turn: Turn::ByGroup,
+        mode: StepMode::ByGroup,
         // The longest texts stand at the end of the line.
         order: 100 - line,
-        line: usize::from(line),
+        position: usize::from(line),
         ..offer(line)
     };
     let late = Offer {
         due: Millis(3_000),
-        turn: Turn::Late,
-        line: 4,
+        mode: StepMode::Late,
+        position: 4,
         ..offer(4)
     };
     let beyond = Offer {
-        beyond: true,
+        surplus: true,
         due: Millis(3_000),
         ..offer(5)
     };
@@ -1476,15 +1485,19 @@
 #[test]
 fn a_places_rate_is_learned_from_its_runs() {
     let mut rate = Rate::default();
-    assert!(rate.token() <= 0.0, "unknown at first");
+    assert!(rate.token_ms() <= 0.0, "unknown at first");
     for run in 0..200 {
         let expected = if run % 2 == 0 { 300 } else { 900 };
         rate.note(expected, 480.0);
     }
-    assert!((0.75..0.85).contains(&rate.token()), "{}", rate.token());
+    assert!(
+        (0.75..0.85).contains(&rate.token_ms()),
+        "{}",
+        rate.token_ms()
+    );
     let mut unestimated = Rate::default();
     unestimated.note(0, 700.0);
-    assert!((699.0..701.0).contains(&unestimated.token()));
+    assert!((699.0..701.0).contains(&unestimated.token_ms()));
 }
 
 /// The groups beyond what trainers wait for go with the others while there is room for
@@ -1515,13 +1528,13 @@
         },
     ] {
         let step = OpenStep {
-            beyond: test.beyond * 1_000,
+            surplus: test.beyond * 1_000,
             due: Millis(7_500),
             needed: 150_000,
         };
         let supply = Supply {
-            places: test.places,
-            token: 1.0,
+            slots: test.places,
+            token_ms: 1.0,
         };
         let ample = is_ample(&[step], supply, Millis(0));
         assert_eq!(ample, test.ample, "{} {}", test.beyond, test.places);
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -9,9 +9,9 @@
 use redwingpond::{
     base::{Millis, stable_hash},
     policy::{
-        claim_choice::{Holder, Offer, Place, Taker, choose},
-        claim_line::line_up,
-        step_order::{Supply, Turn}, //
+        claim_choice::{Holder, Offer, Place, Runner, choose},
+        claim_line::plan_start_order,
+        step_order::{StepMode, Supply}, //
     },
 };
 use std::collections::{
@@ -266,8 +266,8 @@
     /// Engines with free places take bundles, one each at a time.
     fn begin(&mut self, now: u64, rule: Rule) {
         let supply = Supply {
-            places: self.load.engines as u32 * SLOTS.unsigned_abs(),
-            token: EVENT as f64 / 48.0,
+            slots: self.load.engines as u32 * SLOTS.unsigned_abs(),
+            token_ms: EVENT as f64 / 48.0,
         };
         loop {
             let Some(engine) = (0..self.free.len()).max_by_key(|engine| self.free[*engine]) else {
@@ -275,7 +275,7 @@
             };
             let mut offers = self.offers(now);
             rule(&mut offers, supply, Millis(now));
-            let taker = Taker {
+            let taker = Runner {
                 place: Place {
                     count: self.load.engines,
                     rank: engine,
@@ -323,17 +323,17 @@
                 offers.push(Offer {
                     age: Millis(now - step.asked),
                     batch,
-                    beyond: bundle.group >= self.load.needed(),
+                    surplus: bundle.group >= self.load.needed(),
                     due: Millis(step.asked + DUE),
                     bundle: number as u16,
                     claimed: false,
                     holder: Holder::Nobody,
                     home: true,
-                    left: bundle.items.len() as u32,
-                    line: 0,
+                    remaining: bundle.items.len() as u32,
+                    position: 0,
                     loaded: true,
                     order: bundle.order,
-                    turn: Turn::Whole,
+                    mode: StepMode::Whole,
                     work: bundle.items.iter().map(|item| items[*item].expected).sum(),
                 });
             }
@@ -364,13 +364,13 @@
 
 /// The decision as runners make it.
 fn product(offers: &mut [Offer], supply: Supply, now: Millis) {
-    line_up(offers, supply, now);
+    plan_start_order(offers, supply, now);
 }
 
 /// By due time, the longest texts first, whatever trainers wait for.
 fn longest_first(offers: &mut [Offer], _: Supply, _: Millis) {
     for offer in offers {
-        offer.beyond = false;
+        offer.surplus = false;
     }
 }
 
@@ -387,8 +387,8 @@
     rank_steps(offers, |offers, batch| {
         let of_step = |offer: &&Offer| offer.batch == batch;
         let due = offers.iter().find(of_step).map_or(0, |offer| offer.due.0);
-        let work = work_of(offers, batch) as f64 * supply.token;
-        due.saturating_sub((work / f64::from(supply.places)) as u64)
+        let work = work_of(offers, batch) as f64 * supply.token_ms;
+        due.saturating_sub((work / f64::from(supply.slots)) as u64)
     });
 }
 
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -2,7 +2,7 @@
 
 use redwingpond::{
     base::{Asked, Fingerprint, Millis},
-    policy::quarantine::{Quarantine, RETENTION, Verdict},
+    policy::quarantine::{Quarantine, QuarantineState, RETENTION},
     routing::Life, //
 };
 
@@ -18,7 +18,7 @@
 
 struct Test {
     news: &'static [News],
-    verdict: Verdict,
+    verdict: QuarantineState,
 }
 
 fn request(body: &str) -> Fingerprint {
@@ -43,33 +43,33 @@
     for (number, test) in [
         Test {
             news: &[],
-            verdict: Verdict::Clear,
+            verdict: QuarantineState::Clear,
         },
         Test {
             news: &[Ended(1)],
-            verdict: Verdict::Watched,
+            verdict: QuarantineState::Watched,
         },
         Test {
             news: &[Ended(1), Ended(2)],
-            verdict: Verdict::Suspect,
+            verdict: QuarantineState::Suspect,
         },
         Test {
             news: &[Ended(1), Ended(2), Ended(3)],
-            verdict: Verdict::Barred,
+            verdict: QuarantineState::Barred,
         },
         // Two instances that saw one crash.
         Test {
             news: &[Ended(1), Ended(1), Ended(1)],
-            verdict: Verdict::Watched,
+            verdict: QuarantineState::Watched,
         },
         // Many callers ask the same: an answer to one speaks for all.
         Test {
             news: &[Ended(1), Ended(2), Answered, Ended(3), Ended(4)],
-            verdict: Verdict::Suspect,
+            verdict: QuarantineState::Suspect,
         },
         Test {
             news: &[Ended(1), Ended(2), Ended(3), Forgotten(1)],
-            verdict: Verdict::Suspect,
+            verdict: QuarantineState::Suspect,
         },
     ]
     .into_iter()
@@ -80,17 +80,17 @@
         for news in test.news {
             match news {
                 Answered => {
-                    quarantine.acquit(asked, Millis(0));
+                    quarantine.clear(asked, Millis(0));
                 }
                 Ended(server) => {
-                    quarantine.note(asked, life(*server), Millis(0));
+                    quarantine.note_crash(asked, life(*server), Millis(0));
                 }
                 Forgotten(server) => quarantine.forget(asked, &life(*server)),
             }
         }
         let now = Millis(100);
-        assert_eq!(quarantine.judge(asked, now), test.verdict, "case {number}");
-        assert_eq!(quarantine.judge(request("b"), now), Verdict::Clear);
+        assert_eq!(quarantine.state(asked, now), test.verdict, "case {number}");
+        assert_eq!(quarantine.state(request("b"), now), QuarantineState::Clear);
     }
 }
 
@@ -101,23 +101,23 @@
     let mut quarantine = Quarantine::default();
     let asked = request("a");
     for server in 0..3 {
-        quarantine.note(asked, life(server), Millis(server));
+        quarantine.note_crash(asked, life(server), Millis(server));
     }
     for (now, verdict) in [
-        (Millis(5_001), Verdict::Barred),
-        (Millis(5_002), Verdict::Trial),
+        (Millis(5_001), QuarantineState::Barred),
+        (Millis(5_002), QuarantineState::Trial),
     ] {
-        assert_eq!(quarantine.judge(asked, now), verdict);
+        assert_eq!(quarantine.state(asked, now), verdict);
     }
-    quarantine.note(asked, life(3), Millis(6_000));
+    quarantine.note_crash(asked, life(3), Millis(6_000));
     for (now, verdict) in [
-        (Millis(605_999), Verdict::Barred),
-        (Millis(606_000), Verdict::Trial),
+        (Millis(605_999), QuarantineState::Barred),
+        (Millis(606_000), QuarantineState::Trial),
     ] {
-        assert_eq!(quarantine.judge(asked, now), verdict);
+        assert_eq!(quarantine.state(asked, now), verdict);
     }
-    quarantine.note(asked, life(4), Millis(607_000));
-    assert_eq!(quarantine.judge(asked, RETENTION), Verdict::Barred);
+    quarantine.note_crash(asked, life(4), Millis(607_000));
+    assert_eq!(quarantine.state(asked, RETENTION), QuarantineState::Barred);
 }
 
 /// An answer is remembered for five seconds, and not for more than ten.
@@ -126,14 +126,14 @@
     let mut quarantine = Quarantine::default();
     let (shared, other) = (request("a"), request("b"));
     assert!(!quarantine.is_answered(shared, Millis(0)));
-    quarantine.acquit(shared, Millis(20_000));
+    quarantine.clear(shared, Millis(20_000));
     for later in 1..10 {
-        quarantine.acquit(other, Millis(20_000 + later * 500));
+        quarantine.clear(other, Millis(20_000 + later * 500));
     }
     assert!(quarantine.is_answered(shared, Millis(25_000)));
-    quarantine.acquit(other, Millis(25_100));
+    quarantine.clear(other, Millis(25_100));
     assert!(quarantine.is_answered(shared, Millis(26_000)));
-    quarantine.acquit(other, Millis(30_200));
+    quarantine.clear(other, Millis(30_200));
     assert!(!quarantine.is_answered(shared, Millis(30_200)));
     assert!(!quarantine.is_answered(other, Millis(50_000)));
 }
@@ -143,8 +143,8 @@
 fn crashes_expire() {
     let mut quarantine = Quarantine::default();
     let asked = request("a");
-    quarantine.note(asked, life(1), Millis(0));
-    quarantine.note(asked, life(2), Millis(5));
+    quarantine.note_crash(asked, life(1), Millis(0));
+    quarantine.note_crash(asked, life(2), Millis(5));
     assert!(quarantine.expired(RETENTION, 10).is_empty());
     let old = quarantine.expired(RETENTION + Millis(1), 10);
     assert_eq!(old, [(asked, life(1))]);
--- a/tests/integration/relay_tree.rs
+++ b/tests/integration/relay_tree.rs
@@ -2,7 +2,7 @@
 
 use redwingpond::{
     base::Millis,
-    policy::relay::{CHILDREN_MOST, Children, Feeders, ROOTS, first_place, is_stale}, //
+    policy::relay::{Children, Feeders, MAX_CHILDREN, ROOTS, first_place, is_stale}, //
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -91,10 +91,10 @@
     ) -> Option<SocketAddr> {
         let feeders = self.feeders.get_mut(&address)?;
         let Some(children) = self.children.get_mut(&at) else {
-            feeders.miss(at, now);
+            feeders.note_unreachable(at, now);
             return None;
         };
-        feeders.reach(at);
+        feeders.note_reachable(at);
         if children.admit(&address.to_string(), address, now) {
             return Some(at);
         }
@@ -136,7 +136,7 @@
             *fed.entry(*parent).or_default() += 1;
         }
         let most = fed.values().max().copied().unwrap_or_default();
-        assert!(most <= CHILDREN_MOST, "{name}: one feeds {most}");
+        assert!(most <= MAX_CHILDREN, "{name}: one feeds {most}");
         let depth = self.children.keys().map(|of| self.depth(*of)).max();
         assert!(
             depth.unwrap_or_default() <= 4,
@@ -246,11 +246,11 @@
     assert_eq!(feeders.order("a", &[one, other], Millis(3_900)), [other]);
     assert_eq!(feeders.order("a", &[one, other], Millis(4_000)).len(), 2);
 
-    feeders.miss(one, Millis(1_000));
-    feeders.miss(one, Millis(1_500));
+    feeders.note_unreachable(one, Millis(1_000));
+    feeders.note_unreachable(one, Millis(1_500));
     assert!(!feeders.is_gone(one, Millis(1_599)));
     assert!(feeders.is_gone(one, Millis(1_600)));
-    feeders.reach(one);
+    feeders.note_reachable(one);
     assert!(!feeders.is_gone(one, Millis(9_000)));
 }
 
@@ -258,7 +258,7 @@
 #[test]
 fn room_is_given_to_those_that_ask() {
     let mut children = Children::default();
-    for number in 0..CHILDREN_MOST {
+    for number in 0..MAX_CHILDREN {
         assert!(children.admit(&number.to_string(), address(number), Millis(0)));
     }
     assert!(!children.admit("late", address(99), Millis(3_000)));
--- a/tests/integration/use_counts.rs
+++ b/tests/integration/use_counts.rs
@@ -4,8 +4,8 @@
 use redwingpond::{
     base::{Fence, Incarnation, Millis},
     policy::{
-        lease::{Claimant, Held, Lease, Step, Watch},
-        usage::{Counts, Part, Tally, Windows, may_sum, middle, sum}, //
+        lease::{Claimant, HeldLease, Lease, LeaseAction, LeaseWatch},
+        usage::{Counts, Part, Tally, Windows, may_sum, median, sum}, //
     },
 };
 use std::collections::BTreeMap;
@@ -91,10 +91,10 @@
 /// A third of the clocks is set wrong: true time stays where the others are.
 #[test]
 fn wrong_clocks_move_nothing() {
-    assert_eq!(middle(&mut []), None);
-    assert_eq!(middle(&mut [7]), Some(7));
+    assert_eq!(median(&mut []), None);
+    assert_eq!(median(&mut [7]), Some(7));
     let mut offsets = [1_000, 1_002, 3_000, 1_001, -9_000, 3_001, 1_003];
-    assert_eq!(middle(&mut offsets), Some(1_002));
+    assert_eq!(median(&mut offsets), Some(1_002));
 }
 
 /// How long a lease lasts in the model, and how long a send may take.
@@ -114,10 +114,10 @@
     asks: Option<Ask>,
     /// Until when it stands still.
     frozen: u64,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     me: Claimant,
     next: u64,
-    watch: Watch,
+    watch: LeaseWatch,
 }
 
 /// A call that is under way.
@@ -187,7 +187,7 @@
                 incarnation: Incarnation(1),
             },
             next: number as u64 * 37,
-            watch: Watch::default(),
+            watch: LeaseWatch::default(),
         }
     }
 
@@ -228,11 +228,11 @@
                 ..
             }) if at <= now => match outcome {
                 Some(true) if !lost => {
-                    self.held = Some(Held {
+                    self.held = Some(HeldLease {
                         epoch: lease.epoch,
                         since: Millis(asked),
                     });
-                    self.watch.see(Millis(now), Some(lease));
+                    self.watch.observe(Millis(now), Some(lease));
                 }
                 Some(false) if !lost => self.held = None,
                 _ => {}
@@ -256,11 +256,11 @@
     }
 
     fn read(&mut self, now: u64, (revision, lease): (u64, Option<Lease>), luck: Luck) {
-        self.watch.see(Millis(now), lease.clone());
+        self.watch.observe(Millis(now), lease.clone());
         if !lease.is_some_and(|lease| self.me.holds(&lease)) {
             self.held = None;
         }
-        if let Step::Write(lease) = self.watch.decide(Millis(now), &self.me, LEASE) {
+        if let LeaseAction::Write(lease) = self.watch.decide(Millis(now), &self.me, LEASE) {
             self.asks = Some(Ask::Write {
                 asked: now,
                 at: now + luck.answer,
