--- a/src/policy/fair_line.rs
+++ b/src/policy/fair_line.rs
@@ -31,7 +31,7 @@
 
     /// All items, for a look.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
-        self.teams.iter().flat_map(|(_, line)| line)
+        self.teams.iter().flat_map(|(_, queue)| queue)
     }
 
     /// How many wait.
@@ -41,14 +41,14 @@
 
     /// The longest team's line: its team and its length.
     pub fn longest(&self) -> Option<(u64, usize)> {
-        let lengths = self.teams.iter().map(|(team, line)| (*team, line.len()));
+        let lengths = self.teams.iter().map(|(team, queue)| (*team, queue.len()));
         lengths.max_by_key(|(_, length)| *length)
     }
 
     /// How many of `team` wait.
     pub fn len_of(&self, team: u64) -> usize {
-        let line = self.teams.iter().find(|(one, _)| *one == team);
-        line.map_or(0, |(_, line)| line.len())
+        let queue = self.teams.iter().find(|(one, _)| *one == team);
+        queue.map_or(0, |(_, queue)| queue.len())
     }
 
     /// Takes the oldest item of the team for which `running` is least, or its
@@ -56,13 +56,13 @@
     pub fn pop(&mut self, running: impl Fn(u64) -> u32, newest: impl Fn(&T) -> bool) -> Option<T> {
         let teams = self.teams.iter().enumerate();
         let (at, _) = teams.min_by_key(|(_, (team, _))| running(*team))?;
-        let (team, mut line) = self.teams.remove(at)?;
-        let item = match line.front().is_some_and(newest) {
-            true => line.pop_back(),
-            false => line.pop_front(),
+        let (team, mut queue) = self.teams.remove(at)?;
+        let item = match queue.front().is_some_and(newest) {
+            true => queue.pop_back(),
+            false => queue.pop_front(),
         };
-        if !line.is_empty() {
-            self.teams.push_back((team, line));
+        if !queue.is_empty() {
+            self.teams.push_back((team, queue));
         }
         self.len -= 1;
         item
@@ -82,9 +82,9 @@
     /// Adds an item of `team`.
     pub fn push(&mut self, team: u64, item: T) {
         self.len += 1;
-        let line = self.teams.iter_mut().find(|(one, _)| *one == team);
-        match line {
-            Some((_, line)) => line.push_back(item),
+        let queue = self.teams.iter_mut().find(|(one, _)| *one == team);
+        match queue {
+            Some((_, queue)) => queue.push_back(item),
             None => self.teams.push_back((team, VecDeque::from([item]))),
         }
     }
@@ -92,15 +92,15 @@
     /// Takes out all items for which `out` holds.
     pub fn extract_if(&mut self, mut out: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
-        for (_, line) in &mut self.teams {
-            for item in std::mem::take(line) {
+        for (_, queue) in &mut self.teams {
+            for item in std::mem::take(queue) {
                 match out(&item) {
                     true => taken.push(item),
-                    false => line.push_back(item),
+                    false => queue.push_back(item),
                 }
             }
         }
-        self.teams.retain(|(_, line)| !line.is_empty());
+        self.teams.retain(|(_, queue)| !queue.is_empty());
         self.len -= taken.len();
         taken
     }
@@ -112,37 +112,40 @@
 
     #[test]
     fn teams_take_turns() {
-        let mut line = FairQueue::default();
+        let mut queue = FairQueue::default();
         for item in 0..6 {
-            line.push(1, item);
+            queue.push(1, item);
         }
-        line.push(2, 100);
-        line.push(3, 200);
-        let order: Vec<i32> = std::iter::from_fn(|| line.pop(|_| 0, |_| false)).collect();
+        queue.push(2, 100);
+        queue.push(3, 200);
+        let order: Vec<i32> = std::iter::from_fn(|| queue.pop(|_| 0, |_| false)).collect();
         assert_eq!(order, [0, 100, 200, 1, 2, 3, 4, 5]);
-        assert!(line.is_empty());
+        assert!(queue.is_empty());
     }
 
     #[test]
     fn the_team_with_the_least_goes_first() {
-        let mut line = FairQueue::default();
+        let mut queue = FairQueue::default();
         for team in [1, 2, 3] {
-            line.push(team, team);
+            queue.push(team, team);
         }
         let running = |team| if team == 2 { 0 } else { 5 };
-        assert_eq!(line.pop(running, |_| false), Some(2));
+        assert_eq!(queue.pop(running, |_| false), Some(2));
     }
 
     #[test]
     fn counts_follow_every_change() {
-        let mut line = FairQueue::default();
+        let mut queue = FairQueue::default();
         for item in 0..10 {
-            line.push(item % 3, item);
+            queue.push(item % 3, item);
         }
-        assert_eq!(line.longest().map(|(_, length)| length), Some(4));
-        assert_eq!(line.pop_newest(0), Some(9));
-        assert_eq!(line.extract_if(|item| item % 2 == 0).len(), 5);
-        assert_eq!(line.len(), line.iter().count());
-        assert_eq!(line.len_of(0) + line.len_of(1) + line.len_of(2), line.len());
+        assert_eq!(queue.longest().map(|(_, length)| length), Some(4));
+        assert_eq!(queue.pop_newest(0), Some(9));
+        assert_eq!(queue.extract_if(|item| item % 2 == 0).len(), 5);
+        assert_eq!(queue.len(), queue.iter().count());
+        assert_eq!(
+            queue.len_of(0) + queue.len_of(1) + queue.len_of(2),
+            queue.len()
+        );
     }
 }
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -56,23 +56,23 @@
 }
 
 impl Quarantine {
-    /// The server `life` ended under `request`, `at` by the store's clock; false
+    /// The server `incarnation` ended under `request`, `at` by the store's clock; false
     /// when that was known, or can't be remembered.
-    pub fn note_crash(&mut self, request: Fingerprint, life: Life, at: Millis) -> bool {
+    pub fn note_crash(&mut self, request: Fingerprint, incarnation: Life, at: Millis) -> bool {
         if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&request) {
             return false;
         }
-        let ended = self.requests.entry(request).or_default();
-        ended.insert(life, at).is_none()
+        let crashes = self.requests.entry(request).or_default();
+        crashes.insert(incarnation, at).is_none()
     }
 
     /// The crash counts no more.
-    pub fn forget(&mut self, request: Fingerprint, life: &Life) {
-        let Some(ended) = self.requests.get_mut(&request) else {
+    pub fn forget(&mut self, request: Fingerprint, incarnation: &Life) {
+        let Some(crashes) = self.requests.get_mut(&request) else {
             return;
         };
-        ended.remove(life);
-        if ended.is_empty() {
+        crashes.remove(incarnation);
+        if crashes.is_empty() {
             self.requests.remove(&request);
         }
     }
@@ -81,8 +81,8 @@
     /// another. Returns the lives that counted against it.
     pub fn clear(&mut self, request: Fingerprint, now: Millis) -> Vec<Life> {
         self.answered.note(request, now);
-        let ended = self.requests.remove(&request).unwrap_or_default();
-        ended.into_keys().collect()
+        let crashes = self.requests.remove(&request).unwrap_or_default();
+        crashes.into_keys().collect()
     }
 
     /// Whether `request` was answered a moment before `now`. Callers that share it
@@ -99,19 +99,19 @@
 
     /// What may be done with `request` at `now` by the store's clock.
     pub fn state(&self, request: Fingerprint, now: Millis) -> QuarantineState {
-        let Some(lives) = self.requests.get(&request) else {
+        let Some(crashes) = self.requests.get(&request) else {
             return QuarantineState::Clear;
         };
-        let ended = lives.len();
-        if ended < MAX_CRASHES {
-            return match ended {
+        let count = crashes.len();
+        if count < MAX_CRASHES {
+            return match count {
                 0 => QuarantineState::Clear,
                 1 => QuarantineState::Watched,
                 _ => QuarantineState::Suspect,
             };
         }
-        let last = lives.values().max().copied().unwrap_or_default();
-        let wait = TRIAL_DELAYS.get(ended - MAX_CRASHES);
+        let last = crashes.values().max().copied().unwrap_or_default();
+        let wait = TRIAL_DELAYS.get(count - MAX_CRASHES);
         match wait.is_some_and(|wait| now.since(last) >= *wait) {
             true => QuarantineState::Trial,
             false => QuarantineState::Barred,
@@ -120,13 +120,13 @@
 
     /// Crashes that are older than [`RETENTION`] at `now`, at most `most` of them.
     pub fn expired(&self, now: Millis, most: usize) -> Vec<(Fingerprint, Life)> {
-        let all = self.requests.iter().flat_map(|(request, ended)| {
-            let lives = ended.iter();
-            lives.map(move |(life, at)| (*request, life, *at))
+        let all = self.requests.iter().flat_map(|(request, crashes)| {
+            let crashes = crashes.iter();
+            crashes.map(move |(incarnation, at)| (*request, incarnation, *at))
         });
         let old = all.filter(|(_, _, at)| now.since(*at) > RETENTION);
         old.take(most)
-            .map(|(request, life, _)| (request, life.clone()))
+            .map(|(request, incarnation, _)| (request, incarnation.clone()))
             .collect()
     }
 }
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -84,14 +84,14 @@
 
 /// What one instance found of those that could feed it.
 #[derive(Debug, Default)]
-pub struct Feeders {
+pub struct Parents {
     /// Since when they can't be reached.
     gone: HashMap<SocketAddr, Millis>,
     /// When they were left.
     left: HashMap<SocketAddr, Millis>,
 }
 
-impl Feeders {
+impl Parents {
     /// The feeder told nothing, or what is too old.
     pub fn leave(&mut self, address: SocketAddr, now: Millis) {
         self.left.insert(address, now);
@@ -135,6 +135,6 @@
 }
 
 /// The place among the [`ROOTS`] that `instance` tries to take first.
-pub fn first_place(instance: &str) -> usize {
+pub fn first_slot(instance: &str) -> usize {
     stable_hash(&[instance.as_bytes()]) as usize % ROOTS
 }
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -8,7 +8,7 @@
     base::{Clock, Millis},
     net::Peer,
     platform::Store,
-    policy::relay::{Children, Feeders}, //
+    policy::relay::{Children, Parents}, //
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -43,7 +43,7 @@
 pub struct Relay {
     children: Mutex<Children>,
     pub(super) clock: Clock,
-    feeders: Mutex<Feeders>,
+    feeders: Mutex<Parents>,
     role: watch::Sender<Role>,
     pub(super) seat: Seat,
     /// Whether it keeps what it learns for others.
@@ -259,7 +259,7 @@
         lock(&self.children)
     }
 
-    pub(super) fn feeders(&self) -> MutexGuard<'_, Feeders> {
+    pub(super) fn feeders(&self) -> MutexGuard<'_, Parents> {
         lock(&self.feeders)
     }
 
--- a/src/relay/places.rs
+++ b/src/relay/places.rs
@@ -3,7 +3,7 @@
 use super::handle::Relay;
 use crate::{
     batch::{decode, encode},
-    policy::relay::{ROOTS, first_place},
+    policy::relay::{ROOTS, first_slot},
     store::{Key, Outcome, StoreError, Transaction}, //
 };
 use serde::{
@@ -115,7 +115,7 @@
             None => true,
             Some(holder) => relay.feeders().is_gone(holder.address, now),
         };
-        let (first, count) = (first_place(&relay.seat.instance), self.0.len());
+        let (first, count) = (first_slot(&relay.seat.instance), self.0.len());
         let mut turns = (0..count).map(|turn| (first + turn) % count);
         turns.find(|number| is_free(&self.0[*number]))
     }
--- a/tests/integration/relay_tree.rs
+++ b/tests/integration/relay_tree.rs
@@ -2,7 +2,7 @@
 
 use redwingpond::{
     base::Millis,
-    policy::relay::{Children, Feeders, MAX_CHILDREN, ROOTS, first_place, is_stale}, //
+    policy::relay::{Children, MAX_CHILDREN, Parents, ROOTS, first_slot, is_stale}, //
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,7 +21,7 @@
 struct Group {
     /// What each feeds, by its address.
     children: BTreeMap<SocketAddr, Children>,
-    feeders: BTreeMap<SocketAddr, Feeders>,
+    feeders: BTreeMap<SocketAddr, Parents>,
     parents: BTreeMap<SocketAddr, SocketAddr>,
     places: [Option<SocketAddr>; ROOTS],
 }
@@ -34,7 +34,7 @@
     fn start(&mut self, number: usize) {
         let address = address(number);
         self.children.insert(address, Children::default());
-        self.feeders.insert(address, Feeders::default());
+        self.feeders.insert(address, Parents::default());
     }
 
     fn end(&mut self, address: SocketAddr) {
@@ -106,7 +106,7 @@
     fn take_place(&mut self, address: SocketAddr, now: Millis) {
         let feeders = &self.feeders[&address];
         let is_free = |place: &Option<SocketAddr>| place.is_none_or(|of| feeders.is_gone(of, now));
-        let first = first_place(&address.to_string());
+        let first = first_slot(&address.to_string());
         let free = (0..ROOTS).map(|turn| (first + turn) % ROOTS);
         let free = free.into_iter().find(|place| is_free(&self.places[*place]));
         if let Some(place) = free {
@@ -240,7 +240,7 @@
 /// replaced only when it had the time to start again.
 #[test]
 fn feeders_are_remembered() {
-    let mut feeders = Feeders::default();
+    let mut feeders = Parents::default();
     let (one, other) = (address(1), address(2));
     feeders.leave(one, Millis(1_000));
     assert_eq!(feeders.order("a", &[one, other], Millis(3_900)), [other]);
