--- a/src/policy/access.rs
+++ b/src/policy/access.rs
@@ -1,4 +1,4 @@
-//! Who asks: the workspace of a request, or why it is not let in.
+//! Authentication: finds the workspace that a request's API key belongs to.
 
 use crate::routing::{
     Credential,
@@ -8,7 +8,7 @@
 use snafu::Snafu;
 use std::sync::Arc;
 
-/// Why a request is not let in.
+/// Why [`authenticate`] rejects a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum Denial {
     #[snafu(display("the request has several keys, or an empty one"))]
@@ -19,14 +19,15 @@
     Unknown,
 }
 
-/// The workspace that asks; `None` for a request that needs none.
+/// Returns the workspace that a request belongs to; `None` if it is let in without one.
 ///
-/// `workspaces` is `None` where the configuration knows none: all are let in then.
-/// On an `open` route a key is not needed, and one that nobody holds does no harm.
+/// Every request is let in if `workspaces` is `None`: the configuration lists none. A
+/// route that is `open` needs no key, and ignores one that is unknown or malformed.
 ///
 /// # Errors
 ///
-/// [`Denial`] when the request needs a key and shows none that is held.
+/// [`Denial`] if a key is required and the request has none that belongs to a
+/// workspace.
 pub fn authenticate(
     workspaces: Option<&Workspaces>,
     open: bool,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Whether an entry takes a call: a bound for each class and for each team.
+//! Admission control of an entry: limits the calls in flight of each team and class.
 
 use crate::base::{
     Cause,
@@ -7,29 +7,33 @@
 };
 use std::collections::HashMap;
 
-/// The calls in flight at this entry, by team and class.
+/// The numbers of calls in flight at this entry, by team and class.
 ///
 /// # Invariants
 ///
-/// A counter equals the number of permits taken and not yet given back.
+/// A counter equals the number of calls that were admitted and not yet released.
 #[derive(Debug, Default)]
 pub struct Admission {
+    /// By team and class.
     classes: HashMap<(String, String), u32>,
+    /// By team.
     teams: HashMap<String, u32>,
 }
 
-/// The bounds that apply to one call.
+/// The maximum numbers of calls in flight that apply to one call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// Calls of the same team and class.
     pub class: u32,
+    /// Calls of the same team.
     pub team: u32,
 }
 
-/// When a refused caller is asked to come back.
+/// How long a refused caller is asked to wait before it tries again.
 const RETRY_AFTER: Millis = Millis(250);
 
 impl Admission {
-    /// Gives back what [`Admission::admit`] took.
+    /// Removes a call that [`Admission::admit`] counted.
     pub fn release(&mut self, team: &str, class: &str) {
         if let Some(count) = self.teams.get_mut(team) {
             *count = count.saturating_sub(1);
@@ -39,7 +43,7 @@
         }
     }
 
-    /// Counts a call in, or says why not.
+    /// Counts a call, or returns a failure if its class or its team is at its limit.
     pub fn admit(&mut self, team: &str, class: &str, limits: Limits) -> Result<(), Failure> {
         let in_team = self.teams.entry(team.to_owned()).or_default();
         let in_class = self
@@ -59,6 +63,7 @@
     }
 }
 
+/// The failure of a call whose class or team, named by `scope`, is at its limit.
 fn refusal(scope: &str, limit: u32) -> Failure {
     let detail = format!("{scope} has its {limit} calls in flight at this entry");
     Failure::not_run(Cause::Overloaded, detail).retry_after(RETRY_AFTER)
@@ -96,7 +101,7 @@
     }
 
     #[test]
-    fn teams_are_apart() {
+    fn teams_have_separate_limits() {
         Test {
             calls: &[("a", "x"), ("a", "x"), ("a", "y"), ("b", "x")],
             admitted: &[true, true, true, true],
@@ -105,7 +110,7 @@
     }
 
     #[test]
-    fn what_is_given_back_can_be_taken_again() {
+    fn a_released_call_makes_room_for_another() {
         let mut admission = Admission::default();
         let limits = Limits { class: 1, team: 1 };
         for _ in 0..3 {
--- a/src/policy/agent_queue.rs
+++ b/src/policy/agent_queue.rs
@@ -1,4 +1,4 @@
-//! The queue before one backend server.
+//! The queue of requests in front of one backend server.
 
 use super::{
     fair_line::FairQueue,
@@ -17,11 +17,11 @@
     VecDeque, //
 };
 
-/// A waiting request; `K` names it to the owner of the queue.
+/// A waiting request; `key` identifies it to the owner of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Item<K> {
     pub arrived: Millis,
-    /// Which hand-over of the request this is.
+    /// The number of the attempt: which hand-over of the request this is.
     pub attempt: u8,
     pub deadline: Millis,
     pub key: K,
@@ -32,52 +32,56 @@
 }
 
 impl<K> Item<K> {
-    /// Whether half of its time has gone by in waiting.
+    /// Whether the request has waited for longer than the time left until its deadline.
     fn is_past_half_time(&self, now: Millis) -> bool {
         now.since(self.arrived) > self.deadline.since(now)
     }
 }
 
-/// What becomes of an offered request.
+/// The result of [`AgentQueue::offer`].
 #[derive(Debug)]
 pub enum OfferOutcome<K> {
-    /// It waits; in a full queue it took the place of another team's.
+    /// The request waits. If the queue was full, the contained request was removed for
+    /// it.
     Queued(Option<Item<K>>),
+    /// The request is not accepted.
     Refused(Failure),
+    /// The request runs at once.
     Run,
 }
 
 /// Requests waiting for and running at one backend server.
 ///
-/// Under [`Policy::Baseline`] it is one line, first in first out, of a fixed
-/// length, and what waited too long is run all the same.
+/// Under [`Policy::Baseline`] it is one first-in-first-out queue of limited length that
+/// ignores deadlines: a request that waited too long is run all the same.
 ///
 /// # Invariants
 ///
-/// `running` never exceeds `capacity` by offers or by [`AgentQueue::next`], and
-/// is the sum over `teams`.
-/// A request whose tombstone is kept is never run.
+/// Offers and [`AgentQueue::next`] never raise `running` above `capacity`, and
+/// `running` is the sum over `teams`. A request whose tombstone is kept is never run.
 #[derive(Debug)]
 pub struct AgentQueue<K> {
+    /// Requests that the server runs at once.
     capacity: u32,
+    /// Whether all further offers are refused.
     draining: bool,
     max_waiting: usize,
     policy: Policy,
     running: u32,
-    /// How many of each team run.
+    /// The number of running requests of each team.
     teams: HashMap<u64, u32>,
     tombstones: Tombstones,
-    /// One line for each priority, indexed by it.
+    /// One queue for each priority, indexed by it.
     waiting: [FairQueue<Item<K>>; Priority::ALL.len()],
 }
 
-/// Of this many starts, one goes to the lowest waiting priority, so that
-/// rollouts keep a floor under live load.
+/// One in this many starts goes to the lowest priority that waits, so that rollouts
+/// make progress under constant live load.
 const LOWEST_PRIORITY_INTERVAL: u64 = 8;
 
 impl<K: Copy + PartialEq> AgentQueue<K> {
-    /// A queue for a server that takes `capacity` requests at once, in which
-    /// at most `max_waiting` wait.
+    /// A queue for a server that runs `capacity` requests at once; at most
+    /// `max_waiting` requests wait.
     pub fn new(policy: Policy, capacity: u32, max_waiting: usize) -> Self {
         Self {
             capacity,
@@ -91,12 +95,12 @@
         }
     }
 
-    /// Refuses all offers from now on.
+    /// Refuses all further offers.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Gives back the place of a finished request of `team`.
+    /// Frees the slot of a finished request of `team`.
     pub fn finish(&mut self, team: u64) {
         self.running = self.running.saturating_sub(1);
         if let Some(count) = self.teams.get_mut(&team) {
@@ -107,37 +111,38 @@
         }
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.running == 0 && self.queued() == 0
     }
 
-    /// The next request to run, if the server has room; `turn` counts the calls.
+    /// Returns the next request to run, if the server has a free slot; `turn` is the
+    /// number of earlier starts.
     ///
-    /// When a team's oldest has waited for half of its time, the team's newest
-    /// goes first: in an overload the old ones would all be answered just too
-    /// late, and the new ones after them.
+    /// Once a team's oldest request has spent half of its time waiting, the team's
+    /// newest request goes first. In an overload the old requests would all be answered
+    /// just too late, and the new ones after them as well.
     pub fn next(&mut self, now: Millis, turn: u64) -> Option<Item<K>> {
         if self.running >= self.capacity {
             return None;
         }
 
         let floor = turn % LOWEST_PRIORITY_INTERVAL == LOWEST_PRIORITY_INTERVAL - 1;
-        let mut lines: Vec<&mut FairQueue<Item<K>>> = self.waiting.iter_mut().collect();
+        let mut queues: Vec<&mut FairQueue<Item<K>>> = self.waiting.iter_mut().collect();
         if !floor {
-            lines.reverse();
+            queues.reverse();
         }
         let current = self.policy == Policy::Current;
         let newest = |oldest: &Item<K>| current && oldest.is_past_half_time(now);
         let running = |team| self.teams.get(&team).copied().unwrap_or(0);
-        let item = lines
+        let item = queues
             .into_iter()
-            .find_map(|line| line.pop(running, newest))?;
+            .find_map(|queue| queue.pop(running, newest))?;
         self.start(item.team);
         Some(item)
     }
 
-    /// Takes `item` in, runs it at once, or refuses it.
+    /// Runs `item` at once, queues it or refuses it.
     pub fn offer(&mut self, now: Millis, item: Item<K>) -> OfferOutcome<K> {
         if self.tombstones.holds(item.request, item.attempt) {
             let detail = "the request was revoked before this copy of it arrived";
@@ -169,65 +174,70 @@
         OfferOutcome::Queued(displaced)
     }
 
-    /// The requests that wait.
+    /// The number of waiting requests.
     pub fn queued(&self) -> usize {
         self.waiting.iter().map(FairQueue::len).sum()
     }
 
-    /// Withdraws `request`, and refuses every later copy of this attempt.
+    /// Removes `request` if it waits, and refuses a copy of this attempt that arrives
+    /// later.
     pub fn revoke(&mut self, request: RequestId, attempt: u8) -> Option<Item<K>> {
         self.tombstones.add(request, attempt);
         self.withdraw(request)
     }
 
-    /// The requests that run.
+    /// The number of running requests.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Takes out the waiting requests that are hopeless: their deadline comes
-    /// before they could be answered, `service` after a start at the earliest.
+    /// Removes and returns the waiting requests that can't be answered in time: an
+    /// answer takes at least `service` from the start, which is later than their
+    /// deadline.
     ///
-    /// To run them would use the server's time for answers that nobody waits
-    /// for any more, which is how an overload keeps itself going.
+    /// Running them would spend the server's time on answers that nobody waits for any
+    /// more, which keeps an overload going.
     pub fn shed(&mut self, now: Millis, service: Millis) -> Vec<Item<K>> {
         if self.policy == Policy::Baseline {
             return Vec::new();
         }
-        let lines = self.waiting.iter_mut();
-        lines
-            .flat_map(|line| line.extract_if(|item| item.deadline <= now + service))
+        let queues = self.waiting.iter_mut();
+        queues
+            .flat_map(|queue| queue.extract_if(|item| item.deadline <= now + service))
             .collect()
     }
 
-    /// Removes `request` if it waits.
+    /// Removes and returns `request` if it waits.
     pub fn withdraw(&mut self, request: RequestId) -> Option<Item<K>> {
-        let mut lines = self.waiting.iter_mut();
-        lines.find_map(|line| line.extract_if(|item| item.request == request).pop())
+        let mut queues = self.waiting.iter_mut();
+        queues.find_map(|queue| queue.extract_if(|item| item.request == request).pop())
     }
 
-    /// Makes room for `item` in a full queue: a lower priority's newest goes
-    /// first, else the newest of the team that waits with the most, if that
-    /// team has more than the item's own.
+    /// Makes room for `item` in a full queue. Removes the newest request of the lowest
+    /// priority that waits, if that is below the priority of `item`; otherwise the
+    /// newest request of the team with the most waiting requests of the same priority,
+    /// if that team has at least two more than the team of `item`.
     fn displace(&mut self, item: &Item<K>) -> Option<Item<K>> {
-        for line in &mut self.waiting[..item.priority as usize] {
-            if let Some((team, _)) = line.longest() {
-                return line.pop_newest(team);
+        for queue in &mut self.waiting[..item.priority as usize] {
+            if let Some((team, _)) = queue.longest() {
+                return queue.pop_newest(team);
             }
         }
-        let line = &mut self.waiting[item.priority as usize];
-        let (team, length) = line.longest()?;
-        match length > line.len_of(item.team) + 1 {
-            true => line.pop_newest(team),
+        let queue = &mut self.waiting[item.priority as usize];
+        let (team, length) = queue.longest()?;
+        match length > queue.len_of(item.team) + 1 {
+            true => queue.pop_newest(team),
             false => None,
         }
     }
 
+    /// Counts a request of `team` as running.
     fn start(&mut self, team: u64) {
         self.running += 1;
         *self.teams.entry(team).or_default() += 1;
     }
 
+    /// Queues `item` under [`Policy::Baseline`].
     fn offer_baseline(&mut self, item: Item<K>) -> OfferOutcome<K> {
         if self.queued() >= self.max_waiting {
             return OfferOutcome::Refused(overload_failure(self.max_waiting));
@@ -237,7 +247,7 @@
     }
 }
 
-/// The failure of a request for which the queue has no room.
+/// The failure of a request that finds the queue full.
 pub fn overload_failure(max_waiting: usize) -> Failure {
     let detail = format!("{max_waiting} requests wait for the backend server");
     Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(100))
@@ -249,15 +259,16 @@
     Failure::not_run(Cause::DeadlinePassed, detail)
 }
 
-/// The latest revoked requests.
+/// The most recently revoked attempts, which are refused if they arrive later.
 #[derive(Debug, Default)]
 struct Tombstones {
     known: HashSet<(RequestId, u8)>,
+    /// In the order in which they were revoked.
     order: VecDeque<(RequestId, u8)>,
 }
 
-/// The tombstones kept. Copies of a start come over one link in order or not
-/// at all, so a tombstone is needed for seconds; this holds minutes.
+/// The number of tombstones kept. Copies of a start arrive over one link, in order or
+/// not at all, so a tombstone is needed for seconds; this many last for minutes.
 const MAX_TOMBSTONES: usize = 4_096;
 
 impl Tombstones {
@@ -337,7 +348,7 @@
     }
 
     #[test]
-    fn a_full_queue_is_shared() {
+    fn a_full_queue_is_shared_between_teams() {
         for (offered, displaced, refused) in [
             (item(9, 1, Priority::Background), None, true),
             (item(9, 2, Priority::Background), Some(4), false),
@@ -353,9 +364,9 @@
         }
     }
 
-    /// A revoke races the start of its request: the caller is told that it did
-    /// not run. The revoke comes first, the start late, over another path.
-    /// Without the tombstone the late copy would run after all.
+    /// A revoke may overtake the start of its request, which takes another path, and
+    /// the caller is told that the request did not run. Without the tombstone the late
+    /// copy would run.
     #[test]
     fn a_revoked_request_never_runs() {
         let mut queue = AgentQueue::new(Policy::Current, 4, 4);
@@ -379,7 +390,7 @@
     }
 
     #[test]
-    fn the_hopeless_are_shed() {
+    fn requests_that_cannot_be_answered_in_time_are_shed() {
         let mut queue = full_queue();
         assert!(queue.shed(Millis(900), Millis(50)).is_empty());
         assert_eq!(queue.shed(Millis(900), Millis(100)).len(), 4);
@@ -387,7 +398,7 @@
     }
 
     #[test]
-    fn rollouts_keep_a_floor() {
+    fn rollouts_progress_under_live_load() {
         let mut queue = AgentQueue::new(Policy::Current, 1, 100);
         queue.offer(Millis(0), item(0, 1, Priority::Live));
         for sequence in 1..=40 {
--- a/src/policy/batch_age.rs
+++ b/src/policy/batch_age.rs
@@ -1,36 +1,36 @@
-//! What becomes of a batch as it grows old.
+//! Decides when an old batch is given up and when it is removed.
 
 use crate::base::Millis;
 
-/// A batch's age and bounds.
+/// The age of a batch and the limits that apply to it.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchAge {
-    /// Since its submission, by the store's clock.
+    /// Time since its submission, by the store's clock.
     pub age: Millis,
-    /// Whether nothing more has to be listed.
+    /// Whether no more results have to be listed.
     pub over: bool,
-    /// How long it must stay readable.
+    /// How long the batch must stay readable.
     pub retention: Millis,
-    /// How long an item may take; 0 when the route names no bound.
+    /// How long an item may take; 0 if the route sets no limit.
     pub ttl: Millis,
 }
 
 /// What to do with a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// List the items that are left as given up.
+    /// List the items without a result as given up.
     GiveUp,
     Keep,
     /// Remove it from the store.
     Remove,
 }
 
-/// Batches are kept this much longer than promised, as the clocks of those who
-/// read them differ: half as long again.
+/// The multiple of the promised retention for which a batch is kept, since the clocks
+/// of its readers differ.
 const KEEP_FACTOR: f64 = 1.5;
 
-/// Judges a batch. One that is still open is never removed: its items are given
-/// up first.
+/// Decides what to do with a batch. An unfinished batch is never removed: its items are
+/// given up first.
 pub fn decide(batch: BatchAge) -> Action {
     let given_up = batch.ttl > Millis(0) && batch.age > batch.ttl;
     let kept = Millis((batch.retention.0 as f64 * KEEP_FACTOR) as u64);
--- a/src/policy/bitmap.rs
+++ b/src/policy/bitmap.rs
@@ -1,4 +1,4 @@
-//! The samples of a step that a trainer already has.
+//! The set of samples of a step that a trainer already has.
 
 /// One bit for each sample of a step, by sample number.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -7,7 +7,7 @@
 }
 
 impl Bitmap {
-    /// How many bits are set.
+    /// The number of bits that are set.
     pub fn count(&self) -> u32 {
         self.bytes.iter().map(|byte| byte.count_ones()).sum()
     }
@@ -18,7 +18,8 @@
         byte.is_some_and(|byte| byte & (1 << (number % 8)) != 0)
     }
 
-    /// Reads the hexadecimal form.
+    /// Parses the hexadecimal form that [`Display`](std::fmt::Display) writes; `None`
+    /// if `text` is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
         if !digits.len().is_multiple_of(2) {
@@ -58,7 +59,7 @@
     use super::*;
 
     #[test]
-    fn text_form() {
+    fn text_form_round_trips() {
         let mut bitmap = Bitmap::default();
         for number in [0, 9, 2_047] {
             bitmap.set(number);
--- a/src/policy/claim_batch.rs
+++ b/src/policy/claim_batch.rs
@@ -1,5 +1,6 @@
-//! Which claims of request keys go into the next transaction, and what its
-//! outcome means for each.
+//! Groups claims of request keys into transactions. An entry claims the key of a
+//! non-idempotent call, by writing a row for it, before it hands the call over, so that
+//! a repeated call does not run again.
 
 use crate::base::{
     Millis,
@@ -10,57 +11,63 @@
     VecDeque, //
 };
 
-/// A key that a request wants for itself.
+/// A request key to be claimed for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PendingClaim {
+    /// The path of the key's row in the table.
     pub path: String,
     pub request: RequestId,
 }
 
-/// What is to be written in one transaction.
+/// The writes of one transaction.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Batch {
+    /// Rows to write, which must not exist yet.
     pub claims: Vec<PendingClaim>,
     /// Rows to remove, with the versions they must have.
     pub removals: Vec<(String, u64)>,
 }
 
-/// What became of one claim.
+/// The outcome of one claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
-    /// The key is this request's; nobody else will get it within the window.
+    /// The key belongs to this request; no other request gets it within the window.
     Granted,
-    /// The key belongs to another request, begun here or elsewhere.
+    /// The key belongs to another request, started by this entry or another one; `None`
+    /// if that request is unknown.
     Taken(Option<RequestId>),
-    /// The table gave no answer; the claim may or may not stand.
+    /// The table did not answer, so the claim may or may not have been written.
     Undecided,
 }
 
-/// The claims of one entry, one transaction at a time.
+/// The claims of one entry, written one transaction at a time.
 ///
 /// # Invariants
 ///
-/// A claim is granted only after a transaction that requires its row to be
-/// absent was committed with this request's name in it. So over all entries
-/// and all their lives a key is granted once within the window.
+/// A claim is granted only after a transaction was committed that requires the key's
+/// row to be absent and writes this request's id into it. Over all entries and all
+/// their incarnations, a key is therefore granted at most once within the window.
 #[derive(Debug)]
 pub struct ClaimQueue {
-    /// Keys granted here: row version and when.
+    /// Keys granted by this entry: the version of the row and the time of the grant.
     granted: HashMap<String, (u64, Millis)>,
+    /// Granted keys, oldest first.
     order: VecDeque<(Millis, String)>,
+    /// Rows to remove, with their versions.
     removals: VecDeque<(String, u64)>,
     waiting: VecDeque<PendingClaim>,
+    /// How long a granted key is kept.
     window: Millis,
 }
 
-/// The rows of one transaction; the platform's are small.
+/// The most rows of one transaction: the platform's transactions are small.
 pub const MAX_ROWS: usize = 16;
 
-/// The claims that may wait; further ones are refused.
+/// The most claims that may wait; further claims are refused.
 pub const MAX_WAITING: usize = 512;
 
 impl ClaimQueue {
-    /// Claims that are kept for `window`.
+    /// An empty queue whose granted keys are kept for `window`.
     pub fn new(window: Millis) -> Self {
         Self {
             granted: HashMap::new(),
@@ -71,7 +78,7 @@
         }
     }
 
-    /// Queues a claim; false when too many wait.
+    /// Queues a claim; returns false if too many wait.
     pub fn push(&mut self, wanted: PendingClaim) -> bool {
         if self.waiting.len() >= MAX_WAITING {
             return false;
@@ -80,7 +87,7 @@
         true
     }
 
-    /// The next transaction; `None` when there is nothing to write.
+    /// Returns the writes of the next transaction; `None` if there is nothing to write.
     pub fn next_batch(&mut self, now: Millis) -> Option<Batch> {
         self.expire(now);
         let mut batch = Batch::default();
@@ -88,8 +95,8 @@
             let Some(wanted) = self.waiting.pop_front() else {
                 break;
             };
-            // Two writes of one row don't fit into one transaction: the later
-            // claim waits, and then finds the row.
+            // A transaction can't write a row twice: the later claim waits for the next
+            // transaction, which then finds the row.
             if batch.claims.iter().any(|one| one.path == wanted.path) {
                 self.waiting.push_front(wanted);
                 break;
@@ -110,7 +117,7 @@
         (!empty).then_some(batch)
     }
 
-    /// The batch was committed; `versions` are those of its claims' rows.
+    /// Records that `batch` was committed; `versions` are those of its claims' rows.
     pub fn committed(&mut self, now: Millis, batch: &Batch, versions: &[u64]) {
         for (wanted, version) in batch.claims.iter().zip(versions) {
             // INVARIANT: the transaction required the row to be absent.
@@ -119,8 +126,9 @@
         }
     }
 
-    /// The batch was refused because of the row at `path`; the rest waits for
-    /// another transaction. Returns the claim that lost, if it was one.
+    /// Queues the writes of `batch` again after it was refused because of the row at
+    /// `path`, except the writes to that row. Returns the claim of that row, if it was
+    /// one.
     pub fn conflicted(&mut self, batch: Batch, path: &str) -> Option<PendingClaim> {
         let mut lost = None;
         for wanted in batch.claims.into_iter().rev() {
@@ -135,13 +143,14 @@
         lost
     }
 
-    /// A request that did not run gives its key back.
+    /// Frees the key of a request that did not run: its row will be removed.
     pub fn release(&mut self, path: &str) {
         if let Some((version, _)) = self.granted.remove(path) {
             self.removals.push_back((path.to_owned(), version));
         }
     }
 
+    /// Frees the keys that were granted longer ago than the window.
     fn expire(&mut self, now: Millis) {
         while let Some((at, _)) = self.order.front() {
             if now.since(*at) < self.window {
--- a/src/policy/claims.rs
+++ b/src/policy/claims.rs
@@ -1,4 +1,5 @@
-//! Which request keys an agent has seen, so that a repeat does not run again.
+//! Remembers the request keys that an agent has seen, so that a repeated request does
+//! not run again.
 
 use crate::base::{
     Millis,
@@ -12,24 +13,26 @@
 /// The outcome of claiming a key.
 #[derive(Debug, Eq, PartialEq)]
 pub enum KeyClaim {
-    /// The key is new here, and now taken.
+    /// The key is new to this agent, and is now claimed.
     Fresh,
-    /// The window is full of younger keys; nothing can be said of this one.
+    /// There is no room for another key: all those kept are within the window.
     Full,
-    /// The key belongs to a request that was begun.
+    /// The key was claimed before, by this request.
     Taken(RequestId),
 }
 
-/// Claimed keys, kept for a window.
+/// Claimed keys, each kept for a window of time.
 ///
 /// # Invariants
 ///
-/// A key is forgotten only when it is older than the window, never for want
-/// of room: room that is short refuses new keys instead.
+/// A key is forgotten only when it is released or older than the window, never for lack
+/// of room: new keys are refused instead.
 #[derive(Debug)]
 pub struct SeenKeys {
+    /// By key: the request that claimed it.
     keys: HashMap<String, RequestId>,
     limit: usize,
+    /// Claimed keys, oldest first.
     order: VecDeque<(Millis, String)>,
     window: Millis,
 }
@@ -60,7 +63,7 @@
         KeyClaim::Fresh
     }
 
-    /// Frees `key` again, since `request` was removed before it started.
+    /// Frees `key` again, because `request` was removed before it started.
     pub fn release(&mut self, key: &str, request: RequestId) {
         if self.keys.get(key) == Some(&request) {
             self.keys.remove(key);
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Removes the keys that are older than the window.
     fn forget_old(&mut self, now: Millis) {
         while let Some((at, _)) = self.order.front() {
             if now.since(*at) <= self.window {
--- a/src/policy/engine_life.rs
+++ b/src/policy/engine_life.rs
@@ -1,28 +1,31 @@
-//! Which life of the engine beside a runner gets requests.
+//! Determines which incarnation of a runner's engine gets requests.
 //!
-//! An engine that restarts has a new life, and announces it in the store only
-//! seconds later; the life before stays announced meanwhile. Requests name the
-//! life that they are meant for, so all of them are refused until the runner
-//! knows the new one: after a loss of power on all instances the runs of open
-//! batches began again 1.5 to 3 s late. A refusal names the life that gave it.
+//! A restarted engine is a new incarnation, which it announces in the store only
+//! seconds later; until then the store announces the previous one. Requests name the
+//! incarnation that they are meant for, so all of them are refused until the runner
+//! knows the new one. After a power loss on all instances, this delayed the runs of
+//! open batches by 1.5 to 3 s. A refusal names the incarnation that sent it, from which
+//! the runner learns of it.
 
 use crate::base::Millis;
 
-/// A refusal by another life than the one that the request was meant for.
+/// A refusal by another incarnation than the one that the request named.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Mismatch {
+    /// When the refusal arrived.
     pub at: Millis,
-    /// The life that the request named.
+    /// The incarnation that the request named.
     pub expected: String,
-    /// The life that refused it.
+    /// The incarnation that refused it.
     pub found: String,
 }
 
-/// The life that gets requests: the one that the store announces, or the one
-/// that was met in its place. The address may have been given to a server of
-/// another service meanwhile, so a life that was met counts only once it is
-/// `confirmed`: a report that came later shows the models of this runner's
-/// service, which no other service's servers hold.
+/// Returns the incarnation that gets requests: the announced one, or the one found by a
+/// mismatch.
+///
+/// The address may have been reassigned to a server of another service, so a mismatch
+/// counts only once it is `confirmed`: a later report from there shows models of this
+/// runner's service, which servers of other services don't hold.
 pub fn current<'a>(
     announced: Option<&'a str>,
     mismatch: Option<&'a Mismatch>,
@@ -34,7 +37,8 @@
     }
 }
 
-/// Whether the store's announcements have caught up with what was met.
+/// Whether the store has announced another incarnation than the one of which the
+/// mismatch showed that it is gone.
 pub fn is_caught_up(announced: Option<&str>, mismatch: &Mismatch) -> bool {
     announced.is_some_and(|id| id != mismatch.expected)
 }
--- a/src/policy/explanation.rs
+++ b/src/policy/explanation.rs
@@ -1,4 +1,5 @@
-//! The true account of one request, joined from what several processes know.
+//! Determines what happened to one request from the accounts that several processes
+//! kept of it.
 
 use crate::base::{
     Account,
@@ -10,25 +11,25 @@
     Serialize, //
 };
 
-/// What became of a request.
+/// What happened to a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Explanation {
-    /// What the agents that had the request know of it.
+    /// The accounts of the agents that received the request.
     pub agents: Vec<Account>,
-    /// Whether the whole answer was handed to the caller's connection; absent
-    /// when that can't be known.
+    /// Whether the whole answer was handed to the caller's connection; `None` if that
+    /// can't be known.
     pub delivered: Option<bool>,
-    /// What the entry that issued the request knows of it.
+    /// The account of the entry that issued the request.
     pub entry: Option<Account>,
     pub verdict: Verdict,
-    /// How the verdict is known, or why it can't be.
+    /// How the verdict is known, or why it is uncertain.
     pub why: String,
 }
 
-/// Joins what the issuing entry and the agents know.
+/// Combines the accounts of the issuing entry and the agents.
 ///
-/// Never concludes that a request did not run without proof: either it was
-/// refused before any hand-over, or every agent that had it says so.
+/// It concludes that a request did not run only with proof: the request was refused
+/// before any hand-over, or every agent that received it refused to run it.
 pub fn conclude(entry: Option<Account>, agents: Vec<Account>) -> Explanation {
     let agent_events = || agents.iter().flat_map(|account| &account.events);
     let entry_events = || entry.iter().flat_map(|account| &account.events);
@@ -58,6 +59,8 @@
     }
 }
 
+/// Returns the verdict and the reason for it. `ended` is whether the entry is done with the
+/// request.
 fn verdict(
     entry: Option<&Account>,
     started: bool,
@@ -179,7 +182,7 @@
     }
 
     #[test]
-    fn nobody_knows_it() {
+    fn no_process_has_an_account() {
         Test {
             agents: vec![],
             entry: None,
@@ -189,7 +192,7 @@
     }
 
     #[test]
-    fn still_under_way() {
+    fn still_in_progress() {
         Test {
             agents: vec![],
             entry: Some(vec![Event::Admitted, routed()]),
@@ -199,7 +202,7 @@
     }
 
     #[test]
-    fn silent_first_agent_then_refused_by_the_second() {
+    fn first_agent_silent_and_second_refused() {
         Test {
             agents: vec![],
             entry: Some(vec![
@@ -214,7 +217,7 @@
     }
 
     #[test]
-    fn entry_gone_and_agent_knows() {
+    fn started_by_the_account_of_an_agent_only() {
         Test {
             agents: vec![vec![Event::Queued, started()]],
             entry: None,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! All decisions, pure: each takes the time and its inputs and returns a value.
+//! Decision logic without side effects: the current time and all inputs are passed in
+//! as arguments.
 //!
 //! Nothing here does I/O, takes a lock, starts a thread or reads a clock.
 
