--- a/src/policy/claim_choice.rs
+++ b/src/policy/claim_choice.rs
@@ -1,8 +1,9 @@
-//! Which bundle of which batch a runner takes next.
+//! Chooses the bundle that a runner takes next.
 //!
-//! Load pattern: trainers submit a batch of tens of bundles at once and wait for
-//! the slowest; every runner sees it within a few tens of ms and takes bundles
-//! as its engine has room. Engines crash, slow down or fall silent in between.
+//! Load pattern: trainers submit a batch of tens of bundles at once and wait for the
+//! slowest. Every runner sees the batch within a few tens of ms, and takes bundles
+//! while its engine has free slots. Engines crash, slow down or stop answering in
+//! between.
 
 use super::{
     pace::{STRAGGLER_RATIO, is_straggler},
@@ -13,118 +14,124 @@
 /// A bundle that a runner could take.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    /// How long its batch has been there.
+    /// Time since this runner first saw the batch.
     pub age: Millis,
-    /// The batch, by the runner's own numbering.
+    /// The batch, by its index in the runner's own list.
     pub batch: usize,
-    /// Whether its trainer waits for other groups first.
+    /// Whether its group is beyond those that the trainer waits for.
     pub surplus: bool,
-    /// When its batch's results are due.
+    /// When the results of the batch are due.
     pub due: Millis,
     pub bundle: u16,
-    /// Whether this runner is known to hold its claim.
+    /// Whether the bundle is known to be claimed by this runner.
     pub claimed: bool,
     pub holder: Holder,
-    /// Whether its model is the one that this runner serves first.
+    /// Whether its model is the runner's home model, the one that the runner serves
+    /// first.
     pub home: bool,
-    /// Items that are not listed yet.
+    /// The number of its items that have no result yet.
     pub remaining: u32,
-    /// Its place among the bundles of its model that wait, group by group; of use
-    /// only when its step is worked off so.
+    /// Its position among the waiting bundles of its model, group by group; used unless
+    /// the mode is [`StepMode::Whole`].
     pub position: usize,
     /// Whether the engine's weights are new enough for it.
     pub loaded: bool,
-    /// Its place in the order in which the batch's bundles should begin.
+    /// Its position in the order in which the batch's bundles should start.
     pub order: u16,
-    /// How its step's bundles begin.
+    /// How the waiting bundles of its step are started.
     pub mode: StepMode,
-    /// The expected tokens of what is left of it.
+    /// The expected output tokens of its remaining items.
     pub work: u64,
 }
 
 impl Offer {
-    /// The order of offers of one kind: what its trainer waits for, then what may be
-    /// in time, then what is due first.
+    /// Sort key among offers of equal preference: first what the trainer waits for,
+    /// then what may still be in time, then what is due first.
     pub fn urgency(&self) -> (bool, bool, Millis) {
         (self.surplus, self.mode == StepMode::Late, self.due)
     }
 }
 
-/// Who runs a bundle already.
+/// Who runs a bundle at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Holder {
-    /// Another runner since so long; its engine takes `pace` times as long for
-    /// an event as this runner's, and a second runner may join or not. `slower`
-    /// tells whether its engine counts as slower than usual.
+    /// Another runner.
     Held {
+        /// Whether a second runner may join it.
         joinable: bool,
+        /// The time per event of its engine, as a multiple of that of this runner's engine.
         pace: f64,
+        /// How long it has held the bundle.
         since: Millis,
+        /// Whether its engine counts as slower than usual.
         slower: bool,
     },
-    /// Nobody, or a runner that is gone.
+    /// No runner, or one that no longer works.
     Nobody,
 }
 
-/// The runner that takes bundles.
+/// The runner that chooses a bundle.
 #[derive(Clone, Copy, Debug)]
 pub struct Runner {
-    /// Its place among the runners of its model whose engines are as fast.
+    /// Its place among the runners with the same home model whose engines are as fast.
     pub place: Place,
-    /// How many more items its engine can work on at once.
+    /// The number of further items that its engine can run at once.
     pub room: u32,
     /// Whether its engine counts as slower than usual.
     pub slower: bool,
-    /// Whether runners of its model with faster engines go before it.
+    /// Whether runners with the same home model and faster engines go first.
     pub yields: bool,
 }
 
-/// This runner's place among those that serve the same model first.
+/// A runner's place in a group of runners that divide work among them. All compute the
+/// same assignment, without communicating.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
+    /// The number of runners in the group.
     pub count: usize,
+    /// The runner's index in the group.
     pub rank: usize,
 }
 
 impl Place {
-    /// Whether the bundle at `order` falls to this runner by the common rule:
-    /// each has one runner, worked out alike by all.
+    /// Whether the bundle at position `order` is assigned to this runner. Each bundle
+    /// is assigned to one runner of the group.
     pub fn owns(self, order: impl Into<usize>) -> bool {
         order.into() % self.count.max(1) == self.rank
     }
 }
 
-/// Before this age a batch is left to the runners of its model: they have seen
-/// it by then, and others would keep their own model's work waiting.
+/// The age from which runners of other models take bundles of a batch. The runners of
+/// its model have seen it by then; earlier, the others would keep their own model's
+/// work waiting.
 const OTHER_MODEL_DELAY: Millis = Millis(400);
 
-/// A holder with an engine of the usual pace is joined after this long only. It
-/// brings no text sooner, and is worth nothing while engines do as they say; it is
-/// what runs the bundles of a runner whose engine's address a server of another
-/// service has, which refuses every item.
+/// A holder whose engine has the usual pace is joined after this time. This makes no
+/// text finish sooner as long as engines behave as they report. It recovers the bundles
+/// of a runner whose engine's address now belongs to a server of another service, which
+/// refuses every item.
 const JOIN_DELAY: Millis = Millis(6_000);
 
-/// A holder whose engine is slow against this runner's is joined this soon.
+/// A holder whose engine is a straggler, compared with this runner's, is joined after
+/// this time.
 const JOIN_STRAGGLER_DELAY: Millis = Millis(700);
 
-/// A holder whose engine is of the slower kind is joined by a faster one after
-/// so long: most texts are whole by then, and the long ones are the ones that
-/// their steps wait for. A text of 194 events takes 9.5 s there, and 7.5 s at a
+/// A holder whose engine is of the slower kind is joined by a runner with a faster
+/// engine after this time. Most texts are finished by then, and the long ones are those
+/// that the step waits for: a text of 194 events takes 9.5 s there and 7.5 s at a
 /// faster engine.
 const JOIN_SLOWER_DELAY: Millis = Millis(1_500);
 
-/// An engine of the slower kind leaves new bundles to the faster ones for so
-/// long, and takes the shortest of what they had no room for. With its long texts
-/// joined as well, the share of what callers and trainers ask for that is served, by
-/// its worth, rose from 0.784 to 0.8145 in the mean of 15 plays with trouble.
+/// How long a runner whose engine is of the slower kind leaves new bundles to faster
+/// ones. It then takes the shortest of those for which they had no room.
 const SLOWER_DELAY: Millis = Millis(200);
 
-/// An engine that is slow itself takes no more than this share of its slots,
-/// and only what others have left for a while.
+/// The share of its slots that a straggler uses. Its runner takes only bundles that
+/// others have left for a while.
 const STRAGGLER_SLOT_SHARE: f64 = 0.25;
 
-/// The items that an engine should have at once. One that takes much longer
-/// than `usual` for an event holds up every bundle it takes.
+/// The number of items that an engine should run at once. A straggler delays every
+/// bundle that it takes, so it takes fewer.
 pub fn usable_slots(slots: u32, pace: f64, usual: f64) -> u32 {
     match is_straggler(pace, usual) {
         true => ((f64::from(slots) * STRAGGLER_SLOT_SHARE) as u32).max(1),
@@ -132,17 +139,18 @@
     }
 }
 
-/// Whether a runner runs a bundle that nobody has claimed while no claim can be
-/// written: each bundle has one runner by the order that all work out alike, or the
-/// one that has claimed it. A claim whose answer was lost as the store went away was
-/// taken for not written; all others knew of it, and nobody ran the bundle in 7 s of
-/// outage.
+/// Whether a runner runs an unclaimed bundle while the store accepts no claims: it has
+/// claimed the bundle itself, or the bundle is assigned to it by `place`.
+///
+/// The runner's own claim counts because its answer may be lost as the store becomes
+/// unreachable. A runner took such a claim for not written while all others had seen
+/// it, and nobody ran the bundle in an outage of 7 s.
 pub fn is_assigned(offer: &Offer, place: Place) -> bool {
     let mine = offer.claimed || (place.owns(offer.order) && offer.home);
     mine && offer.loaded && offer.holder == Holder::Nobody
 }
 
-/// The best offer for a runner, if any is worth taking.
+/// Returns the best offer for `runner`, if any is worth taking.
 pub fn choose(offers: &[Offer], runner: Runner) -> Option<&Offer> {
     let fits =
         |offer: &&Offer| offer.loaded && runner.room > 0 && preference(offer, runner).is_some();
@@ -155,11 +163,11 @@
     })
 }
 
-/// The order of a step's offers to a runner.
+/// Sort key of a step's offers to a runner.
 ///
-/// Runners that see a new batch, or a free place, at the same moment begin with
-/// different bundles: without it all would claim the first one, and all but one
-/// would lose a round trip to the store each time.
+/// Runners that see a new batch, or get a free slot, at the same moment start with
+/// different bundles. Otherwise all would claim the first one, and all but one would
+/// lose a round trip to the store each time.
 fn order_in_step(offer: &Offer, runner: Runner) -> (usize, bool, usize) {
     let place = runner.place;
     if offer.mode != StepMode::Whole {
@@ -173,7 +181,8 @@
     (0, !place.owns(offer.order), usize::from(order))
 }
 
-/// The order of kinds of offers; `None` for one that is not worth taking.
+/// Ranks offers by who holds the bundle, the lowest first; `None` for an offer that is
+/// not worth taking.
 fn preference(offer: &Offer, runner: Runner) -> Option<u8> {
     match offer.holder {
         Holder::Nobody if runner.yields && offer.age < SLOWER_DELAY => None,
--- a/src/policy/claim_line.rs
+++ b/src/policy/claim_line.rs
@@ -1,4 +1,5 @@
-//! The line in which a model's waiting bundles begin, by the turns of their steps.
+//! Determines the order in which a model's waiting bundles start, by the modes of their
+//! steps.
 
 use super::{
     claim_choice::{Holder, Offer},
@@ -7,18 +8,19 @@
 use crate::base::Millis;
 use std::collections::BTreeMap;
 
-/// How the bundles of one step begin.
+/// How the waiting bundles of one step are started.
 #[derive(Clone, Copy, Debug)]
 pub struct StepPlan {
-    /// The batch, by the runner's own numbering.
+    /// The batch, by its index in the runner's own list.
     pub batch: usize,
     pub mode: StepMode,
-    /// The expected tokens of its waiting bundles that its trainer waits for.
+    /// The expected output tokens of its waiting bundles that the trainer waits for.
     pub work: u64,
 }
 
-/// Sets the turns of the `offers` that wait for the runner's own model, and their
-/// places in line. Returns what it found for each of their steps.
+/// Sets the modes of the steps with `offers` that wait for the runner's home model, and
+/// the positions of these offers. Clears `surplus` while there are engines enough for
+/// all. Returns the plan of each step.
 pub fn plan_start_order(offers: &mut [Offer], supply: Supply, now: Millis) -> Vec<StepPlan> {
     let waiting_steps = waiting_steps(offers);
     let steps: Vec<OpenStep> = waiting_steps.values().copied().collect();
@@ -53,7 +55,7 @@
     found
 }
 
-/// What waits of each step, by due time and number.
+/// The waiting work of each step, by due time and batch.
 fn waiting_steps(offers: &[Offer]) -> BTreeMap<(Millis, usize), OpenStep> {
     let mut steps = BTreeMap::new();
     for offer in offers.iter().filter(|offer| is_waiting(offer)) {
@@ -71,7 +73,7 @@
     steps
 }
 
-/// Whether nobody runs the bundle and the runner's model is its own.
+/// Whether nobody runs the bundle and its model is the runner's home model.
 fn is_waiting(offer: &Offer) -> bool {
     offer.home && offer.holder == Holder::Nobody
 }
--- a/src/policy/fair_line.rs
+++ b/src/policy/fair_line.rs
@@ -1,16 +1,17 @@
-//! A waiting line that is shared between teams.
+//! A queue that is shared fairly between teams.
 
 use std::collections::VecDeque;
 
-/// Items by team; a pop goes to the team that has the least, and to each in
-/// turn among equals.
+/// Waiting items by team. [`FairQueue::pop`] takes from the team with the fewest
+/// running requests, and from equal teams in turn.
 ///
 /// # Invariants
 ///
-/// `len` is the sum of all teams' items, and no team's line is empty.
+/// `len` is the sum over all teams, and no team has an empty queue.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     len: usize,
+    /// The teams with waiting items; a team moves to the back with each pop.
     teams: VecDeque<(u64, VecDeque<T>)>,
 }
 
@@ -24,35 +25,35 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Whether nothing waits.
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All items, for a look.
+    /// Iterates over all items, team by team.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.teams.iter().flat_map(|(_, queue)| queue)
     }
 
-    /// How many wait.
+    /// The number of waiting items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// The longest team's line: its team and its length.
+    /// Returns the team with the most waiting items, and their number.
     pub fn longest(&self) -> Option<(u64, usize)> {
         let lengths = self.teams.iter().map(|(team, queue)| (*team, queue.len()));
         lengths.max_by_key(|(_, length)| *length)
     }
 
-    /// How many of `team` wait.
+    /// The number of waiting items of `team`.
     pub fn len_of(&self, team: u64) -> usize {
         let queue = self.teams.iter().find(|(one, _)| *one == team);
         queue.map_or(0, |(_, queue)| queue.len())
     }
 
-    /// Takes the oldest item of the team for which `running` is least, or its
-    /// newest if `newest` holds for the oldest.
+    /// Removes the oldest item of the team for which `running` is lowest, or that
+    /// team's newest item if `newest` is true for its oldest.
     pub fn pop(&mut self, running: impl Fn(u64) -> u32, newest: impl Fn(&T) -> bool) -> Option<T> {
         let teams = self.teams.iter().enumerate();
         let (at, _) = teams.min_by_key(|(_, (team, _))| running(*team))?;
@@ -68,7 +69,7 @@
         item
     }
 
-    /// Takes the newest item of `team` back out.
+    /// Removes the newest item of `team`.
     pub fn pop_newest(&mut self, team: u64) -> Option<T> {
         let at = self.teams.iter().position(|(one, _)| *one == team)?;
         let item = self.teams[at].1.pop_back();
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes out all items for which `out` holds.
+    /// Removes and returns all items for which `out` is true.
     pub fn extract_if(&mut self, mut out: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for (_, queue) in &mut self.teams {
@@ -124,7 +125,7 @@
     }
 
     #[test]
-    fn the_team_with_the_least_goes_first() {
+    fn the_team_with_the_fewest_running_goes_first() {
         let mut queue = FairQueue::default();
         for team in [1, 2, 3] {
             queue.push(team, team);
@@ -134,7 +135,7 @@
     }
 
     #[test]
-    fn counts_follow_every_change() {
+    fn counts_are_right_after_every_change() {
         let mut queue = FairQueue::default();
         for item in 0..10 {
             queue.push(item % 3, item);
--- a/src/policy/fences.rs
+++ b/src/policy/fences.rs
@@ -1,4 +1,4 @@
-//! Which orders are overtaken by newer ones.
+//! Detects orders that newer ones have superseded, by their fencing numbers.
 
 use crate::base::{
     Fence,
@@ -6,13 +6,15 @@
 };
 use std::collections::HashMap;
 
-/// The decision on an order.
+/// The result of checking an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceCheck {
-    /// The lease's row must be read first: this process has just started.
+    /// No fencing number of the lease is known, because this process has just started:
+    /// the lease's row must be read first.
     Unknown,
+    /// No newer order is known.
     Pass,
-    /// A newer order has been seen.
+    /// A newer order is known, under this fencing number.
     Stale(Fence),
 }
 
@@ -20,15 +22,16 @@
 ///
 /// # Invariants
 ///
-/// A number only grows. An order below it never passes, whether or not the
-/// backend server checks fencing numbers itself.
+/// A number never decreases. An order with a lower number never passes, whether or not
+/// the backend server checks fencing numbers itself.
 #[derive(Debug, Default)]
 pub struct Fences {
+    /// By lease: the fencing number, and the newest version ordered under it.
     highest: HashMap<String, (Fence, WeightVersion)>,
 }
 
 impl Fences {
-    /// The table shows that the lease has reached `fence`.
+    /// Records that the lease has reached `fence`, as the table shows.
     pub fn learn(&mut self, lease: &str, fence: Fence) {
         let known = self.highest.entry(lease.to_owned()).or_default();
         if fence > known.0 {
@@ -36,18 +39,19 @@
         }
     }
 
-    /// The number under which orders go to the engine: the highest of all leases.
+    /// The fencing number that orders to the engine carry: the highest of all leases.
     ///
-    /// Each trainer's lease counts its own epochs, but an engine keeps one highest
-    /// number for all of them. Under its own lease's number an order of a trainer
-    /// that was never taken over was refused for good once another trainer had been:
-    /// the step stood still, while the lease's own number is checked here anyway.
+    /// Each trainer's lease counts its own epochs, but an engine keeps a single highest
+    /// number for all of them. When orders carried the number of their own lease, the
+    /// engine refused every order of a trainer that was never taken over once another
+    /// trainer had been, and the step stood still. The number of the order's own lease
+    /// is checked here anyway.
     pub fn highest(&self) -> Fence {
         let all = self.highest.values().map(|(fence, _)| *fence);
         all.max().unwrap_or_default()
     }
 
-    /// Rules on an order for `version` under `fence`, and notes it if it passes.
+    /// Checks an order for `version` under `fence`, and records it if it passes.
     pub fn check(&mut self, lease: &str, fence: Fence, version: WeightVersion) -> FenceCheck {
         let Some(highest) = self.highest.get_mut(lease) else {
             return FenceCheck::Unknown;
@@ -79,10 +83,10 @@
         assert_eq!(check(3, 9), FenceCheck::Stale(4));
     }
 
-    /// An engine knows one number for all leases. Orders for a lease at epoch 1
-    /// follow those for a lease at epoch 4, and must not go to it under a lower one.
+    /// An engine keeps one number for all leases: an order for a lease at epoch 1 that
+    /// follows one for a lease at epoch 4 must not carry a lower number.
     #[test]
-    fn the_engines_number_never_falls() {
+    fn the_number_sent_to_the_engine_never_decreases() {
         let mut fences = Fences::default();
         assert_eq!(fences.highest(), 0);
         fences.learn("taken-over", 4);
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,31 +1,32 @@
-//! How old the configuration in force may be.
+//! Limits the age of the configuration in force.
 //!
-//! Load pattern: a gateway is cut off from the store, or the store is away, while the
-//! operators take keys away. What it knows then is good for a bounded time only.
+//! Load pattern: a gateway is partitioned from the store, or the store is unreachable,
+//! while operators revoke keys. What the gateway read last may be used for a limited
+//! time only.
 
 use crate::base::Millis;
 
-/// When the store last confirmed that the configuration in force is the newest.
-/// All points in time are by a clock that runs on while the process is suspended.
+/// When the store last confirmed that the configuration in force is the newest. All
+/// times are read from a clock that also runs while the process is suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
-    /// How old a confirmation may be; `None` where the operators set no bound.
+    /// The maximum age of a confirmation; `None` if the operators set no limit.
     max_age: Option<Millis>,
-    /// When the last confirmed question was asked.
+    /// When the last request was sent whose answer confirmed the configuration.
     confirmed: Option<Millis>,
 }
 
-/// What a confirmation's age leaves of the operators' bound: clocks are read in
-/// whole milliseconds, at two moments, on a machine that may be slow.
+/// Subtracted from the operators' limit: clocks are read in whole milliseconds, at two
+/// moments, on an instance that may be slow.
 const CLOCK_SLACK: Millis = Millis(500);
 
-/// When a caller with a key is worth asking again while the configuration is too old to
-/// judge it by: another gateway may reach the store.
+/// How long a caller with a key is asked to wait while the configuration is too old to
+/// check the key: another gateway may reach the store.
 pub const STALE_RETRY_AFTER: Millis = Millis(200);
 
 impl Freshness {
-    /// Nothing is confirmed yet; a key must stop working within `revocation` of its
-    /// removal.
+    /// No configuration is confirmed yet. A key must stop working within `revocation`
+    /// of its removal.
     pub fn new(revocation: Option<Millis>) -> Self {
         Self {
             max_age: revocation.map(|within| within.since(CLOCK_SLACK)),
@@ -33,20 +34,20 @@
         }
     }
 
-    /// Whether the age of the configuration matters at all.
+    /// Whether the age of the configuration is limited.
     pub fn is_bounded(&self) -> bool {
         self.max_age.is_some()
     }
 
-    /// The store's answer to a question of `asked` named the configuration in force.
-    /// What counts is when it was asked: the answer may have been on its way while
-    /// this process was frozen or cut off.
+    /// Records that the store's answer to a request sent at `asked` confirmed the
+    /// configuration. The time of sending counts, because the answer may have been in
+    /// transit while this process was suspended or partitioned.
     pub fn confirm(&mut self, asked: Millis) {
         self.confirmed = self.confirmed.max(Some(asked));
     }
 
-    /// Whether requests that arrived by `now` may be judged by it: a key that was
-    /// taken away longer ago than the bound is known to be gone.
+    /// Whether requests that arrived by `now` may be checked with the configuration: a
+    /// key that was removed longer ago than the limit is not in it.
     pub fn is_fresh(&self, now: Millis) -> bool {
         let Some(max_age) = self.max_age else {
             return true;
@@ -55,7 +56,7 @@
             .is_some_and(|confirmed| now.since(confirmed) < max_age)
     }
 
-    /// Whether the store was asked after `at`.
+    /// Whether a request that was sent at `at` or later confirmed the configuration.
     pub fn is_confirmed_since(&self, at: Millis) -> bool {
         self.confirmed.is_some_and(|confirmed| confirmed >= at)
     }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,27 +1,29 @@
-//! Whether a server gets its share, by what its callers saw.
+//! A circuit breaker for each server, driven by the outcomes of attempts at it.
 
 use crate::base::Millis;
 
-/// A server's record of late: failures take its share away, trials win it back.
+/// Takes a server out of service after consecutive failures, until a trial call
+/// succeeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// When the next trial call may go to it, while it is out.
+    /// When the next trial call may be sent, while the breaker is open.
     trial_at: Millis,
 }
 
-/// Failures in a row that take a server out.
+/// The number of consecutive failures that opens the breaker.
 const FAILURE_THRESHOLD: u32 = 3;
 
-/// The wait before the first trial; it doubles with each failed one.
+/// The wait before the first trial call; it doubles with each failed one.
 const MIN_TRIAL_DELAY: Millis = Millis(500);
 
-/// The longest wait before a trial.
+/// The longest wait before a trial call.
 const MAX_TRIAL_DELAY: Millis = Millis(8_000);
 
 impl CircuitBreaker {
-    /// An attempt at the server failed through the server's or the link's fault.
+    /// Records an attempt that failed through the fault of the server or of the link to
+    /// it.
     pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures < FAILURE_THRESHOLD {
@@ -32,23 +34,23 @@
         self.trial_at = now + Millis(wait);
     }
 
-    /// Whether the server is taken out.
+    /// Whether the breaker is open: the server gets only trial calls.
     pub fn is_open(&self) -> bool {
         self.failures >= FAILURE_THRESHOLD
     }
 
-    /// Whether the server may get this call: it is in, or a trial is due.
+    /// Whether the server may get a call now: the breaker is closed, or a trial is due.
     pub fn allows(&self, now: Millis) -> bool {
         !self.is_open() || now >= self.trial_at
     }
 
-    /// An attempt at the server succeeded.
+    /// Records a successful attempt, which closes the breaker.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// A call was sent to a server that is out: no other until it has an outcome
-    /// or the wait has passed again.
+    /// Records that a call is sent to the server. If the breaker is open, it allows no
+    /// other call until this one has an outcome or the shortest trial delay has passed.
     pub fn begin_trial(&mut self, now: Millis) {
         if self.is_open() {
             self.trial_at = now + MIN_TRIAL_DELAY;
@@ -61,7 +63,7 @@
     use super::*;
 
     #[test]
-    fn out_after_failures_and_back_by_trial() {
+    fn opens_after_failures_and_closes_after_a_successful_trial() {
         let mut breaker = CircuitBreaker::default();
         for _ in 0..FAILURE_THRESHOLD {
             assert!(breaker.allows(Millis(0)));
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,36 +1,39 @@
-//! How long a server takes, by what its callers see.
+//! Estimates how long a server takes to answer, as its callers measure it.
 
 use crate::base::Millis;
 
-/// A moving average that rises fast, falls slowly, and fades towards what is usual when
-/// it has not been fed: a server that was slow gets a request again after a while, and
-/// the answer tells whether it still is.
+/// A moving average that rises fast, falls slowly, and decays towards the usual latency
+/// while there are no samples. A server that was slow therefore gets a request again
+/// after a while, and the answer shows whether it still is slow.
 ///
-/// A server of which nothing is known counts as usual. Taken for faster, each caller
-/// would try every server of its service, over a new connection each time.
+/// A server without samples counts as usual. If it counted as faster, each caller would
+/// try every server of its service, over a new connection each time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Latency {
+    /// When the last sample was added.
     at: Millis,
-    /// `None` before the first sample.
+    /// The average at that time, in ms; `None` before the first sample.
     value: Option<f64>,
 }
 
-/// The weight of a sample above the average, and of one below.
+/// The weight of a sample above the average.
 const RISE_WEIGHT: f64 = 0.5;
+/// The weight of a sample below the average.
 const FALL_WEIGHT: f64 = 0.1;
 
-/// In this time without samples the average comes half the way to what is usual.
+/// The time without samples in which the average moves half the way to the usual
+/// latency.
 const HALF_LIFE: Millis = Millis(2_000);
 
 impl Latency {
-    /// The average in milliseconds, where `usual` is usual; at least one.
+    /// The average in ms, at least 1; `usual` is the usual latency.
     pub fn estimate(&self, now: Millis, usual: f64) -> f64 {
         let beyond = self.value.map_or(0.0, |value| value - usual);
         let halvings = now.since(self.at).0 as f64 / HALF_LIFE.0 as f64;
         (usual + beyond * 0.5_f64.powf(halvings)).max(1.0)
     }
 
-    /// Notes that a request took `taken` milliseconds.
+    /// Adds a sample: a request took `taken` ms.
     pub fn note(&mut self, now: Millis, usual: f64, taken: f64) {
         let before = self.estimate(now, usual);
         let weight = if taken > before {
@@ -48,7 +51,7 @@
     use super::*;
 
     #[test]
-    fn rises_fast_and_fades() {
+    fn rises_fast_and_decays_to_the_usual() {
         let usual = 20.0;
         let mut latency = Latency::default();
         assert!((latency.estimate(Millis(5_000), usual) - usual).abs() < 0.1);
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -1,4 +1,5 @@
-//! Who owns a trainer's steps, and since which epoch.
+//! Leases in the table: which process holds one, and under which epoch. The holder of a
+//! trainer's lease owns that trainer's steps.
 
 use crate::base::{
     Fence,
@@ -10,34 +11,36 @@
     Serialize, //
 };
 
-/// The lease as the table holds it.
+/// A lease as stored in the table.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Lease {
     /// The address of the holder's link port.
     pub address: String,
-    /// Grows with each change of holder; the fencing number of its orders.
+    /// Increases with each change of holder; the fencing number of the holder's orders.
     pub epoch: Fence,
+    /// The instance that holds the lease; empty if none does.
     pub holder: String,
-    /// Which life of the holder this is.
+    /// The incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Grows with each renewal, so that a watcher sees a live holder without
-    /// comparing two instances' clocks.
+    /// Increases with each renewal, so that a watcher sees that the holder is alive
+    /// without comparing the clocks of two instances.
     pub renewals: u64,
 }
 
-/// The prefix of the rows that hold trainers' leases.
+/// The prefix of the paths of trainers' lease rows.
 pub const LEASE_PREFIX: &str = "leases/";
 
-/// A lease that was not renewed for this long, by the watcher's own clock,
-/// may be taken over.
+/// A lease that was not renewed for this long, by the watcher's own clock, may be taken
+/// over.
 pub const LEASE_DURATION: Millis = Millis(4_000);
 
-/// How often a holder renews.
+/// How often a holder renews its lease.
 pub const RENEW_INTERVAL: Millis = Millis(1_000);
 
-/// One process's view of one lease row.
+/// What one process has observed of a lease's row.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseWatch {
+    /// When the row was last seen to change.
     changed: Millis,
     row: Option<Lease>,
 }
@@ -46,20 +49,20 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
     pub epoch: Fence,
-    /// When the write was begun that took or renewed it last.
+    /// When the holder began the write that last took or renewed the lease.
     pub since: Millis,
 }
 
 impl HeldLease {
-    /// Whether something that takes up to `most` may begin at `now`, under a lease of
-    /// `length`. Others count from when they see the write, which is later: what
-    /// begins here is over before any of them acts.
+    /// Whether an operation that takes up to `most` may begin at `now`, under a lease
+    /// of `length`. Watchers count from when they see the write, which is later, so the
+    /// operation is over before any of them takes the lease.
     pub fn allows(&self, now: Millis, most: Millis, length: Millis) -> bool {
         now.since(self.since) + most < length
     }
 }
 
-/// A process that wants a lease.
+/// A process that wants to hold a lease.
 #[derive(Clone, Debug)]
 pub struct Claimant {
     pub address: String,
@@ -68,11 +71,12 @@
 }
 
 impl Claimant {
-    /// Whether `row` is this very process's.
+    /// Whether this process holds the lease: the same incarnation of the same instance.
     pub fn holds(&self, row: &Lease) -> bool {
         row.holder == self.holder && row.incarnation == self.incarnation
     }
 
+    /// The row with which this process takes the lease under `epoch`.
     fn lease(&self, epoch: Fence) -> Lease {
         Lease {
             address: self.address.clone(),
@@ -84,20 +88,20 @@
     }
 }
 
-/// What to do about a lease.
+/// What a process does about a lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseAction {
-    /// Somebody else holds it: pass requests on.
+    /// Another process holds the lease: forward requests to it.
     Defer(Lease),
-    /// Held here, nothing to do.
+    /// This process holds the lease, and has nothing to write.
     Hold(Lease),
-    /// Write this row if the table still has the one that was read.
+    /// Write this row, if the table still has the one that was read.
     Write(Lease),
 }
 
 impl LeaseWatch {
-    /// Decides for the process `me`, which wants the lease; others keep it for
-    /// `length` after the last sign of theirs.
+    /// Decides what the process `me`, which wants the lease, does. The lease of another
+    /// process stays valid for `length` after its row was last seen to change.
     pub fn decide(&self, now: Millis, me: &Claimant, length: Millis) -> LeaseAction {
         let Some(row) = &self.row else {
             return LeaseAction::Write(me.lease(1));
@@ -113,8 +117,8 @@
                 ..row.clone()
             });
         }
-        // An earlier life of this very instance is gone for certain, and its
-        // steps with it; the new epoch fences off what it may have left.
+        // An earlier incarnation of this instance is gone for certain, together with
+        // its steps; the new epoch fences off orders that it may have left behind.
         let gone = row.holder.is_empty() || row.holder == me.holder;
         if idle < length && !gone {
             return LeaseAction::Defer(row.clone());
@@ -122,7 +126,7 @@
         LeaseAction::Write(me.lease(row.epoch + 1))
     }
 
-    /// Notes what the table holds at `now`.
+    /// Records the row that the table holds at `now`.
     pub fn observe(&mut self, now: Millis, row: Option<Lease>) {
         if self.row != row {
             self.changed = now;
@@ -168,7 +172,7 @@
     }
 
     #[test]
-    fn decisions() {
+    fn actions_by_holder_and_idle_time() {
         for (holder, incarnation, idle, writes_epoch) in [
             ("me", 5, 0, None),
             ("me", 5, RENEW_INTERVAL.0, Some(7)),
--- a/src/policy/ledger.rs
+++ b/src/policy/ledger.rs
@@ -1,4 +1,4 @@
-//! The latest requests' accounts, in bounded memory.
+//! Keeps the accounts of the latest requests in bounded memory.
 
 use crate::base::{
     Account,
@@ -11,11 +11,12 @@
     VecDeque, //
 };
 
-/// Accounts of the latest requests; the oldest gives way.
+/// The accounts of the latest requests; a new one replaces the oldest.
 #[derive(Debug)]
 pub struct Ledger {
     accounts: HashMap<RequestId, Account>,
     limit: usize,
+    /// In the order in which the accounts were opened.
     order: VecDeque<RequestId>,
 }
 
@@ -34,14 +35,14 @@
         self.accounts.get(&request)
     }
 
-    /// Notes `event`; a request that is not kept is left alone.
+    /// Adds `event` to the account of `request`, if it is still kept.
     pub fn note(&mut self, now: Millis, request: RequestId, event: Event) {
         if let Some(account) = self.accounts.get_mut(&request) {
             account.note(now, event);
         }
     }
 
-    /// Begins an account; one that is kept already goes on.
+    /// Opens an account for `request`, unless it has one.
     pub fn open(&mut self, request: RequestId, team: &str, class: &str) {
         if self.accounts.contains_key(&request) {
             return;
--- a/src/policy/model_share.rs
+++ b/src/policy/model_share.rs
@@ -1,43 +1,47 @@
-//! Which model a runner serves first.
+//! Assigns each runner its home model: the one that it serves first.
 //!
-//! Load pattern: several trainers share the engines, each with a model of its
-//! own, and name a new weight version every few seconds. An engine that serves
-//! one model loads each version once; one that serves all loads them all, and
-//! is away for a second each time.
+//! Load pattern: several trainers share the engines, each with a model of its own, and
+//! name a new weight version every few seconds. An engine that serves one model loads
+//! each version once. One that serves all models loads the versions of all, and is
+//! unavailable for a second each time.
 
-/// One model's demand.
+/// The demand for one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     pub model: String,
-    /// The kind of its texts by their mean length; a kind is half as long again
-    /// as the one below, so that estimates of single steps don't change it.
+    /// The class of its texts by their mean length. Texts of one class are half as long
+    /// again as those of the class below, so that estimates of single steps don't
+    /// change the class.
     pub length_class: i32,
-    /// Tokens, or any other measure that is the same for all models.
+    /// The amount of work, in tokens or in another unit that is the same for all
+    /// models.
     pub work: f64,
 }
 
-/// What one batch asked for.
+/// The demand of one batch.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchDemand {
+    /// The number of its items.
     pub items: usize,
+    /// The number of its step; the newest steps count.
     pub step: u64,
-    /// The sum of its items' expected output tokens; 0 when its trainer gave no
+    /// The sum of its items' expected output tokens; 0 if its trainer gave no
     /// estimates.
     pub tokens: u64,
 }
 
-/// The newest steps whose demand is averaged: one step's estimates are off by a
-/// tenth, and each runner that changes its model has to load weights.
+/// The number of newest steps over which demand is averaged. The estimates of one step
+/// are off by a tenth, and each runner that changes its model has to load weights.
 const AVERAGED_STEPS: usize = 4;
 
-/// What an engine of the slower kind can do, against a usual one; it takes some
-/// 1.3 times as long for an event.
+/// The capacity of an engine of the slower kind, relative to a usual one: it takes
+/// about 1.3 times as long for an event.
 const SLOWER_WEIGHT: f64 = 0.75;
 
-/// How much longer the texts of one kind are than those of the kind below.
+/// The ratio of the text lengths of adjacent length classes.
 const LENGTH_CLASS_RATIO: f64 = 1.5;
 
-/// The kind of a model's texts by their mean length; 0 without estimates.
+/// The length class of a model's texts; 0 without estimates.
 fn length_class(batches: &[BatchDemand]) -> i32 {
     let tokens: u64 = batches.iter().map(|batch| batch.tokens).sum();
     let items: usize = batches.iter().map(|batch| batch.items).sum();
@@ -45,9 +49,10 @@
     mean.max(1.0).log(LENGTH_CLASS_RATIO).round() as i32
 }
 
-/// Each model's demand by its newest batches, the longest texts first: tokens, or
-/// items while a trainer gives no estimates. Dealt by items, a model with texts of 6 events kept as
-/// many engines as one with texts of 17, whose steps took twice as long.
+/// The demand for each model by its newest batches, longest texts first. It is counted
+/// in tokens, or in items if a trainer gives no estimates. Counted in items throughout,
+/// a model with texts of 6 events kept as many engines as one with texts of 17, whose
+/// steps took twice as long.
 pub fn demands(models: Vec<(String, Vec<BatchDemand>)>) -> Vec<Demand> {
     let newest: Vec<(String, Vec<BatchDemand>)> = models
         .into_iter()
@@ -79,17 +84,17 @@
     demands
 }
 
-/// A runner and the model that it serves first.
+/// A runner and its home model so far.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// The model's place among the demands; `None` before it has one.
+    /// The index of its home model among the demands; `None` before it has one.
     pub home: Option<usize>,
     /// Whether its engine has counted as slower for a while.
     pub slower: bool,
 }
 
 impl Member {
-    /// What its engine can do, against a usual one.
+    /// The capacity of its engine, relative to a usual one.
     fn weight(self) -> f64 {
         match self.slower {
             true => SLOWER_WEIGHT,
@@ -98,19 +103,20 @@
     }
 }
 
-/// How much more than its own weight a runner's move must bring. A runner that
-/// moves has to load weights, for a second or more; dealt out anew at every step,
-/// an engine loaded three models' weights in fifteen seconds, and 40 to 70 items of a
-/// step waited for engines that held theirs while half of the places were free.
+/// How much the gain of moving a runner must exceed the runner's own weight. A runner
+/// that moves has to load weights, for a second or more. When runners were reassigned
+/// at every step, an engine loaded three models' weights within 15 s, and 40 to 70
+/// items of a step waited for engines that held their weights while half of the slots
+/// were free.
 const MOVE_MARGIN: f64 = 0.6;
 
-/// The model of each of `members`, which keep the ones they have while every model
-/// has its share by the demands, but for less than a runner. All runners work it
-/// out alike from what they say of themselves.
+/// Returns the home model of each of `members`, as an index into `demands`. Members
+/// keep their home models while every model has its share by demand, to within about
+/// one runner. All runners compute the same result from each other's heartbeats.
 ///
-/// `demands` has the longest texts first: their models get usual engines for the
-/// slower ones that they have. Each model gets at least one runner while there are
-/// enough: without it a small model's batches would wait for other models' runners.
+/// `demands` has the longest texts first: their models exchange slower engines for
+/// usual ones. Each model gets at least one runner while there are enough. Without one,
+/// a small model's batches would wait for the runners of other models.
 pub fn assign_models(demands: &[Demand], members: &[Member]) -> Vec<usize> {
     if demands.is_empty() {
         return Vec::new();
@@ -122,7 +128,7 @@
             shares.add(home, member.weight());
         }
     }
-    // Those without a model follow once all others are counted.
+    // Members without a home model are assigned once all others are counted.
     let take = |member: &Member| {
         kept(member).unwrap_or_else(|| {
             let most_lacking = shares.most_lacking();
@@ -140,11 +146,13 @@
     homes
 }
 
-/// How many runners each model has, and should have.
+/// The capacity that each model has, and its share.
 struct Shares {
+    /// The number of runners of each model.
     counts: Vec<usize>,
-    /// By the runners' weights.
+    /// The sum of the weights of each model's runners.
     have: Vec<f64>,
+    /// The sum of weights that each model should have by demand.
     share: Vec<f64>,
 }
 
@@ -161,17 +169,18 @@
         }
     }
 
+    /// Adds a runner of `weight` to `model`.
     fn add(&mut self, model: usize, weight: f64) {
         self.counts[model] += 1;
         self.have[model] += weight;
     }
 
-    /// What the model lacks of its share.
+    /// How much the model lacks of its share.
     fn deficit(&self, model: usize) -> f64 {
         self.share[model] - self.have[model]
     }
 
-    /// The model that lacks the most; one without a runner before all others.
+    /// The model that lacks the most of its share; models without a runner come first.
     fn most_lacking(&self) -> usize {
         let models = 0..self.counts.len();
         let order = |model: &usize| (self.counts[*model] == 0, self.deficit(*model));
@@ -182,14 +191,14 @@
         models.max_by(poorer).unwrap_or_default()
     }
 
-    /// The model that has the most beyond its share, of those with two or more.
+    /// The model that exceeds its share the most, of those with two or more runners.
     fn most_surplus(&self) -> Option<usize> {
         let models = (0..self.counts.len()).filter(|model| self.counts[*model] > 1);
         models.min_by(|a, b| self.deficit(*a).total_cmp(&self.deficit(*b)))
     }
 
-    /// Moves one runner from the model that has the most beyond its share to the
-    /// one that lacks the most; false when that would bring too little.
+    /// Moves one runner from the model that exceeds its share the most to the one that
+    /// lacks the most; returns false if that would gain too little.
     fn rebalance_one(
         &mut self,
         demands: &[Demand],
@@ -205,7 +214,8 @@
         };
         let to_longer = demands[most_lacking].length_class >= demands[most_surplus].length_class;
         let there = (0..members.len()).filter(|member| homes[*member] == most_surplus);
-        // The last of the kind that the model of longer texts wants.
+        // Prefers a usual engine for a model whose texts are as long or longer, and a
+        // slower engine otherwise; takes the last one.
         let best = there.max_by_key(|member| (members[*member].slower != to_longer, *member));
         let Some(mover) = best else {
             return false;
@@ -223,7 +233,8 @@
     }
 }
 
-/// Gives the models with longer texts usual engines for their slower ones.
+/// Exchanges slower engines of models with longer texts for usual engines of models
+/// with shorter texts.
 fn swap_slower(demands: &[Demand], members: &[Member], homes: &mut [usize]) {
     let kind = |slower: bool| (0..members.len()).filter(move |of| members[*of].slower == slower);
     for slower in kind(true) {
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -1,43 +1,43 @@
-//! What an engine takes for an event, and whether it is slower than others.
+//! Measures an engine's pace, the time that it takes for an event, and detects slow
+//! engines.
 //!
-//! Load pattern: a few to some tens of streams run on an engine at once, each
-//! with an event every few tens of ms. Engines of one service differ by a third
-//! all day, and any of them may take four times as long from one moment to the
-//! next. A text of 200 events takes seven seconds, so that what is known from
-//! ended runs comes seconds too late: the gaps between the events of all runs
-//! under way tell within a second.
+//! Load pattern: a few to some tens of streams run on an engine at once, each with an
+//! event every few tens of ms. Engines of one service differ by a third all the time,
+//! and any of them may take four times as long from one moment to the next. A text of
+//! 200 events takes seven seconds, so finished runs show a change seconds too late. The
+//! gaps between the events of all running ones show it within a second.
 
 use crate::base::Millis;
 
-/// What one engine takes for an event, by the gaps seen of late.
+/// The pace of one engine, by the recent gaps between events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
+    /// The number of gaps in the current window.
     gaps: u32,
-    /// In ms.
+    /// The sum of these gaps, in ms.
     sum: f64,
-    /// When the present window began.
+    /// When the current window began.
     begun: Millis,
-    /// In ms; 0 before the first window is over.
+    /// The pace in ms; 0 before the first window has ended.
     value: f64,
 }
 
-/// The time over which gaps are gathered: some tens of them while two or more
-/// runs are under way.
+/// The length of a window: some tens of gaps, while two or more runs are in progress.
 const WINDOW: Millis = Millis(500);
 
-/// The least gaps that make a window count.
+/// A window with fewer gaps is ignored.
 const MIN_GAPS: u32 = 12;
 
-/// A gap counts for no more than so many times the pace known: an engine that
-/// changes its weights pauses once for some 900 ms and is not slow for it, while
-/// one that is really slower is known after a few windows.
+/// A gap counts for at most this multiple of the known pace. An engine that changes its
+/// weights pauses once for about 900 ms, which does not make it slow, while an engine
+/// that has become slower is detected after a few windows.
 const MAX_GAP_RATIO: f64 = 2.0;
 
-/// The weight of a window's mean in the pace.
+/// The weight of a window's mean gap in the pace.
 const WINDOW_WEIGHT: f64 = 0.5;
 
 impl Pace {
-    /// A run's next event came `gap` ms after the one before.
+    /// Adds the gap between two events of a run, in ms.
     pub fn note(&mut self, gap: f64) {
         let most = match self.value > 0.0 {
             true => self.value * MAX_GAP_RATIO,
@@ -47,8 +47,8 @@
         self.sum += gap.min(most);
     }
 
-    /// What an event takes by all that was noted until `now`, in ms; 0 while
-    /// nothing is known.
+    /// Returns the pace in ms by all gaps until `now`, or 0 while it is unknown. Ends
+    /// the current window if its time is over.
     pub fn update(&mut self, now: Millis) -> f64 {
         if now.since(self.begun) < WINDOW {
             return self.value;
@@ -67,18 +67,20 @@
     }
 }
 
-/// From this share of the usual pace on an engine counts as slower, and below
-/// the lower one as usual again. A full engine takes a tenth longer than an idle
-/// one, and is no slower for it; the users' slower kind takes 1.3 times as long.
+/// An engine counts as slower from this multiple of the usual pace. A full engine takes
+/// a tenth longer than an idle one and does not count as slower; the users' slower kind
+/// takes 1.3 times as long.
 const SLOWER_RATIO: f64 = 1.15;
+/// Below this multiple of the usual pace, an engine that counted as slower counts as
+/// usual again.
 const SLOWER_EXIT_RATIO: f64 = 1.08;
 
-/// An engine that takes so many times the usual pace holds up all that it takes:
-/// the slow ones seen take three to four times as long.
+/// From this multiple of the usual pace an engine is a straggler, and delays all that
+/// it runs. The stragglers seen take three to four times as long.
 pub const STRAGGLER_RATIO: f64 = 1.8;
 
-/// Whether an engine at `pace` is slower than the `usual` ones; `before` is what
-/// it counted as so far. Unknown paces are not slower.
+/// Whether an engine at `pace` counts as slower than the `usual` ones; `before` is
+/// whether it did so far. An engine of unknown pace is not slower.
 pub fn is_slower(pace: f64, usual: f64, before: bool) -> bool {
     let from = if before {
         SLOWER_EXIT_RATIO
@@ -88,23 +90,23 @@
     pace > 0.0 && usual > 0.0 && pace / usual >= from
 }
 
-/// How long an engine must have counted as slower, or as usual, before runners are
-/// dealt out anew for it: each that changes its model has to load weights.
+/// How long an engine must have counted as slower, or as usual, before home models are
+/// reassigned for it: each runner that changes its model has to load weights.
 const STEADY_DELAY: Millis = Millis(4_000);
 
-/// Which kind an engine is of.
+/// Whether an engine is of the slower or of the usual kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineKind {
-    /// Whether it counts as slower than usual just now.
+    /// Whether it counts as slower than usual at present.
     pub slower: bool,
-    /// Whether it has done so, or not, for a while.
+    /// The value of `slower` that last held for a while.
     pub steady: bool,
-    /// Since when it counts as it does.
+    /// When `slower` last changed.
     since: Millis,
 }
 
 impl EngineKind {
-    /// Takes the engine's pace; true when it counts otherwise than before.
+    /// Updates the kind by the engine's pace; returns true if `slower` changed.
     pub fn note(&mut self, pace: f64, usual: f64, now: Millis) -> bool {
         let slower = is_slower(pace, usual, self.slower);
         let changed = slower != self.slower;
@@ -119,13 +121,13 @@
     }
 }
 
-/// Whether an engine takes much longer than usual for an event.
+/// Whether an engine is a straggler: it takes much longer than usual for an event.
 pub fn is_straggler(pace: f64, usual: f64) -> bool {
     pace > 0.0 && usual > 0.0 && pace / usual >= STRAGGLER_RATIO
 }
 
-/// The usual pace of a service: that of its fastest quarter. The middle of all
-/// would take the slower kind for usual where half of the engines are of it.
+/// The usual pace of a service: that of its fastest quarter of engines. The median
+/// would be the pace of the slower kind where half of the engines are of that kind.
 pub fn usual_pace(mut paces: Vec<f64>) -> f64 {
     paces.retain(|pace| *pace > 0.0);
     paces.sort_by(f64::total_cmp);
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -1,8 +1,8 @@
-//! Which requests run no more, as servers end under them.
+//! Quarantines requests under which servers crash.
 //!
-//! Load pattern: a few servers end a day, with all requests that they are working
-//! on; once in a while it is a request that ends each server that runs it, and that
-//! comes again at any instance, in bursts of its caller's retries.
+//! Load pattern: a few servers crash each day, with all requests that they are working
+//! on. Once in a while a request crashes each server that runs it. It then arrives
+//! again at any instance, in bursts of its caller's retries.
 
 use crate::{
     base::{Fingerprint, Millis},
@@ -14,50 +14,52 @@
     HashSet, //
 };
 
-/// What may be done with a request.
+/// How a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineState {
-    /// It runs as any other.
+    /// It runs like any other request.
     Clear,
-    /// One server has ended under it: it runs at one instance at a time.
+    /// One server has crashed under it: it runs at one instance at a time.
     Watched,
-    /// Two servers have ended under it: it runs apart from others like it.
+    /// Two servers have crashed under it: it runs apart from other suspects.
     Suspect,
-    /// It is in quarantine, and one attempt may show whether rightly.
+    /// It is in quarantine, and one attempt may show whether it belongs there.
     Trial,
-    /// It is in quarantine.
+    /// It is in quarantine, and does not run.
     Barred,
 }
 
-/// Servers that may end under one request. A loss of a rack takes two servers from
-/// under a call and its retry; three in a row, with no answer between, are the
-/// request's doing far more likely than chance.
+/// The number of servers that may crash under one request. The loss of a rack takes
+/// down two servers under a call and its retry; three in a row, with no answer in
+/// between, are far more likely caused by the request than by chance.
 pub const MAX_CRASHES: usize = 3;
 
-/// How long after the last crash a request in quarantine is tried once more, by how
-/// often it was tried before. It may have been beside the one that ends servers each
-/// time: that one is in quarantine by the first trial, and the servers are back. A
-/// request that does end servers costs one more at each trial.
+/// How long after the last crash a quarantined request is tried again, by the number of
+/// earlier trials. It may merely have run beside the request that crashes servers: that
+/// one is in quarantine by the first trial, and the servers have restarted. A request
+/// that does crash servers costs one more at each trial.
 const TRIAL_DELAYS: [Millis; 2] = [Millis(5_000), Millis(600_000)];
 
-/// How long a crash counts. A request that is in quarantine comes back when its
-/// caller's data or the server's program is mended, which takes people a day.
+/// How long a crash counts. A quarantined request may run again once the caller's data
+/// or the server's program is fixed, which takes people a day.
 pub const RETENTION: Millis = Millis(24 * 3_600_000);
 
-/// Requests that are remembered at once: a loss of a whole data centre with some
-/// thousand requests under way; about 3 MB.
+/// The most requests with crashes that are remembered, enough for the loss of a whole
+/// data centre with some thousand requests in progress; about 3 MB.
 const MAX_REQUESTS: usize = 20_000;
 
-/// The servers that ended under each request since it was last answered.
+/// The servers that crashed under each request since it was last answered.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     answered: Answered,
+    /// By request: the incarnations of servers that crashed, and when, by the store's
+    /// clock.
     requests: HashMap<Fingerprint, BTreeMap<Life, Millis>>,
 }
 
 impl Quarantine {
-    /// The server `incarnation` ended under `request`, `at` by the store's clock; false
-    /// when that was known, or can't be remembered.
+    /// Records that the server `incarnation` crashed under `request` at `at`, by the
+    /// store's clock. Returns false if that was known, or if there is no room for it.
     pub fn note_crash(&mut self, request: Fingerprint, incarnation: Life, at: Millis) -> bool {
         if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&request) {
             return false;
@@ -66,7 +68,7 @@
         crashes.insert(incarnation, at).is_none()
     }
 
-    /// The crash counts no more.
+    /// Removes a crash that no longer counts.
     pub fn forget(&mut self, request: Fingerprint, incarnation: &Life) {
         let Some(crashes) = self.requests.get_mut(&request) else {
             return;
@@ -77,27 +79,28 @@
         }
     }
 
-    /// A server answered `request` at `now` and lives: what ended servers was
-    /// another. Returns the lives that counted against it.
+    /// Records that a server answered `request` at `now` and still runs: another
+    /// request caused the crashes. Returns the servers whose crashes counted against
+    /// it.
     pub fn clear(&mut self, request: Fingerprint, now: Millis) -> Vec<Life> {
         self.answered.note(request, now);
         let crashes = self.requests.remove(&request).unwrap_or_default();
         crashes.into_keys().collect()
     }
 
-    /// Whether `request` was answered a moment before `now`. Callers that share it
-    /// are at several servers at once, and lose them all within milliseconds to
-    /// another request: such ends don't count.
+    /// Whether `request` was answered shortly before `now`. A request that several
+    /// callers send is at several servers at once, and may lose all of them within
+    /// milliseconds to another request: such crashes don't count.
     pub fn is_answered(&self, request: Fingerprint, now: Millis) -> bool {
         self.answered.has(request, now)
     }
 
-    /// How many servers ended under `request`.
+    /// The number of servers that crashed under `request`.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.requests.get(&request).map_or(0, BTreeMap::len)
     }
 
-    /// What may be done with `request` at `now` by the store's clock.
+    /// How `request` may run at `now`, by the store's clock.
     pub fn state(&self, request: Fingerprint, now: Millis) -> QuarantineState {
         let Some(crashes) = self.requests.get(&request) else {
             return QuarantineState::Clear;
@@ -118,7 +121,8 @@
         }
     }
 
-    /// Crashes that are older than [`RETENTION`] at `now`, at most `most` of them.
+    /// Returns crashes that are older than [`RETENTION`] at `now`, at most `most` of
+    /// them.
     pub fn expired(&self, now: Millis, most: usize) -> Vec<(Fingerprint, Life)> {
         let all = self.requests.iter().flat_map(|(request, crashes)| {
             let crashes = crashes.iter();
@@ -131,21 +135,23 @@
     }
 }
 
-/// Requests that were answered of late, kept in two halves of which the older one
-/// is dropped in turn.
+/// Recently answered requests, in two generations. When a new generation is started,
+/// the older one is dropped.
 #[derive(Debug, Default)]
 struct Answered {
     newer: HashSet<Fingerprint>,
     older: HashSet<Fingerprint>,
+    /// When the newer generation was started.
     since: Millis,
 }
 
-/// How long an answer is remembered at least: longer than a burst of crashes, which
-/// takes a call and its retries, and shorter than callers bear a request that no
-/// server answers any more.
+/// The minimum time for which an answer is remembered: longer than a burst of crashes,
+/// which takes a call and its retries, and shorter than callers tolerate a request that
+/// no server answers any more.
 const ANSWER_RETENTION: Millis = Millis(5_000);
 
-/// The most answers in one half; about 64 KB. A busier instance remembers less long.
+/// The most answers in one generation; about 64 KB. A busier instance remembers answers
+/// for a shorter time.
 const MAX_ANSWERED: usize = 4_096;
 
 impl Answered {
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -1,10 +1,11 @@
-//! Which instance learns the store's changes from which other.
+//! The tree in which instances pass on the store's changes.
 //!
 //! Load pattern: thousands of instances follow the same few tables, which change many
-//! times a second, and the store answers some thousand calls a second. In each data
-//! centre a few instances of a program ask the store, and feed the others: a tree in
-//! which nobody feeds more than some others. Any of them may end, freeze, or be cut
-//! off, many at the same moment.
+//! times a second, while the store answers some thousand calls a second. In each data
+//! centre a few instances of a program, the roots, ask the store. The others ask a
+//! parent, which may be a root or another instance; the number of children of each
+//! instance is limited. Any instance may end, freeze or be partitioned, many of them at
+//! the same moment.
 
 use crate::base::{
     Millis,
@@ -15,50 +16,53 @@
     net::SocketAddr, //
 };
 
-/// The instances of a program that ask the store in each data centre. Two may be lost at
-/// once, and the third feeds the others.
+/// The number of instances of a program that ask the store in each data centre. Two may
+/// be lost at once; the third still serves the others.
 pub const ROOTS: usize = 3;
 
-/// The most instances that one feeds. A runner asks some 25 times a second, and each
-/// question takes about 0.1 ms: 4% of a core.
+/// The most children of one instance. A runner asks about 25 times a second, and each
+/// request takes about 0.1 ms: 4% of a core.
 pub const MAX_CHILDREN: usize = 16;
 
-/// What is told may be older than the time that a question is held by this: a question
-/// that was lost, and the next one.
+/// An answer may be older than the hold time of a request by this: enough for a request
+/// that was lost and the next one.
 const STALE_SLACK: Millis = Millis(700);
 
-/// An instance that has not asked for so long is fed no more: longer than the longest
-/// time that a question is held.
+/// A child that has not asked for this long is dropped. Longer than any request is
+/// held.
 const CHILD_TIMEOUT: Millis = Millis(4_000);
 
-/// A feeder that was left is not asked again before: it may be frozen, or cut off.
+/// How long a parent that was left is not asked again: it may be frozen or partitioned.
 const LEFT_RETENTION: Millis = Millis(3_000);
 
-/// A root that can't be reached for so long is replaced: one that starts again is back
-/// within this time.
+/// A root that has been unreachable for this long is replaced. One that restarts is
+/// back within this time.
 const GONE_TIMEOUT: Millis = Millis(600);
 
-/// Whether what a feeder tells is too old to go by, for a table whose questions are
-/// `hold` long.
+/// Whether an answer of a parent is too old to be used, for a table whose requests are
+/// held for `hold`.
 pub fn is_stale(age: Millis, hold: Millis) -> bool {
     age > hold + STALE_SLACK
 }
 
-/// The instances that one feeds.
+/// The children of an instance.
 #[derive(Debug, Default)]
 pub struct Children {
+    /// By the child's instance name.
     known: BTreeMap<String, Child>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Child {
+    /// Where the child itself can be asked.
     address: SocketAddr,
+    /// When the child last asked.
     asked: Millis,
 }
 
 impl Children {
-    /// Takes the question of `instance`, which itself can be asked at `address`; false
-    /// when there is no room for another.
+    /// Accepts a request of `instance`, which can itself be asked at `address`; returns
+    /// false if there is no room for another child.
     pub fn admit(&mut self, instance: &str, address: SocketAddr, now: Millis) -> bool {
         self.known
             .retain(|_, child| now.since(child.asked) < CHILD_TIMEOUT);
@@ -71,50 +75,51 @@
         true
     }
 
-    /// Where those that are fed can be asked.
+    /// The addresses of the children.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.known.values().map(|child| child.address).collect()
     }
 
-    /// How many are fed.
+    /// The number of children.
     pub fn count(&self) -> usize {
         self.known.len()
     }
 }
 
-/// What one instance found of those that could feed it.
+/// What an instance knows of its possible parents.
 #[derive(Debug, Default)]
 pub struct Parents {
-    /// Since when they can't be reached.
+    /// Since when each has been unreachable.
     gone: HashMap<SocketAddr, Millis>,
-    /// When they were left.
+    /// When each was left.
     left: HashMap<SocketAddr, Millis>,
 }
 
 impl Parents {
-    /// The feeder told nothing, or what is too old.
+    /// Records that the parent is left: it did not answer, or its answer was too old.
     pub fn leave(&mut self, address: SocketAddr, now: Millis) {
         self.left.insert(address, now);
     }
 
-    /// Nobody answers at `address`.
+    /// Records that nobody answers at `address`.
     pub fn note_unreachable(&mut self, address: SocketAddr, now: Millis) {
         self.gone.entry(address).or_insert(now);
     }
 
-    /// Somebody answers at `address`.
+    /// Records that an instance answers at `address`.
     pub fn note_reachable(&mut self, address: SocketAddr) {
         self.gone.remove(&address);
     }
 
-    /// Whether nobody has answered at `address` for long enough to replace it.
+    /// Whether `address` has been unreachable for long enough to be replaced.
     pub fn is_gone(&self, address: SocketAddr, now: Millis) -> bool {
         let since = self.gone.get(&address);
         since.is_some_and(|since| now.since(*since) >= GONE_TIMEOUT)
     }
 
-    /// The order in which `instance` asks those at `addresses`: another one for each
-    /// instance, so that they share them, without those that were left of late.
+    /// The order in which `instance` asks the possible parents at `addresses`, without
+    /// those that it left recently. It differs between instances, so that they spread
+    /// over the parents.
     pub fn order(
         &mut self,
         instance: &str,
@@ -129,12 +134,13 @@
     }
 }
 
-/// Rendezvous hashing: an address that comes or goes changes only its own place.
+/// Sort key of a possible parent. With rendezvous hashing, an address that is added or
+/// removed leaves the order of the others as it is.
 fn weight(instance: &str, address: SocketAddr) -> u64 {
     stable_hash(&[instance.as_bytes(), address.to_string().as_bytes()])
 }
 
-/// The place among the [`ROOTS`] that `instance` tries to take first.
+/// The slot among the [`ROOTS`] that `instance` tries to take first.
 pub fn first_slot(instance: &str) -> usize {
     stable_hash(&[instance.as_bytes()]) as usize % ROOTS
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! What to do with a call whose attempt failed.
+//! Decides whether a failed attempt of a call is retried.
 
 use crate::base::{
     Cause,
@@ -7,32 +7,35 @@
     Verdict, //
 };
 
-/// What is known of the call when an attempt of it fails.
+/// The state of a call when one of its attempts fails.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub attempts: u8,
     pub deadline: Millis,
     pub idempotent: bool,
-    /// Whether the whole request is at hand to be sent again.
+    /// Whether the whole request is available to be sent again.
     pub replayable: bool,
-    /// Whether the caller has seen part of an answer that can't be gone on with.
+    /// Whether the caller has seen part of an answer that another attempt can't
+    /// continue.
     pub visible: bool,
 }
 
 /// The decision on a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// The caller gets the failure.
+    /// The failure is returned to the caller.
     GiveUp,
-    /// Another server is tried after the wait; `paid` comes out of the budget.
+    /// Another server is tried after `wait`. If `paid`, the retry is paid from the
+    /// retry budget.
     Retry { paid: bool, wait: Millis },
 }
 
-/// The attempts made for one call at most.
+/// The most attempts of one call.
 pub const MAX_ATTEMPTS: u8 = 4;
 
-/// Decides as [`super::router::Policy::Baseline`] does: a plain retry, three times.
+/// Decides under [`super::router::Policy::Baseline`]: up to three immediate retries
+/// without a budget.
 pub fn decide_baseline(now: Millis, attempt: Attempt, failure: &Failure) -> Decision {
     let safe = attempt.idempotent || !failure.verdict.may_have_run();
     let hopeless = attempt.attempts >= MAX_ATTEMPTS || now >= attempt.deadline;
@@ -45,12 +48,12 @@
     }
 }
 
-/// Decides on a failed attempt of a call.
+/// Decides under [`super::router::Policy::Current`].
 ///
-/// An attempt that did not run is repeated freely within the attempts. One
-/// that may have run is repeated only when the call is idempotent, and each
-/// such repeat is paid from the retry budget, so that retries can't multiply
-/// the load of a pool in trouble.
+/// An attempt that did not run is retried within the limit on attempts. One that may
+/// have run is retried only if the call is idempotent. Retries after an overload, and
+/// of attempts that may have run, are paid from the retry budget, so that they can't
+/// multiply the load of a pool in trouble.
 pub fn decide(now: Millis, attempt: Attempt, failure: &Failure) -> Decision {
     let hopeless = matches!(
         failure.cause,
@@ -110,7 +113,7 @@
     };
 
     #[test]
-    fn decisions() {
+    fn decisions_by_verdict_and_cause() {
         for (verdict, cause, idempotent, visible, decision) in [
             (Verdict::NotRun, Cause::Draining, false, false, FREE),
             (Verdict::NotRun, Cause::Draining, true, false, FREE),
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,18 +1,20 @@
-//! How many retries successes pay for.
+//! A retry budget that successful calls fill.
 
-/// A bucket that successes fill and retries empty, so that retries stay a
-/// share of the traffic however many calls fail.
+/// A token bucket that successes fill and retries drain, so that retries stay a share
+/// of the traffic however many calls fail.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
+    /// The part of a retry that one success pays for.
     share: f64,
+    /// The number of retries that can be paid for.
     tokens: f64,
 }
 
-/// The most retries saved up, and what a new budget starts with.
+/// The most retries that can be saved up; a new budget starts with as many.
 const MAX_SAVED: f64 = 20.0;
 
 impl RetryBudget {
-    /// A budget in which one success pays for `share` of a retry.
+    /// A full budget, in which one success pays for `share` of a retry.
     pub fn new(share: f64) -> Self {
         Self {
             share,
@@ -20,7 +22,7 @@
         }
     }
 
-    /// Pays for one retry, if there is enough.
+    /// Pays for one retry; returns false if the budget does not suffice.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -29,7 +31,7 @@
         true
     }
 
-    /// A call succeeded.
+    /// Records a successful call.
     pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.share).min(MAX_SAVED);
     }
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -1,4 +1,4 @@
-//! Which server of a pool gets a request.
+//! Chooses the server of a pool that gets a request.
 
 use crate::base::Millis;
 use serde::{
@@ -6,51 +6,55 @@
     Serialize, //
 };
 
-/// How servers are chosen, a setting so that the two can be compared.
+/// How requests are routed, queued and retried; a setting, so that the two policies can
+/// be compared.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Round robin over the listed servers.
+    /// Round robin over the eligible servers, plain queues and plain retries.
     Baseline,
+    /// Routing by load, queues shared between teams and retries within a budget.
     #[default]
     Current,
 }
 
-/// One server as a decision sees it.
+/// A server that could get the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<K> {
-    /// Requests that the server takes at once.
+    /// The number of requests that the server runs at once.
     pub capacity: u32,
     /// One-way delay to the server's data centre.
     pub distance: Millis,
-    /// Whether it takes new work at all: linked, not draining, not excluded.
+    /// Whether it may get new work: linked, not draining, not excluded.
     pub eligible: bool,
-    /// What this entry has in flight there.
+    /// The number of this entry's requests in flight there.
     pub in_flight: u32,
+    /// Identifies the server to the caller.
     pub key: K,
-    /// What a request to it takes of late, in milliseconds.
+    /// The recent latency of requests to it, in ms.
     pub latency: f64,
-    /// What others had there by its last report.
+    /// The number of other entries' requests there, by its last report.
     pub others: u32,
-    /// How old that report is.
+    /// The age of that report.
     pub report_age: Millis,
-    /// Whether its callers' experience allows this request.
+    /// Whether its circuit breaker allows this request.
     pub trusted: bool,
 }
 
-/// Why the chosen server was chosen.
+/// Why a server was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// The cheaper of two drawn at random.
+    /// It was the cheaper of two drawn at random.
     LeastWait,
-    /// All were out of trust, so the best of all was taken.
+    /// No circuit breaker allowed the request, and it was the cheapest of all.
     NoneTrusted,
+    /// It was the only server whose circuit breaker allowed the request.
     OnlyOne,
     RoundRobin,
 }
 
 impl Reason {
-    /// The word used in decision lines and accounts.
+    /// The word for the reason in decision log lines and accounts.
     pub fn word(self) -> &'static str {
         match self {
             Self::LeastWait => "least-wait",
@@ -61,13 +65,13 @@
     }
 }
 
-/// What sending a request to a server costs, to be compared between servers.
+/// The expected cost of sending a request to a server, for comparison between servers.
 ///
-/// Own requests in flight are known exactly. What others have there is known
-/// from a report that lags: it fades over a few times the latency, because
-/// after that long other requests have taken their place. Were it believed in
-/// full, all entries would run to the server that looked idle half a second
-/// ago. What others do there now shows in the latency.
+/// The number of own requests in flight is known exactly. That of others is known from
+/// a report that lags. It fades over a few times the latency, because after that time
+/// other requests have taken the place of those reported. If it counted in full, all
+/// entries would send to the server that looked idle half a second ago. What others do
+/// there now shows in the latency.
 pub fn cost<K>(candidate: &Candidate<K>) -> f64 {
     let fade = 1.0 + candidate.report_age.0 as f64 / (REPORT_FADE * candidate.latency);
     let others = f64::from(candidate.others) / fade;
@@ -75,17 +79,18 @@
     ahead * candidate.latency + 2.0 * candidate.distance.0 as f64
 }
 
-/// A report counts half after this many times the latency.
+/// A report of this age, as a multiple of the latency, counts half.
 const REPORT_FADE: f64 = 2.0;
 
-/// Own requests are compared with those of others as if so many entries sent
-/// evenly to the pool.
+/// The number of entries that are assumed to send evenly to the pool. Other entries'
+/// requests are divided by it, to compare them with own requests.
 const ASSUMED_ENTRIES: f64 = 4.0;
 
-/// Chooses among `candidates`; `draw` supplies random bits.
+/// Chooses among `candidates`; `turn` counts requests for round robin, and `draw`
+/// supplies random bits.
 ///
-/// Two drawn at random, weighed by cost: entries that see the same
-/// stale report don't all run to the one server that looks idle.
+/// Compares two candidates drawn at random by cost, so that entries that see the same
+/// stale report don't all choose the one server that looks idle.
 pub fn choose<K: Copy>(
     policy: Policy,
     candidates: &[Candidate<K>],
@@ -172,7 +177,7 @@
     }
 
     #[test]
-    fn nobody_eligible() {
+    fn without_an_eligible_server_none_is_chosen() {
         let mut gone = candidate(1);
         gone.eligible = false;
         Test {
@@ -183,7 +188,7 @@
     }
 
     #[test]
-    fn all_out_of_trust_still_get_work() {
+    fn untrusted_servers_get_work_if_no_other_is_left() {
         let mut bad = candidate(1);
         bad.trusted = false;
         Test {
--- a/src/policy/step_spec.rs
+++ b/src/policy/step_spec.rs
@@ -1,4 +1,4 @@
-//! A step as its trainer submits it.
+//! The specification of a step, as its trainer submits it.
 
 use crate::base::{
     Millis,
@@ -13,7 +13,7 @@
     ensure, //
 };
 
-/// Samples that share a prompt.
+/// A group of samples that share a prompt.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupSpec {
@@ -21,7 +21,7 @@
     pub samples: u32,
 }
 
-/// How the tokens of a step's samples are drawn.
+/// The sampling parameters of a step.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SamplingSpec {
@@ -41,14 +41,14 @@
     pub groups: Vec<GroupSpec>,
     pub model: String,
     pub sampling: SamplingSpec,
-    /// How many versions a delivered sample's oldest token may be behind the
-    /// version that the trainer names at the fetch.
+    /// How many versions the oldest token of a delivered sample may be behind the
+    /// version that the trainer names in its fetch.
     pub staleness: u64,
-    /// The version that the trainer is at when it submits the step.
+    /// The version that the trainer has when it submits the step.
     pub weight_version: WeightVersion,
 }
 
-/// Why a submitted step can't be taken.
+/// Why a submitted step is rejected.
 #[derive(Debug, PartialEq, Snafu)]
 pub enum SpecError {
     #[snafu(display("`{field}` is {value}, expected {expected}"))]
@@ -59,13 +59,13 @@
     },
 }
 
-/// The samples that one step may have.
+/// The most samples of one step.
 pub const MAX_SAMPLES: u32 = 16_384;
 
-/// The tokens that one sample may have.
+/// The most tokens of one sample.
 pub const MAX_TOKENS: u32 = 131_072;
 
-/// The bytes of one prompt.
+/// The longest prompt, in bytes.
 pub const MAX_PROMPT_BYTES: usize = 128 * 1024;
 
 fn default_temperature() -> f32 {
@@ -73,7 +73,7 @@
 }
 
 impl StepSpec {
-    /// Checks the ranges.
+    /// Checks that all values are within their ranges.
     pub fn check(&self) -> Result<(), SpecError> {
         let samples: u64 = self.groups.iter().map(|g| u64::from(g.samples)).sum();
         ensure!(
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// How many samples the step has.
+    /// The number of samples of the step.
     pub fn samples(&self) -> u32 {
         self.groups.iter().map(|group| group.samples).sum()
     }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,17 +1,18 @@
-//! Which servers of a large pool an entry keeps links to.
+//! Chooses the servers of a large pool to which an entry keeps links.
 
 use crate::base::stable_hash;
 
-/// The links that an entry keeps to one pool.
+/// The number of links that an entry keeps to one pool.
 ///
-/// With 3,300 samplers a full mesh from 460 entries would be 1.5 million
-/// links. An entry that serves two pools keeps 32, which fits its budget for
-/// control (`docs/CAPACITY.md`); an agent among 412 of a pool gets some 18.
+/// With 3,300 samplers, a full mesh from 460 entries would have 1.5 million links. An
+/// entry that serves two pools keeps 32, which fits its budget for control traffic
+/// (`docs/CAPACITY.md`); an agent in a pool of 412 gets about 18.
 pub const SUBSET_SIZE: usize = 16;
 
-/// Orders `servers` by their weight for `entry`, best first, and keeps `size`.
+/// Ranks `servers` by a hash of their names with that of `entry`, and returns the first
+/// `size`.
 ///
-/// Rendezvous hashing: a server that joins or leaves changes only its own
+/// This is rendezvous hashing: a server that joins or leaves changes only its own
 /// place, and each server is kept by about the same number of entries.
 pub fn choose<'a>(
     entry: &str,
@@ -31,7 +32,7 @@
     use super::*;
 
     #[test]
-    fn spread_evenly_and_changed_little() {
+    fn links_are_spread_evenly_and_a_lost_server_changes_one() {
         let servers: Vec<String> = (0..330).map(|i| format!("sampler-{i}")).collect();
         let mut kept = vec![0; servers.len()];
         for entry in 0..460 {
--- a/src/policy/typical.rs
+++ b/src/policy/typical.rs
@@ -1,16 +1,18 @@
-//! What a service's answers take as a rule.
+//! The typical latency of a service's answers.
 
-/// A moving average that does not fade: a service that was idle for a while
-/// still takes what it took.
+/// A moving average that does not decay: a service that was idle for a while still
+/// takes as long as before.
 #[derive(Clone, Copy, Debug)]
 pub struct TypicalLatency {
+    /// In ms.
     value: f64,
 }
 
 /// The weight of each new answer.
 const WEIGHT: f64 = 0.1;
 
-/// Before any answer: what the users' services take, with room.
+/// The average before any answer, in ms: what the users' services take, with some
+/// margin.
 const INITIAL: f64 = 80.0;
 
 impl Default for TypicalLatency {
@@ -20,7 +22,7 @@
 }
 
 impl TypicalLatency {
-    /// Notes that an answer took `taken` ms.
+    /// Adds an answer that took `taken` ms.
     pub fn note(&mut self, taken: f64) {
         self.value += WEIGHT * (taken - self.value);
     }
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -1,8 +1,8 @@
-//! The use of the site by workspace and window of time.
+//! Counts the use of the site by workspace and time window.
 //!
-//! Load pattern: few requests of many workspaces at many gateways, some of which are
-//! killed or cut off at any moment, while each window has to be reported once, soon
-//! and in full.
+//! Load pattern: few requests of many workspaces arrive at many gateways, some of which
+//! are killed or partitioned at any moment, while each window has to be reported once,
+//! soon and in full.
 
 use crate::base::Millis;
 use serde::{
@@ -11,18 +11,18 @@
 };
 use std::collections::BTreeMap;
 
-/// Requests that began, by workspace.
+/// The numbers of requests that began, by workspace.
 pub type Counts = BTreeMap<String, u64>;
 
-/// How time is cut into windows: window k begins at k times the length after the
-/// Unix epoch.
+/// How time is divided into windows: window k begins k times `length` after the Unix
+/// epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct Windows {
     pub length: Millis,
 }
 
 impl Windows {
-    /// The window in which `time` lies.
+    /// The window that contains `time`.
     pub fn at(self, time: Millis) -> u64 {
         time.0 / self.length.0.max(1)
     }
@@ -36,32 +36,35 @@
 /// What one gateway counted in one window.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Part {
-    /// Whether all requests of the window are in.
+    /// Whether the window is closed: no further requests will be counted in it.
     pub closed: bool,
     pub counts: Counts,
 }
 
-/// What a gateway has counted, and what of that is in the store.
+/// What a gateway has counted, and which of it is in the store.
 #[derive(Debug)]
 pub struct Tally {
-    /// Windows before this one are closed here.
+    /// The oldest open window; all earlier ones are closed.
     open: u64,
+    /// By window.
     parts: BTreeMap<u64, Counted>,
     windows: Windows,
 }
 
+/// What a gateway has counted in one window.
 #[derive(Debug, Default)]
 struct Counted {
     part: Part,
-    /// Whether the store has it as it is.
+    /// Whether the store has the part as it is.
     written: bool,
 }
 
-/// How long after its end requests of a window may still be found to have begun in
-/// it: the longest that callers wait for a plain call, and a little more.
+/// How long after its end a window stays open, since requests may still be found to
+/// have begun in it: the longest time that callers wait for a plain call, and a little
+/// more.
 const CLOSE_DELAY: Millis = Millis(1_800);
 
-/// Windows that are kept for the store to come back.
+/// The most windows that are kept while the store is unreachable.
 const MAX_WINDOWS: usize = 120;
 
 impl Tally {
@@ -74,8 +77,8 @@
         }
     }
 
-    /// A request of `workspace` began at `began`. One that is noticed after its
-    /// window was closed counts in the oldest open one, so that it is not lost.
+    /// Counts a request of `workspace` that began at `began`. One that is noticed after
+    /// its window was closed counts in the oldest open window, so that it is not lost.
     pub fn note(&mut self, workspace: &str, began: Millis) {
         let window = self.windows.at(began).max(self.open);
         let counted = self.parts.entry(window).or_default();
@@ -83,7 +86,7 @@
         counted.written = false;
     }
 
-    /// Closes the windows that are over at `now`.
+    /// Closes the windows that ended long enough before `now`.
     pub fn close(&mut self, now: Millis) {
         while self.windows.end(self.open) + CLOSE_DELAY <= now {
             let counted = self.parts.entry(self.open).or_default();
@@ -96,14 +99,15 @@
         }
     }
 
-    /// What the store does not have yet, oldest window first.
+    /// Returns the oldest window of which the store does not have the latest part, and
+    /// that part.
     pub fn unwritten(&self) -> Option<(u64, &Part)> {
         let mut parts = self.parts.iter();
         let (window, counted) = parts.find(|(_, counted)| !counted.written)?;
         Some((*window, &counted.part))
     }
 
-    /// The store has `part` of `window`.
+    /// Records that the store has `part` of `window`.
     pub fn set_written(&mut self, window: u64, part: &Part) {
         let Some(counted) = self.parts.get_mut(&window) else {
             return;
@@ -115,18 +119,19 @@
     }
 }
 
-/// When a window may be summed up although a gateway has not closed it: it was killed
-/// or is cut off, and the report is due a few seconds later.
+/// How long after its end a window may be summed up although a gateway has not closed
+/// it: the gateway was killed or is partitioned, and the report is due a few seconds
+/// later.
 const MAX_SUM_DELAY: Millis = Millis(6_500);
 
-/// Whether a window that ended at `end` may be summed up at `now`, when `missing`
-/// gateways that were heard of lately have not closed it.
+/// Whether a window that ended at `end` may be summed up at `now`, while `missing` of
+/// the gateways that were heard of recently have not closed it.
 pub fn may_sum(end: Millis, missing: usize, now: Millis) -> bool {
     let over = now.since(end);
     (missing == 0 && over >= CLOSE_DELAY) || over >= MAX_SUM_DELAY
 }
 
-/// Adds up what the gateways counted.
+/// Adds up the parts of all gateways.
 pub fn sum<'a>(parts: impl IntoIterator<Item = &'a Part>) -> Counts {
     let mut all = Counts::new();
     for part in parts {
@@ -137,8 +142,8 @@
     all
 }
 
-/// The offset of true time from the store's clock, by what all gateways read: the
-/// median one, so that a few whose clocks are wrong don't move it.
+/// The offset of true time from the store's clock: the median of the offsets that all
+/// gateways have read, so that a few wrong clocks don't change it.
 pub fn median(offsets: &mut [i64]) -> Option<i64> {
     offsets.sort_unstable();
     offsets.get(offsets.len() / 2).copied()
--- a/src/policy/wave.rs
+++ b/src/policy/wave.rs
@@ -1,27 +1,27 @@
-//! Which engines of a pool swap to new weights next.
+//! Chooses the engines of a pool that swap to new weights next.
 
 use crate::base::{
     Millis,
     WeightVersion, //
 };
 
-/// One engine as the swap of one model sees it.
+/// One engine of a pool, with regard to the swap of one model.
 #[derive(Clone, Copy, Debug)]
 pub struct Engine<K> {
+    /// Identifies the engine to the caller.
     pub key: K,
-    /// Not before this time: the last try failed.
+    /// No order is sent before this time, because the last one failed.
     pub not_before: Millis,
-    /// An order to it is under way.
+    /// Whether an order to it is in progress.
     pub swapping: bool,
-    /// The confirmed version of the model.
+    /// The confirmed version of the model; `None` if it is in doubt.
     pub version: Option<WeightVersion>,
 }
 
 /// Chooses the engines to order now, so that at most `width` swap at once.
 ///
-/// Engines with the oldest weights go first, and those with weights in doubt
-/// before all. A newer target doesn't disturb orders under way; their engines
-/// come around again.
+/// Engines with weights in doubt go first, then those with the oldest weights. A newer
+/// target doesn't affect orders in progress: their engines are chosen again afterwards.
 pub fn next<K: Copy>(
     now: Millis,
     engines: &[Engine<K>],
