--- a/src/policy/agent_queue.rs
+++ b/src/policy/agent_queue.rs
@@ -127,9 +127,9 @@
             return None;
         }
 
-        let floor = turn % LOWEST_PRIORITY_INTERVAL == LOWEST_PRIORITY_INTERVAL - 1;
+        let lowest_first = turn % LOWEST_PRIORITY_INTERVAL == LOWEST_PRIORITY_INTERVAL - 1;
         let mut queues: Vec<&mut FairQueue<Item<K>>> = self.waiting.iter_mut().collect();
-        if !floor {
+        if !lowest_first {
             queues.reverse();
         }
         let current = self.policy == Policy::Current;
@@ -191,9 +191,9 @@
         self.running
     }
 
-    /// Removes and returns the waiting requests that can't be answered in time: an
-    /// answer takes at least `service` from the start, which is later than their
-    /// deadline.
+    /// Removes and returns the waiting requests that can't be answered in time: if they
+    /// started now, their answers would take at least `service`, and come after their
+    /// deadlines.
     ///
     /// Running them would spend the server's time on answers that nobody waits for any
     /// more, which keeps an overload going.
--- a/src/policy/claim_batch.rs
+++ b/src/policy/claim_batch.rs
@@ -97,7 +97,7 @@
             };
             // A transaction can't write a row twice: the later claim waits for the next
             // transaction, which then finds the row.
-            if batch.claims.iter().any(|one| one.path == wanted.path) {
+            if batch.claims.iter().any(|other| other.path == wanted.path) {
                 self.waiting.push_front(wanted);
                 break;
             }
@@ -107,7 +107,7 @@
             let Some(removal) = self.removals.pop_front() else {
                 break;
             };
-            if batch.claims.iter().any(|one| one.path == removal.0) {
+            if batch.claims.iter().any(|other| other.path == removal.0) {
                 self.removals.push_front(removal);
                 break;
             }
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Queues the writes of `batch` again after it was refused because of the row at
-    /// `path`, except the writes to that row. Returns the claim of that row, if it was
-    /// one.
+    /// Queues the writes of `batch` again, which was refused because of the row at
+    /// `path`, except the write to that row. Returns the claim of that row, if the row
+    /// was to be claimed.
     pub fn conflicted(&mut self, batch: Batch, path: &str) -> Option<PendingClaim> {
         let mut lost = None;
         for wanted in batch.claims.into_iter().rev() {
--- a/src/policy/claim_choice.rs
+++ b/src/policy/claim_choice.rs
@@ -57,7 +57,7 @@
 pub enum Holder {
     /// Another runner.
     Held {
-        /// Whether a second runner may join it.
+        /// Whether a second runner may join, which then runs the same items.
         joinable: bool,
         /// The time per event of its engine, as a multiple of that of this runner's engine.
         pace: f64,
@@ -101,9 +101,9 @@
     }
 }
 
-/// The age from which runners of other models take bundles of a batch. The runners of
-/// its model have seen it by then; earlier, the others would keep their own model's
-/// work waiting.
+/// The age from which runners with another home model take bundles of a batch. The
+/// runners of its model have seen it by then; earlier, the others would keep their own
+/// model's work waiting.
 const OTHER_MODEL_DELAY: Millis = Millis(400);
 
 /// A holder whose engine has the usual pace is joined after this time. This makes no
@@ -139,12 +139,13 @@
     }
 }
 
-/// Whether a runner runs an unclaimed bundle while the store accepts no claims: it has
-/// claimed the bundle itself, or the bundle is assigned to it by `place`.
+/// Whether the runner at `place` runs a bundle that no other runner holds, while the
+/// store accepts no claims: it has claimed the bundle, or the bundle is assigned to it
+/// by its place.
 ///
-/// The runner's own claim counts because its answer may be lost as the store becomes
-/// unreachable. A runner took such a claim for not written while all others had seen
-/// it, and nobody ran the bundle in an outage of 7 s.
+/// A claim by the runner itself counts because the answer to a claim may be lost as the
+/// store becomes unreachable. A runner took such a claim for not written while all
+/// others had seen it, and nobody ran the bundle in an outage of 7 s.
 pub fn is_assigned(offer: &Offer, place: Place) -> bool {
     let mine = offer.claimed || (place.owns(offer.order) && offer.home);
     mine && offer.loaded && offer.holder == Holder::Nobody
@@ -181,8 +182,9 @@
     (0, !place.owns(offer.order), usize::from(order))
 }
 
-/// Ranks offers by who holds the bundle, the lowest first; `None` for an offer that is
-/// not worth taking.
+/// Ranks offers, the lowest first: unheld bundles of the home model, unheld bundles of
+/// other models, bundles of other runners. `None` for an offer that is not worth
+/// taking.
 fn preference(offer: &Offer, runner: Runner) -> Option<u8> {
     match offer.holder {
         Holder::Nobody if runner.yields && offer.age < SLOWER_DELAY => None,
--- a/src/policy/claim_line.rs
+++ b/src/policy/claim_line.rs
@@ -25,17 +25,17 @@
     let waiting_steps = waiting_steps(offers);
     let steps: Vec<OpenStep> = waiting_steps.values().copied().collect();
     let ample = is_ample(&steps, supply, now);
-    let found = waiting_steps
+    let modes = waiting_steps
         .into_iter()
         .zip(step_modes(&steps, supply, now));
-    let found: Vec<StepPlan> = found
+    let plans: Vec<StepPlan> = modes
         .map(|(((_, batch), step), mode)| StepPlan {
             batch,
             mode,
             work: step.needed,
         })
         .collect();
-    for step in &found {
+    for step in &plans {
         let of_step = |offer: &&mut Offer| offer.batch == step.batch;
         for offer in offers.iter_mut().filter(of_step) {
             offer.surplus &= !ample;
@@ -49,10 +49,10 @@
         .collect();
     // Bundles are numbered group by group, in the order of the submission.
     queue.sort_by_key(|offer| (offer.urgency(), offer.batch, offer.bundle));
-    for (place, offer) in queue.into_iter().enumerate() {
-        offer.position = place;
+    for (position, offer) in queue.into_iter().enumerate() {
+        offer.position = position;
     }
-    found
+    plans
 }
 
 /// The waiting work of each step, by due time and batch.
--- a/src/policy/engine_life.rs
+++ b/src/policy/engine_life.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Whether the store has announced another incarnation than the one of which the
-/// mismatch showed that it is gone.
+/// Whether the store announces another incarnation than the one that the refused
+/// request named, which is gone.
 pub fn is_caught_up(announced: Option<&str>, mismatch: &Mismatch) -> bool {
     announced.is_some_and(|id| id != mismatch.expected)
 }
--- a/src/policy/explanation.rs
+++ b/src/policy/explanation.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Returns the verdict and the reason for it. `ended` is whether the entry is done with the
-/// request.
+/// Returns the verdict and the reason for it; `ended` is whether the entry is done with
+/// the request.
 fn verdict(
     entry: Option<&Account>,
     started: bool,
--- a/src/policy/fair_line.rs
+++ b/src/policy/fair_line.rs
@@ -48,7 +48,7 @@
 
     /// The number of waiting items of `team`.
     pub fn len_of(&self, team: u64) -> usize {
-        let queue = self.teams.iter().find(|(one, _)| *one == team);
+        let queue = self.teams.iter().find(|(id, _)| *id == team);
         queue.map_or(0, |(_, queue)| queue.len())
     }
 
@@ -71,7 +71,7 @@
 
     /// Removes the newest item of `team`.
     pub fn pop_newest(&mut self, team: u64) -> Option<T> {
-        let at = self.teams.iter().position(|(one, _)| *one == team)?;
+        let at = self.teams.iter().position(|(id, _)| *id == team)?;
         let item = self.teams[at].1.pop_back();
         if self.teams[at].1.is_empty() {
             self.teams.remove(at);
@@ -83,7 +83,7 @@
     /// Adds an item of `team`.
     pub fn push(&mut self, team: u64, item: T) {
         self.len += 1;
-        let queue = self.teams.iter_mut().find(|(one, _)| *one == team);
+        let queue = self.teams.iter_mut().find(|(id, _)| *id == team);
         match queue {
             Some((_, queue)) => queue.push_back(item),
             None => self.teams.push_back((team, VecDeque::from([item]))),
--- a/src/policy/fences.rs
+++ b/src/policy/fences.rs
@@ -44,7 +44,7 @@
     /// Each trainer's lease counts its own epochs, but an engine keeps a single highest
     /// number for all of them. When orders carried the number of their own lease, the
     /// engine refused every order of a trainer that was never taken over once another
-    /// trainer had been, and the step stood still. The number of the order's own lease
+    /// trainer had been, and the step did not go on. The number of the order's own lease
     /// is checked here anyway.
     pub fn highest(&self) -> Fence {
         let all = self.highest.values().map(|(fence, _)| *fence);
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -18,6 +18,7 @@
 
 /// The weight of a sample above the average.
 const RISE_WEIGHT: f64 = 0.5;
+
 /// The weight of a sample below the average.
 const FALL_WEIGHT: f64 = 0.1;
 
@@ -28,9 +29,9 @@
 impl Latency {
     /// The average in ms, at least 1; `usual` is the usual latency.
     pub fn estimate(&self, now: Millis, usual: f64) -> f64 {
-        let beyond = self.value.map_or(0.0, |value| value - usual);
+        let excess = self.value.map_or(0.0, |value| value - usual);
         let halvings = now.since(self.at).0 as f64 / HALF_LIFE.0 as f64;
-        (usual + beyond * 0.5_f64.powf(halvings)).max(1.0)
+        (usual + excess * 0.5_f64.powf(halvings)).max(1.0)
     }
 
     /// Adds a sample: a request took `taken` ms.
--- a/src/policy/model_share.rs
+++ b/src/policy/model_share.rs
@@ -184,15 +184,15 @@
     fn most_lacking(&self) -> usize {
         let models = 0..self.counts.len();
         let order = |model: &usize| (self.counts[*model] == 0, self.deficit(*model));
-        let poorer = |a: &usize, b: &usize| {
-            let ((a_none, a_lack), (b_none, b_lack)) = (order(a), order(b));
-            a_none.cmp(&b_none).then(a_lack.total_cmp(&b_lack))
+        let by_deficit = |a: &usize, b: &usize| {
+            let ((a_none, a_deficit), (b_none, b_deficit)) = (order(a), order(b));
+            a_none.cmp(&b_none).then(a_deficit.total_cmp(&b_deficit))
         };
-        models.max_by(poorer).unwrap_or_default()
+        models.max_by(by_deficit).unwrap_or_default()
     }
 
     /// The model that exceeds its share the most, of those with two or more runners.
-    fn most_surplus(&self) -> Option<usize> {
+    fn most_exceeding(&self) -> Option<usize> {
         let models = (0..self.counts.len()).filter(|model| self.counts[*model] > 1);
         models.min_by(|a, b| self.deficit(*a).total_cmp(&self.deficit(*b)))
     }
@@ -206,27 +206,27 @@
         homes: &mut [usize],
     ) -> bool {
         let most_lacking = self.most_lacking();
-        let Some(most_surplus) = self
-            .most_surplus()
-            .filter(|most_surplus| *most_surplus != most_lacking)
+        let Some(most_exceeding) = self
+            .most_exceeding()
+            .filter(|most_exceeding| *most_exceeding != most_lacking)
         else {
             return false;
         };
-        let to_longer = demands[most_lacking].length_class >= demands[most_surplus].length_class;
-        let there = (0..members.len()).filter(|member| homes[*member] == most_surplus);
+        let to_longer = demands[most_lacking].length_class >= demands[most_exceeding].length_class;
+        let movable = (0..members.len()).filter(|member| homes[*member] == most_exceeding);
         // Prefers a usual engine for a model whose texts are as long or longer, and a
         // slower engine otherwise; takes the last one.
-        let best = there.max_by_key(|member| (members[*member].slower != to_longer, *member));
+        let best = movable.max_by_key(|member| (members[*member].slower != to_longer, *member));
         let Some(mover) = best else {
             return false;
         };
         let weight = members[mover].weight();
-        let gain = self.deficit(most_lacking) - self.deficit(most_surplus);
+        let gain = self.deficit(most_lacking) - self.deficit(most_exceeding);
         if self.counts[most_lacking] > 0 && gain <= weight + MOVE_MARGIN {
             return false;
         }
-        self.counts[most_surplus] -= 1;
-        self.have[most_surplus] -= weight;
+        self.counts[most_exceeding] -= 1;
+        self.have[most_exceeding] -= weight;
         self.add(most_lacking, weight);
         homes[mover] = most_lacking;
         true
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -71,6 +71,7 @@
 /// a tenth longer than an idle one and does not count as slower; the users' slower kind
 /// takes 1.3 times as long.
 const SLOWER_RATIO: f64 = 1.15;
+
 /// Below this multiple of the usual pace, an engine that counted as slower counts as
 /// usual again.
 const SLOWER_EXIT_RATIO: f64 = 1.08;
@@ -126,7 +127,7 @@
     pace > 0.0 && usual > 0.0 && pace / usual >= STRAGGLER_RATIO
 }
 
-/// The usual pace of a service: that of its fastest quarter of engines. The median
+/// The usual pace of a service: the fastest quartile of its engines' paces. The median
 /// would be the pace of the slower kind where half of the engines are of that kind.
 pub fn usual_pace(mut paces: Vec<f64>) -> f64 {
     paces.retain(|pace| *pace > 0.0);
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantines requests under which servers crash.
+//! Quarantines requests that crash the servers that run them.
 //!
 //! Load pattern: a few servers crash each day, with all requests that they are working
 //! on. Once in a while a request crashes each server that runs it. It then arrives
@@ -29,9 +29,9 @@
     Barred,
 }
 
-/// The number of servers that may crash under one request. The loss of a rack takes
-/// down two servers under a call and its retry; three in a row, with no answer in
-/// between, are far more likely caused by the request than by chance.
+/// The number of servers that crash under a request before it is quarantined. The loss
+/// of a rack takes down two servers under a call and its retry; three in a row, with no
+/// answer in between, are far more likely caused by the request than by chance.
 pub const MAX_CRASHES: usize = 3;
 
 /// How long after the last crash a quarantined request is tried again, by the number of
@@ -48,7 +48,8 @@
 /// data centre with some thousand requests in progress; about 3 MB.
 const MAX_REQUESTS: usize = 20_000;
 
-/// The servers that crashed under each request since it was last answered.
+/// The servers that crashed under each request since it was last answered: those that
+/// ended unexpectedly while they may have been working on it.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     answered: Answered,
@@ -145,9 +146,9 @@
     since: Millis,
 }
 
-/// The minimum time for which an answer is remembered: longer than a burst of crashes,
-/// which takes a call and its retries, and shorter than callers tolerate a request that
-/// no server answers any more.
+/// The minimum time for which an answer is remembered, and crashes after it don't
+/// count: longer than a burst of crashes, which takes a call and its retries, and
+/// shorter than callers put up with a request that no server answers any more.
 const ANSWER_RETENTION: Millis = Millis(5_000);
 
 /// The most answers in one generation; about 64 KB. A busier instance remembers answers
--- a/src/policy/server_choice.rs
+++ b/src/policy/server_choice.rs
@@ -95,7 +95,9 @@
 /// their mean, with one in a hundred five times as long: with [`HEDGE_MARGIN`] added,
 /// nearly all calls are answered before.
 const HEDGE_FACTOR: f64 = 2.0;
+
 /// Added to the multiple of the typical duration.
 const HEDGE_MARGIN: Millis = Millis(50);
+
 /// The shortest delay.
 const MIN_HEDGE_DELAY: Millis = Millis(20);
--- a/src/policy/step_order.rs
+++ b/src/policy/step_order.rs
@@ -9,7 +9,7 @@
 //!
 //! A trainer waits for a share of a step's groups only, and can use each group that is
 //! complete in time. So when engines are scarce, the groups that it waits for go first,
-//! a step that can't be complete in time is worked off group by group, and what can't
+//! a step that can't be complete in time is run group by group, and what can't
 //! be in time any more gives way to what can. Groups go in the order of their
 //! submission, in which those left over from an earlier step come first: no text waits
 //! or is given up because of its length.
@@ -28,7 +28,8 @@
     pub needed: u64,
 }
 
-/// The engines of the runners with one home model.
+/// The capacity of the engines that serve a model: those whose runners have it as their
+/// home model.
 #[derive(Clone, Copy, Debug)]
 pub struct Supply {
     /// The number of items that they run at once.
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -41,7 +41,7 @@
     pub counts: Counts,
 }
 
-/// What a gateway has counted, and which of it is in the store.
+/// What a gateway has counted, and which windows of that are in the store.
 #[derive(Debug)]
 pub struct Tally {
     /// The oldest open window; all earlier ones are closed.
--- a/src/policy/version_plan.rs
+++ b/src/policy/version_plan.rs
@@ -57,6 +57,7 @@
 /// of them down; with fewer, steps that need the weights wait. Together with
 /// [`MIN_LOADING_LIMIT`] this makes 2 of 9 and 9 of 46 engines on the users' sites.
 const MAX_LOADING_SHARE: f64 = 0.2;
+
 /// The number of engines that may load at once in any case.
 const MIN_LOADING_LIMIT: usize = 2;
 
@@ -85,6 +86,7 @@
 /// slow down those of the model's own runners. When all began at once, a single bundle
 /// that waited for a slot made 21 of 44 engines load at the same moment.
 const RESCUE_DELAY: Millis = Millis(3_000);
+
 /// The interval at which these runners follow one another.
 const RESCUE_INTERVAL: Millis = Millis(400);
 
@@ -109,39 +111,42 @@
 }
 
 /// Decides whether the engine loads new weights now.
-pub fn decide(now: &Situation) -> LoadDecision {
-    if now.held >= now.named {
+pub fn decide(situation: &Situation) -> LoadDecision {
+    if situation.held >= situation.named {
         return LoadDecision::Wait;
     }
-    let most = loading_limit(now.runners);
-    let wave = (most / now.models.max(1)).max(1);
-    let turns = (now.place.rank / wave) as u64;
-    if let Some(outage) = now.outage {
-        return load_if(is_due_in_outage(now, outage, turns), now.named);
+    let limit = loading_limit(situation.runners);
+    let wave_size = (limit / situation.models.max(1)).max(1);
+    let waves_before = (situation.place.rank / wave_size) as u64;
+    if let Some(outage) = situation.outage {
+        return load_if(
+            is_due_in_outage(situation, outage, waves_before),
+            situation.named,
+        );
     }
-    let turn = Millis(WAVE_INTERVAL.0 * turns);
-    let free = now.loading < most;
-    if now.needed > now.held {
+    let wave_delay = Millis(WAVE_INTERVAL.0 * waves_before);
+    let free = situation.loading < limit;
+    if situation.needed > situation.held {
         // A runner whose last heartbeat says that it is loading may have crashed since.
-        let overdue = now.needed_for >= Millis(LOAD_TIME.0 * (turns + 2));
-        let rescue = RESCUE_DELAY + Millis(RESCUE_INTERVAL.0 * now.place.rank as u64);
-        let due = match now.home {
-            true => (free && now.needed_for >= turn) || overdue,
-            false => free && now.needed_for >= rescue,
+        let overdue = situation.needed_for >= Millis(LOAD_TIME.0 * (waves_before + 2));
+        let rescue = RESCUE_DELAY + Millis(RESCUE_INTERVAL.0 * situation.place.rank as u64);
+        let due = match situation.home {
+            true => (free && situation.needed_for >= wave_delay) || overdue,
+            false => free && situation.needed_for >= rescue,
         };
-        return load_if(due, now.named);
+        return load_if(due, situation.named);
     }
-    if now.next_near && is_early(now) {
-        return load_if(free && now.named_for >= turn, now.named);
+    if situation.next_near && is_early(situation) {
+        return load_if(free && situation.named_for >= wave_delay, situation.named);
     }
-    let idle = now.home && !now.waiting && now.is_turn;
-    let spare = match now.ready * 2 >= now.place.count {
-        true => MAX_SPARE_LOADING.min(most),
-        false => most,
+    let idle = situation.home && !situation.waiting && situation.is_turn;
+    let spare = match situation.ready * 2 >= situation.place.count {
+        true => MAX_SPARE_LOADING.min(limit),
+        false => limit,
     };
     load_if(
-        idle && now.loading < spare && now.named_for >= QUIET_PERIOD,
-        now.named,
+        idle && situation.loading < spare && situation.named_for >= QUIET_PERIOD,
+        situation.named,
     )
 }
 
@@ -150,10 +155,10 @@
 /// and the trainers' first two steps after an outage of 7 s began 1.5 to 2.2 s late. A
 /// version that was named during the outage does not count: it shows that the store is
 /// back, and all engines would load it at the same moment.
-fn is_due_in_outage(now: &Situation, outage: Millis, turns: u64) -> bool {
-    let idle = now.home && !now.waiting;
-    let old = now.named_for >= outage;
-    idle && old && outage >= QUIET_PERIOD + Millis(OUTAGE_WAVE_INTERVAL.0 * turns)
+fn is_due_in_outage(situation: &Situation, outage: Millis, waves_before: u64) -> bool {
+    let idle = situation.home && !situation.waiting;
+    let old = situation.named_for >= outage;
+    idle && old && outage >= QUIET_PERIOD + Millis(OUTAGE_WAVE_INTERVAL.0 * waves_before)
 }
 
 /// Whether the engine is in the half that loads the version before it works on the
@@ -161,9 +166,9 @@
 /// second needs the version that was named with the first, and began 1.8 s late because
 /// no engine had been idle in between. The halves alternate, so that each engine loads
 /// every second version.
-fn is_early(now: &Situation) -> bool {
-    let turn = (now.place.rank as u64 + now.named).is_multiple_of(2);
-    now.home && now.place.count > 1 && turn
+fn is_early(situation: &Situation) -> bool {
+    let turn = (situation.place.rank as u64 + situation.named).is_multiple_of(2);
+    situation.home && situation.place.count > 1 && turn
 }
 
 /// [`LoadDecision::Load`] if `due`.
