--- a/src/policy/claim_choice.rs
+++ b/src/policy/claim_choice.rs
@@ -22,9 +22,11 @@
     pub surplus: bool,
     /// When the results of the batch are due.
     pub due: Millis,
+    /// The bundle, by its index in the batch.
     pub bundle: u16,
     /// Whether the bundle is known to be claimed by this runner.
     pub claimed: bool,
+    /// Who runs the bundle at present.
     pub holder: Holder,
     /// Whether its model is the runner's home model, the one that the runner serves
     /// first.
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -1376,16 +1376,16 @@
     }
 }
 
-/// Steps of one model, and the turn of each.
+/// Steps of one model, and the mode of each.
 struct Order {
     name: &'static str,
-    /// When each step is due and its waiting work, in s of one place.
+    /// When each step is due and its waiting work, in s of one slot.
     steps: Vec<(u64, u64)>,
     places: u32,
     turns: Vec<StepMode>,
 }
 
-/// It is second 10, and a place takes 1 ms for a token. A step that can be whole in
+/// It is second 10, and a slot takes 1 ms for a token. A step that can be whole in
 /// time begins with its longest texts; one that can't is worked off by groups; what
 /// is late makes way.
 #[test]
@@ -1440,7 +1440,7 @@
     }
 }
 
-/// Two runners free a place each while a step is worked off by groups. They take the
+/// Two runners free a slot each while a step is worked off by groups. They take the
 /// next bundles in line, each its own; what its trainer waits for goes before the
 /// groups beyond, and late steps before those but after all else.
 #[test]
@@ -1481,7 +1481,7 @@
     assert_eq!(taken(&offers[..1], 0), Some(5));
 }
 
-/// What a place takes for an expected token, by runs whose estimates are off by half.
+/// What a slot takes for an expected token, by runs whose estimates are off by half.
 #[test]
 fn a_places_rate_is_learned_from_its_runs() {
     let mut rate = Rate::default();
