--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -13,7 +13,7 @@
 use crate::{
     base::{Millis, Verdict},
     net::FullResponse,
-    policy::{freshness::WAIT_STALE, server_choice::hedge_after},
+    policy::{freshness::STALE_RETRY_AFTER, server_choice::hedge_delay},
     routing::{RouteKind, ServerIncarnation},
     view, //
 };
@@ -166,7 +166,7 @@
         let service = self.call.route.service_of(&self.call.id)?;
         let typical = self.dispatcher.typical_latency(service);
         let left = self.call.deadline.since(self.dispatcher.site.now());
-        Some(hedge_after(typical, left))
+        Some(hedge_delay(typical, left))
     }
 
     /// Chooses the server for a hedged attempt, if the retry budget allows one.
@@ -207,7 +207,7 @@
             },
             (0, _) if self.last_reason == STALE_REASON => CallOutcome::NotRun {
                 reason,
-                wait: WAIT_STALE,
+                wait: STALE_RETRY_AFTER,
             },
             (0, true) => CallOutcome::NotRun {
                 reason,
--- a/src/calls/crash_check.rs
+++ b/src/calls/crash_check.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     base::{Fingerprint, Millis},
-    policy::quarantine::Verdict,
+    policy::quarantine::QuarantineState,
     routing::Server,
     view::Attempt, //
 };
@@ -40,7 +40,7 @@
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
         match self.crashes.quarantine_state(request) {
-            Verdict::Trial => self.crashes.claim_trial(request).await,
+            QuarantineState::Trial => self.crashes.claim_trial(request).await,
             _ => None,
         }
     }
@@ -49,9 +49,9 @@
     /// the one that a claimed trial allows.
     pub(super) fn is_barred(&self, call: &Call, trial: bool) -> bool {
         match self.crashes.quarantine_state(call.fingerprint) {
-            Verdict::Clear | Verdict::Watched | Verdict::Suspect => false,
-            Verdict::Trial => !trial,
-            Verdict::Barred => true,
+            QuarantineState::Clear | QuarantineState::Watched | QuarantineState::Suspect => false,
+            QuarantineState::Trial => !trial,
+            QuarantineState::Barred => true,
         }
     }
 
--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -16,10 +16,10 @@
     net::{CallError, FullResponse, Peer},
     platform,
     policy::{
-        freshness::WAIT_STALE,
+        freshness::STALE_RETRY_AFTER,
         retry_budget::RetryBudget,
         server_choice::{Candidate, choose},
-        typical::Typical, //
+        typical::TypicalLatency, //
     },
     routing::{RouteKind, Server, ServerIncarnation},
     usage::Counter,
@@ -55,7 +55,7 @@
     pub(super) budget: RetryBudget,
     peers: HashMap<SocketAddr, Peer>,
     /// Each service's typical latency.
-    typical_latency: HashMap<String, Typical>,
+    typical_latency: HashMap<String, TypicalLatency>,
 }
 
 impl State {
@@ -151,7 +151,7 @@
             if self.is_config_stale(call) {
                 return StreamOutcome::NotRun {
                     reason: STALE_REASON.to_owned(),
-                    wait: WAIT_STALE,
+                    wait: STALE_RETRY_AFTER,
                 };
             }
             let Some(server) = self.choose_server(call, &tried) else {
@@ -359,7 +359,7 @@
                 if answer.status.is_server_error() {
                     return;
                 }
-                state.budget.succeed();
+                state.budget.record_success();
                 let service = state.typical_latency.entry(sent.server.service.clone());
                 let average = service.or_default();
                 let typical = average.value();
--- a/src/calls/server_records.rs
+++ b/src/calls/server_records.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{Fingerprint, Millis, Verdict},
-    policy::{health::Health, latency::Latency, server_choice::Candidate},
+    policy::{health::CircuitBreaker, latency::Latency, server_choice::Candidate},
     routing::{Server, ServerIncarnation}, //
 };
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
     pending: Vec<PendingRequest>,
     /// When this process found out that the server had ended.
     ended_at: Option<Millis>,
-    breaker: Health,
+    breaker: CircuitBreaker,
     /// Calls of this process at the server; streams are not counted.
     in_flight: u32,
     latency: Latency,
@@ -91,7 +91,7 @@
                 .and_then(recent),
             slots: server.slots,
             tried,
-            trusted: record.is_none_or(|record| record.breaker.may_get(now)),
+            trusted: record.is_none_or(|record| record.breaker.allows(now)),
         }
     }
 
@@ -106,7 +106,7 @@
         let record = self.records.entry(server.clone()).or_default();
         record.in_flight += 1;
         record.last_used = now;
-        record.breaker.try_once(now);
+        record.breaker.begin_trial(now);
     }
 
     /// Stops counting a call to `server` as in flight.
@@ -126,7 +126,7 @@
         taken: f64,
     ) {
         if let Some(record) = self.records.get_mut(server) {
-            record.breaker.succeed();
+            record.breaker.record_success();
             record.latency.note(now, typical, taken);
         }
     }
@@ -136,9 +136,9 @@
         let Some(record) = self.records.get_mut(server) else {
             return false;
         };
-        let was_open = record.breaker.is_out();
-        record.breaker.fail(now);
-        !was_open && record.breaker.is_out()
+        let was_open = record.breaker.is_open();
+        record.breaker.record_failure(now);
+        !was_open && record.breaker.is_open()
     }
 
     /// Records that the server had not answered after `waited` ms, which is a lower bound of
--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -8,7 +8,7 @@
     platform,
     policy::{
         access::{self, Denial},
-        freshness::WAIT_STALE, //
+        freshness::STALE_RETRY_AFTER, //
     },
     routing::{Config, Route, Workspace},
     view::Site, //
@@ -71,7 +71,7 @@
             Self::Denied(denial) => denied(denial),
             Self::NoConfig => reply::refusal(CONFIG_RETRY_AFTER, "no configuration yet"),
             Self::NoRoute => reply::status(StatusCode::NOT_FOUND, "no route"),
-            Self::Stale => reply::refusal(WAIT_STALE, "the configuration is not confirmed"),
+            Self::Stale => reply::refusal(STALE_RETRY_AFTER, "the configuration is not confirmed"),
         }
     }
 }
@@ -94,7 +94,7 @@
     pub(super) async fn batch_scope(&self, head: &Parts) -> Result<BatchScope, Refusal> {
         let credential = platform::credential(&head.headers);
         let authenticate = |config: &Arc<Config>| {
-            let decision = access::judge(config.workspaces.as_ref(), false, credential);
+            let decision = access::authenticate(config.workspaces.as_ref(), false, credential);
             decision.map_err(Refusal::Denied)
         };
         match self.decide(authenticate, Option::is_some).await {
@@ -182,7 +182,7 @@
     let route = config.route(host(head), head.uri.path());
     let route = route.ok_or(Refusal::NoRoute)?.clone();
     let credential = platform::credential(&head.headers);
-    let workspace = access::judge(
+    let workspace = access::authenticate(
         config.workspaces.as_ref(),
         route.allow_anonymous,
         credential,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -13,7 +13,7 @@
 use crate::{
     base::{Clock, Millis},
     net::{CallError, FullResponse, Peer, Reachability},
-    policy::patience::Patience,
+    policy::patience::AdaptiveTimeout,
     store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
 };
 use base64::{
@@ -36,7 +36,7 @@
 #[derive(Clone)]
 pub struct Store {
     pub(super) clock: Clock,
-    call_timeout: Arc<Mutex<Patience>>,
+    call_timeout: Arc<Mutex<AdaptiveTimeout>>,
     pub(super) probe_schedule: Arc<ProbeSchedule>,
     pub(super) peer: Peer,
     pub(super) reach: Arc<Reachability>,
@@ -238,7 +238,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<FullResponse, StoreError> {
-        let within = self.call_timeout().wait(self.clock.now());
+        let within = self.call_timeout().timeout(self.clock.now());
         self.wait_reachable(within).await?;
         let started = self.clock.now();
         let result = self.call(method, path, body, within).await;
@@ -248,13 +248,13 @@
         // the store's latency.
         match &result {
             Ok(_) => self.call_timeout().note(now, taken),
-            Err(_) if taken >= within => self.call_timeout().give_up(),
+            Err(_) if taken >= within => self.call_timeout().note_timeout(),
             Err(_) => {}
         }
         result
     }
 
-    fn call_timeout(&self) -> MutexGuard<'_, Patience> {
+    fn call_timeout(&self) -> MutexGuard<'_, AdaptiveTimeout> {
         self.call_timeout
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/src/policy/claim_line.rs
+++ b/src/policy/claim_line.rs
@@ -1,72 +1,79 @@
-//! The line in which a model's waiting bundles begin, by the turns of their steps.
+//! Determines the order in which a model's waiting bundles start, by the modes of their
+//! steps.
 
 use super::{
     claim_choice::{Holder, Offer},
-    step_order::{Step, Supply, Turn, is_ample, turns}, //
+    step_order::{OpenStep, StepMode, Supply, is_ample, step_modes}, //
 };
 use crate::base::Millis;
 use std::collections::BTreeMap;
 
-/// How the bundles of one step begin.
+/// How the waiting bundles of one step are started.
 #[derive(Clone, Copy, Debug)]
-pub struct StepLine {
-    /// The batch, by the runner's own numbering.
+pub struct StepPlan {
+    /// The batch, by its index in the runner's own list.
     pub batch: usize,
-    pub turn: Turn,
-    /// The expected tokens of its waiting bundles that its trainer waits for.
+    pub mode: StepMode,
+    /// The expected output tokens of its waiting bundles that the trainer waits for.
     pub work: u64,
 }
 
-/// Sets the turns of the `offers` that wait for the runner's own model, and their
-/// places in line. Returns what it found for each of their steps.
-pub fn line_up(offers: &mut [Offer], supply: Supply, now: Millis) -> Vec<StepLine> {
-    let waiting = waiting(offers);
-    let steps: Vec<Step> = waiting.values().copied().collect();
+/// Sets the modes of the steps with `offers` that wait for the runner's home model, and
+/// the positions of these offers. Clears `surplus` while there are engines enough for
+/// all. Returns the plan of each step.
+pub fn plan_start_order(offers: &mut [Offer], supply: Supply, now: Millis) -> Vec<StepPlan> {
+    let waiting_steps = waiting_steps(offers);
+    let steps: Vec<OpenStep> = waiting_steps.values().copied().collect();
     let ample = is_ample(&steps, supply, now);
-    let found = waiting.into_iter().zip(turns(&steps, supply, now));
-    let found: Vec<StepLine> = found
-        .map(|(((_, batch), step), turn)| StepLine {
+    let modes = waiting_steps
+        .into_iter()
+        .zip(step_modes(&steps, supply, now));
+    let plans: Vec<StepPlan> = modes
+        .map(|(((_, batch), step), mode)| StepPlan {
             batch,
-            turn,
+            mode,
             work: step.needed,
         })
         .collect();
-    for step in &found {
+    for step in &plans {
         let of_step = |offer: &&mut Offer| offer.batch == step.batch;
         for offer in offers.iter_mut().filter(of_step) {
-            offer.beyond &= !ample;
-            offer.turn = step.turn;
+            offer.surplus &= !ample;
+            offer.mode = step.mode;
         }
     }
 
-    let mut line: Vec<&mut Offer> = offers.iter_mut().filter(|offer| waits(offer)).collect();
+    let mut queue: Vec<&mut Offer> = offers
+        .iter_mut()
+        .filter(|offer| is_waiting(offer))
+        .collect();
     // Bundles are numbered group by group, in the order of the submission.
-    line.sort_by_key(|offer| (offer.urgency(), offer.batch, offer.bundle));
-    for (place, offer) in line.into_iter().enumerate() {
-        offer.line = place;
+    queue.sort_by_key(|offer| (offer.urgency(), offer.batch, offer.bundle));
+    for (position, offer) in queue.into_iter().enumerate() {
+        offer.position = position;
     }
-    found
+    plans
 }
 
-/// What waits of each step, by due time and number.
-fn waiting(offers: &[Offer]) -> BTreeMap<(Millis, usize), Step> {
+/// The waiting work of each step, by due time and batch.
+fn waiting_steps(offers: &[Offer]) -> BTreeMap<(Millis, usize), OpenStep> {
     let mut steps = BTreeMap::new();
-    for offer in offers.iter().filter(|offer| waits(offer)) {
+    for offer in offers.iter().filter(|offer| is_waiting(offer)) {
         let due = offer.due;
-        let step = steps.entry((due, offer.batch)).or_insert(Step {
-            beyond: 0,
+        let step = steps.entry((due, offer.batch)).or_insert(OpenStep {
+            surplus: 0,
             due,
             needed: 0,
         });
-        match offer.beyond {
-            true => step.beyond += offer.work,
+        match offer.surplus {
+            true => step.surplus += offer.work,
             false => step.needed += offer.work,
         }
     }
     steps
 }
 
-/// Whether nobody runs the bundle and the runner's model is its own.
-fn waits(offer: &Offer) -> bool {
+/// Whether nobody runs the bundle and its model is the runner's home model.
+fn is_waiting(offer: &Offer) -> bool {
     offer.home && offer.holder == Holder::Nobody
 }
--- a/src/policy/claims.rs
+++ b/src/policy/claims.rs
@@ -1,4 +1,5 @@
-//! Which request keys an agent has seen, so that a repeat does not run again.
+//! Remembers the request keys that an agent has seen, so that a repeated request does
+//! not run again.
 
 use crate::base::{
     Millis,
@@ -11,30 +12,32 @@
 
 /// The outcome of claiming a key.
 #[derive(Debug, Eq, PartialEq)]
-pub enum Claim {
-    /// The key is new here, and now taken.
+pub enum KeyClaim {
+    /// The key is new to this agent, and is now claimed.
     Fresh,
-    /// The window is full of younger keys; nothing can be said of this one.
+    /// There is no room for another key: all those kept are within the window.
     Full,
-    /// The key belongs to a request that was begun.
+    /// The key was claimed before, by this request.
     Taken(RequestId),
 }
 
-/// Claimed keys, kept for a window.
+/// Claimed keys, each kept for a window of time.
 ///
 /// # Invariants
 ///
-/// A key is forgotten only when it is older than the window, never for want
-/// of room: room that is short refuses new keys instead.
+/// A key is forgotten only when it is released or older than the window, never for lack
+/// of room: new keys are refused instead.
 #[derive(Debug)]
-pub struct Claims {
+pub struct SeenKeys {
+    /// By key: the request that claimed it.
     keys: HashMap<String, RequestId>,
     limit: usize,
+    /// Claimed keys, oldest first.
     order: VecDeque<(Millis, String)>,
     window: Millis,
 }
 
-impl Claims {
+impl SeenKeys {
     /// Keeps at most `limit` keys, each for `window`.
     pub fn new(window: Millis, limit: usize) -> Self {
         Self {
@@ -46,21 +49,21 @@
     }
 
     /// Claims `key` for `request`.
-    pub fn claim(&mut self, now: Millis, key: &str, request: RequestId) -> Claim {
+    pub fn claim(&mut self, now: Millis, key: &str, request: RequestId) -> KeyClaim {
         self.forget_old(now);
         if let Some(earlier) = self.keys.get(key) {
-            return Claim::Taken(*earlier);
+            return KeyClaim::Taken(*earlier);
         }
         if self.keys.len() >= self.limit {
-            return Claim::Full;
+            return KeyClaim::Full;
         }
 
         self.keys.insert(key.to_owned(), request);
         self.order.push_back((now, key.to_owned()));
-        Claim::Fresh
+        KeyClaim::Fresh
     }
 
-    /// Frees `key` again, since `request` was removed before it started.
+    /// Frees `key` again, because `request` was removed before it started.
     pub fn release(&mut self, key: &str, request: RequestId) {
         if self.keys.get(key) == Some(&request) {
             self.keys.remove(key);
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Removes the keys that are older than the window.
     fn forget_old(&mut self, now: Millis) {
         while let Some((at, _)) = self.order.front() {
             if now.since(*at) <= self.window {
--- a/src/policy/fair_line.rs
+++ b/src/policy/fair_line.rs
@@ -1,20 +1,21 @@
-//! A waiting line that is shared between teams.
+//! A queue that is shared fairly between teams.
 
 use std::collections::VecDeque;
 
-/// Items by team; a pop goes to the team that has the least, and to each in
-/// turn among equals.
+/// Waiting items by team. [`FairQueue::pop`] takes from the team with the fewest
+/// running requests, and from equal teams in turn.
 ///
 /// # Invariants
 ///
-/// `len` is the sum of all teams' items, and no team's line is empty.
+/// `len` is the sum over all teams, and no team has an empty queue.
 #[derive(Debug)]
-pub struct FairLine<T> {
+pub struct FairQueue<T> {
     len: usize,
+    /// The teams with waiting items; a team moves to the back with each pop.
     teams: VecDeque<(u64, VecDeque<T>)>,
 }
 
-impl<T> Default for FairLine<T> {
+impl<T> Default for FairQueue<T> {
     fn default() -> Self {
         Self {
             len: 0,
@@ -23,54 +24,54 @@
     }
 }
 
-impl<T> FairLine<T> {
-    /// Whether nothing waits.
+impl<T> FairQueue<T> {
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All items, for a look.
+    /// Iterates over all items, team by team.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
-        self.teams.iter().flat_map(|(_, line)| line)
+        self.teams.iter().flat_map(|(_, queue)| queue)
     }
 
-    /// How many wait.
+    /// The number of waiting items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// The longest team's line: its team and its length.
+    /// Returns the team with the most waiting items, and their number.
     pub fn longest(&self) -> Option<(u64, usize)> {
-        let lengths = self.teams.iter().map(|(team, line)| (*team, line.len()));
+        let lengths = self.teams.iter().map(|(team, queue)| (*team, queue.len()));
         lengths.max_by_key(|(_, length)| *length)
     }
 
-    /// How many of `team` wait.
-    pub fn of(&self, team: u64) -> usize {
-        let line = self.teams.iter().find(|(one, _)| *one == team);
-        line.map_or(0, |(_, line)| line.len())
+    /// The number of waiting items of `team`.
+    pub fn len_of(&self, team: u64) -> usize {
+        let queue = self.teams.iter().find(|(id, _)| *id == team);
+        queue.map_or(0, |(_, queue)| queue.len())
     }
 
-    /// Takes the oldest item of the team for which `running` is least, or its
-    /// newest if `newest` holds for the oldest.
+    /// Removes the oldest item of the team for which `running` is lowest, or that
+    /// team's newest item if `newest` is true for its oldest.
     pub fn pop(&mut self, running: impl Fn(u64) -> u32, newest: impl Fn(&T) -> bool) -> Option<T> {
         let teams = self.teams.iter().enumerate();
         let (at, _) = teams.min_by_key(|(_, (team, _))| running(*team))?;
-        let (team, mut line) = self.teams.remove(at)?;
-        let item = match line.front().is_some_and(newest) {
-            true => line.pop_back(),
-            false => line.pop_front(),
+        let (team, mut queue) = self.teams.remove(at)?;
+        let item = match queue.front().is_some_and(newest) {
+            true => queue.pop_back(),
+            false => queue.pop_front(),
         };
-        if !line.is_empty() {
-            self.teams.push_back((team, line));
+        if !queue.is_empty() {
+            self.teams.push_back((team, queue));
         }
         self.len -= 1;
         item
     }
 
-    /// Takes the newest item of `team` back out.
+    /// Removes the newest item of `team`.
     pub fn pop_newest(&mut self, team: u64) -> Option<T> {
-        let at = self.teams.iter().position(|(one, _)| *one == team)?;
+        let at = self.teams.iter().position(|(id, _)| *id == team)?;
         let item = self.teams[at].1.pop_back();
         if self.teams[at].1.is_empty() {
             self.teams.remove(at);
@@ -82,25 +83,25 @@
     /// Adds an item of `team`.
     pub fn push(&mut self, team: u64, item: T) {
         self.len += 1;
-        let line = self.teams.iter_mut().find(|(one, _)| *one == team);
-        match line {
-            Some((_, line)) => line.push_back(item),
+        let queue = self.teams.iter_mut().find(|(id, _)| *id == team);
+        match queue {
+            Some((_, queue)) => queue.push_back(item),
             None => self.teams.push_back((team, VecDeque::from([item]))),
         }
     }
 
-    /// Takes out all items for which `out` holds.
-    pub fn take_if(&mut self, mut out: impl FnMut(&T) -> bool) -> Vec<T> {
+    /// Removes and returns all items for which `out` is true.
+    pub fn extract_if(&mut self, mut out: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
-        for (_, line) in &mut self.teams {
-            for item in std::mem::take(line) {
+        for (_, queue) in &mut self.teams {
+            for item in std::mem::take(queue) {
                 match out(&item) {
                     true => taken.push(item),
-                    false => line.push_back(item),
+                    false => queue.push_back(item),
                 }
             }
         }
-        self.teams.retain(|(_, line)| !line.is_empty());
+        self.teams.retain(|(_, queue)| !queue.is_empty());
         self.len -= taken.len();
         taken
     }
@@ -112,37 +113,40 @@
 
     #[test]
     fn teams_take_turns() {
-        let mut line = FairLine::default();
+        let mut queue = FairQueue::default();
         for item in 0..6 {
-            line.push(1, item);
+            queue.push(1, item);
         }
-        line.push(2, 100);
-        line.push(3, 200);
-        let order: Vec<i32> = std::iter::from_fn(|| line.pop(|_| 0, |_| false)).collect();
+        queue.push(2, 100);
+        queue.push(3, 200);
+        let order: Vec<i32> = std::iter::from_fn(|| queue.pop(|_| 0, |_| false)).collect();
         assert_eq!(order, [0, 100, 200, 1, 2, 3, 4, 5]);
-        assert!(line.is_empty());
+        assert!(queue.is_empty());
     }
 
     #[test]
-    fn the_team_with_the_least_goes_first() {
-        let mut line = FairLine::default();
+    fn the_team_with_the_fewest_running_goes_first() {
+        let mut queue = FairQueue::default();
         for team in [1, 2, 3] {
-            line.push(team, team);
+            queue.push(team, team);
         }
         let running = |team| if team == 2 { 0 } else { 5 };
-        assert_eq!(line.pop(running, |_| false), Some(2));
+        assert_eq!(queue.pop(running, |_| false), Some(2));
     }
 
     #[test]
-    fn counts_follow_every_change() {
-        let mut line = FairLine::default();
+    fn counts_are_right_after_every_change() {
+        let mut queue = FairQueue::default();
         for item in 0..10 {
-            line.push(item % 3, item);
+            queue.push(item % 3, item);
         }
-        assert_eq!(line.longest().map(|(_, length)| length), Some(4));
-        assert_eq!(line.pop_newest(0), Some(9));
-        assert_eq!(line.take_if(|item| item % 2 == 0).len(), 5);
-        assert_eq!(line.len(), line.iter().count());
-        assert_eq!(line.of(0) + line.of(1) + line.of(2), line.len());
+        assert_eq!(queue.longest().map(|(_, length)| length), Some(4));
+        assert_eq!(queue.pop_newest(0), Some(9));
+        assert_eq!(queue.extract_if(|item| item % 2 == 0).len(), 5);
+        assert_eq!(queue.len(), queue.iter().count());
+        assert_eq!(
+            queue.len_of(0) + queue.len_of(1) + queue.len_of(2),
+            queue.len()
+        );
     }
 }
--- a/src/policy/fences.rs
+++ b/src/policy/fences.rs
@@ -1,4 +1,4 @@
-//! Which orders are overtaken by newer ones.
+//! Detects orders that newer ones have superseded, by their fencing numbers.
 
 use crate::base::{
     Fence,
@@ -6,13 +6,15 @@
 };
 use std::collections::HashMap;
 
-/// The decision on an order.
+/// The result of checking an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ruling {
-    /// The lease's row must be read first: this process has just started.
-    Ask,
+pub enum FenceCheck {
+    /// No fencing number of the lease is known, because this process has just started:
+    /// the lease's row must be read first.
+    Unknown,
+    /// No newer order is known.
     Pass,
-    /// A newer order has been seen.
+    /// A newer order is known, under this fencing number.
     Stale(Fence),
 }
 
@@ -20,15 +22,16 @@
 ///
 /// # Invariants
 ///
-/// A number only grows. An order below it never passes, whether or not the
-/// backend server checks fencing numbers itself.
+/// A number never decreases. An order with a lower number never passes, whether or not
+/// the backend server checks fencing numbers itself.
 #[derive(Debug, Default)]
 pub struct Fences {
+    /// By lease: the fencing number, and the newest version ordered under it.
     highest: HashMap<String, (Fence, WeightVersion)>,
 }
 
 impl Fences {
-    /// The table shows that the lease has reached `fence`.
+    /// Records that the lease has reached `fence`, as the table shows.
     pub fn learn(&mut self, lease: &str, fence: Fence) {
         let known = self.highest.entry(lease.to_owned()).or_default();
         if fence > known.0 {
@@ -36,27 +39,28 @@
         }
     }
 
-    /// The number under which orders go to the engine: the highest of all leases.
+    /// The fencing number that orders to the engine carry: the highest of all leases.
     ///
-    /// Each trainer's lease counts its own epochs, but an engine keeps one highest
-    /// number for all of them. Under its own lease's number an order of a trainer
-    /// that was never taken over was refused for good once another trainer had been:
-    /// the step stood still, while the lease's own number is checked here anyway.
+    /// Each trainer's lease counts its own epochs, but an engine keeps a single highest
+    /// number for all of them. When orders carried the number of their own lease, the
+    /// engine refused every order of a trainer that was never taken over once another
+    /// trainer had been, and the step did not go on. The number of the order's own lease
+    /// is checked here anyway.
     pub fn highest(&self) -> Fence {
         let all = self.highest.values().map(|(fence, _)| *fence);
         all.max().unwrap_or_default()
     }
 
-    /// Rules on an order for `version` under `fence`, and notes it if it passes.
-    pub fn rule(&mut self, lease: &str, fence: Fence, version: WeightVersion) -> Ruling {
+    /// Checks an order for `version` under `fence`, and records it if it passes.
+    pub fn check(&mut self, lease: &str, fence: Fence, version: WeightVersion) -> FenceCheck {
         let Some(highest) = self.highest.get_mut(lease) else {
-            return Ruling::Ask;
+            return FenceCheck::Unknown;
         };
         if (fence, version) < *highest {
-            return Ruling::Stale(highest.0);
+            return FenceCheck::Stale(highest.0);
         }
         *highest = (fence, version);
-        Ruling::Pass
+        FenceCheck::Pass
     }
 }
 
@@ -67,22 +71,22 @@
     #[test]
     fn older_orders_never_pass() {
         let mut fences = Fences::default();
-        let mut rule = |fence, version| fences.rule("l", fence, WeightVersion(version));
-        assert_eq!(rule(3, 1), Ruling::Ask);
+        let mut check = |fence, version| fences.check("l", fence, WeightVersion(version));
+        assert_eq!(check(3, 1), FenceCheck::Unknown);
         fences.learn("l", 3);
-        let mut rule = |fence, version| fences.rule("l", fence, WeightVersion(version));
-        assert_eq!(rule(2, 9), Ruling::Stale(3));
-        assert_eq!(rule(3, 5), Ruling::Pass);
-        assert_eq!(rule(3, 4), Ruling::Stale(3));
-        assert_eq!(rule(3, 5), Ruling::Pass);
-        assert_eq!(rule(4, 1), Ruling::Pass);
-        assert_eq!(rule(3, 9), Ruling::Stale(4));
+        let mut check = |fence, version| fences.check("l", fence, WeightVersion(version));
+        assert_eq!(check(2, 9), FenceCheck::Stale(3));
+        assert_eq!(check(3, 5), FenceCheck::Pass);
+        assert_eq!(check(3, 4), FenceCheck::Stale(3));
+        assert_eq!(check(3, 5), FenceCheck::Pass);
+        assert_eq!(check(4, 1), FenceCheck::Pass);
+        assert_eq!(check(3, 9), FenceCheck::Stale(4));
     }
 
-    /// An engine knows one number for all leases. Orders for a lease at epoch 1
-    /// follow those for a lease at epoch 4, and must not go to it under a lower one.
+    /// An engine keeps one number for all leases: an order for a lease at epoch 1 that
+    /// follows one for a lease at epoch 4 must not carry a lower number.
     #[test]
-    fn the_engines_number_never_falls() {
+    fn the_number_sent_to_the_engine_never_decreases() {
         let mut fences = Fences::default();
         assert_eq!(fences.highest(), 0);
         fences.learn("taken-over", 4);
@@ -95,8 +99,8 @@
             ("taken-over", 5, 1),
             ("calm", 1, 3),
         ] {
-            let ruling = fences.rule(lease, fence, WeightVersion(version));
-            assert_eq!(ruling, Ruling::Pass, "{lease} {version}");
+            let result = fences.check(lease, fence, WeightVersion(version));
+            assert_eq!(result, FenceCheck::Pass, "{lease} {version}");
             assert!(fences.highest() >= highest);
             highest = fences.highest();
         }
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -1,8 +1,8 @@
-//! Which requests run no more, as servers end under them.
+//! Quarantines requests that crash the servers that run them.
 //!
-//! Load pattern: a few servers end a day, with all requests that they are working
-//! on; once in a while it is a request that ends each server that runs it, and that
-//! comes again at any instance, in bursts of its caller's retries.
+//! Load pattern: a few servers crash each day, with all requests that they are working
+//! on. Once in a while a request crashes each server that runs it. It then arrives
+//! again at any instance, in bursts of its caller's retries.
 
 use crate::{
     base::{Fingerprint, Millis},
@@ -14,144 +14,151 @@
     HashSet, //
 };
 
-/// What may be done with a request.
+/// How a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
-    /// It runs as any other.
+pub enum QuarantineState {
+    /// It runs like any other request.
     Clear,
-    /// One server has ended under it: it runs at one instance at a time.
+    /// One server has crashed under it: it runs at one instance at a time.
     Watched,
-    /// Two servers have ended under it: it runs apart from others like it.
+    /// Two servers have crashed under it: it runs apart from other suspects.
     Suspect,
-    /// It is in quarantine, and one attempt may show whether rightly.
+    /// It is in quarantine, and one attempt may show whether it belongs there.
     Trial,
-    /// It is in quarantine.
+    /// It is in quarantine, and does not run.
     Barred,
 }
 
-/// Servers that may end under one request. A loss of a rack takes two servers from
-/// under a call and its retry; three in a row, with no answer between, are the
-/// request's doing far more likely than chance.
-pub const ENDED_MOST: usize = 3;
+/// The number of servers that crash under a request before it is quarantined. The loss
+/// of a rack takes down two servers under a call and its retry; three in a row, with no
+/// answer in between, are far more likely caused by the request than by chance.
+pub const MAX_CRASHES: usize = 3;
 
-/// How long after the last crash a request in quarantine is tried once more, by how
-/// often it was tried before. It may have been beside the one that ends servers each
-/// time: that one is in quarantine by the first trial, and the servers are back. A
-/// request that does end servers costs one more at each trial.
-const TRIALS: [Millis; 2] = [Millis(5_000), Millis(600_000)];
+/// How long after the last crash a quarantined request is tried again, by the number of
+/// earlier trials. It may merely have run beside the request that crashes servers: that
+/// one is in quarantine by the first trial, and the servers have restarted. A request
+/// that does crash servers costs one more at each trial.
+const TRIAL_DELAYS: [Millis; 2] = [Millis(5_000), Millis(600_000)];
 
-/// How long a crash counts. A request that is in quarantine comes back when its
-/// caller's data or the server's program is mended, which takes people a day.
+/// How long a crash counts. A quarantined request may run again once the caller's data
+/// or the server's program is fixed, which takes people a day.
 pub const RETENTION: Millis = Millis(24 * 3_600_000);
 
-/// Requests that are remembered at once: a loss of a whole data centre with some
-/// thousand requests under way; about 3 MB.
-const REQUESTS_MOST: usize = 20_000;
+/// The most requests with crashes that are remembered, enough for the loss of a whole
+/// data centre with some thousand requests in progress; about 3 MB.
+const MAX_REQUESTS: usize = 20_000;
 
-/// The servers that ended under each request since it was last answered.
+/// The servers that crashed under each request since it was last answered: those that
+/// ended unexpectedly while they may have been working on it.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     answered: Answered,
+    /// By request: the incarnations of servers that crashed, and when, by the store's
+    /// clock.
     requests: HashMap<Fingerprint, BTreeMap<ServerIncarnation, Millis>>,
 }
 
 impl Quarantine {
-    /// The server `life` ended under `request`, `at` by the store's clock; false
-    /// when that was known, or can't be remembered.
-    pub fn note(&mut self, request: Fingerprint, life: ServerIncarnation, at: Millis) -> bool {
-        if self.requests.len() >= REQUESTS_MOST && !self.requests.contains_key(&request) {
+    /// Records that the server `incarnation` crashed under `request` at `at`, by the
+    /// store's clock. Returns false if that was known, or if there is no room for it.
+    pub fn note_crash(&mut self, request: Fingerprint, incarnation: ServerIncarnation, at: Millis) -> bool {
+        if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&request) {
             return false;
         }
-        let ended = self.requests.entry(request).or_default();
-        ended.insert(life, at).is_none()
+        let crashes = self.requests.entry(request).or_default();
+        crashes.insert(incarnation, at).is_none()
     }
 
-    /// The crash counts no more.
-    pub fn forget(&mut self, request: Fingerprint, life: &ServerIncarnation) {
-        let Some(ended) = self.requests.get_mut(&request) else {
+    /// Removes a crash that no longer counts.
+    pub fn forget(&mut self, request: Fingerprint, incarnation: &ServerIncarnation) {
+        let Some(crashes) = self.requests.get_mut(&request) else {
             return;
         };
-        ended.remove(life);
-        if ended.is_empty() {
+        crashes.remove(incarnation);
+        if crashes.is_empty() {
             self.requests.remove(&request);
         }
     }
 
-    /// A server answered `request` at `now` and lives: what ended servers was
-    /// another. Returns the lives that counted against it.
-    pub fn acquit(&mut self, request: Fingerprint, now: Millis) -> Vec<ServerIncarnation> {
+    /// Records that a server answered `request` at `now` and still runs: another
+    /// request caused the crashes. Returns the servers whose crashes counted against
+    /// it.
+    pub fn clear(&mut self, request: Fingerprint, now: Millis) -> Vec<ServerIncarnation> {
         self.answered.note(request, now);
-        let ended = self.requests.remove(&request).unwrap_or_default();
-        ended.into_keys().collect()
+        let crashes = self.requests.remove(&request).unwrap_or_default();
+        crashes.into_keys().collect()
     }
 
-    /// Whether `request` was answered a moment before `now`. Callers that share it
-    /// are at several servers at once, and lose them all within milliseconds to
-    /// another request: such ends don't count.
+    /// Whether `request` was answered shortly before `now`. A request that several
+    /// callers send is at several servers at once, and may lose all of them within
+    /// milliseconds to another request: such crashes don't count.
     pub fn is_answered(&self, request: Fingerprint, now: Millis) -> bool {
         self.answered.has(request, now)
     }
 
-    /// How many servers ended under `request`.
-    pub fn ended(&self, request: Fingerprint) -> usize {
+    /// The number of servers that crashed under `request`.
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.requests.get(&request).map_or(0, BTreeMap::len)
     }
 
-    /// What may be done with `request` at `now` by the store's clock.
-    pub fn judge(&self, request: Fingerprint, now: Millis) -> Verdict {
-        let Some(lives) = self.requests.get(&request) else {
-            return Verdict::Clear;
+    /// How `request` may run at `now`, by the store's clock.
+    pub fn state(&self, request: Fingerprint, now: Millis) -> QuarantineState {
+        let Some(crashes) = self.requests.get(&request) else {
+            return QuarantineState::Clear;
         };
-        let ended = lives.len();
-        if ended < ENDED_MOST {
-            return match ended {
-                0 => Verdict::Clear,
-                1 => Verdict::Watched,
-                _ => Verdict::Suspect,
+        let count = crashes.len();
+        if count < MAX_CRASHES {
+            return match count {
+                0 => QuarantineState::Clear,
+                1 => QuarantineState::Watched,
+                _ => QuarantineState::Suspect,
             };
         }
-        let last = lives.values().max().copied().unwrap_or_default();
-        let wait = TRIALS.get(ended - ENDED_MOST);
+        let last = crashes.values().max().copied().unwrap_or_default();
+        let wait = TRIAL_DELAYS.get(count - MAX_CRASHES);
         match wait.is_some_and(|wait| now.since(last) >= *wait) {
-            true => Verdict::Trial,
-            false => Verdict::Barred,
+            true => QuarantineState::Trial,
+            false => QuarantineState::Barred,
         }
     }
 
-    /// Crashes that are older than [`RETENTION`] at `now`, at most `most` of them.
+    /// Returns crashes that are older than [`RETENTION`] at `now`, at most `most` of
+    /// them.
     pub fn expired(&self, now: Millis, most: usize) -> Vec<(Fingerprint, ServerIncarnation)> {
-        let all = self.requests.iter().flat_map(|(request, ended)| {
-            let lives = ended.iter();
-            lives.map(move |(life, at)| (*request, life, *at))
+        let all = self.requests.iter().flat_map(|(request, crashes)| {
+            let crashes = crashes.iter();
+            crashes.map(move |(incarnation, at)| (*request, incarnation, *at))
         });
         let old = all.filter(|(_, _, at)| now.since(*at) > RETENTION);
         old.take(most)
-            .map(|(request, life, _)| (request, life.clone()))
+            .map(|(request, incarnation, _)| (request, incarnation.clone()))
             .collect()
     }
 }
 
-/// Requests that were answered of late, kept in two halves of which the older one
-/// is dropped in turn.
+/// Recently answered requests, in two generations. When a new generation is started,
+/// the older one is dropped.
 #[derive(Debug, Default)]
 struct Answered {
     newer: HashSet<Fingerprint>,
     older: HashSet<Fingerprint>,
+    /// When the newer generation was started.
     since: Millis,
 }
 
-/// How long an answer is remembered at least: longer than a burst of crashes, which
-/// takes a call and its retries, and shorter than callers bear a request that no
-/// server answers any more.
-const ANSWERED_KEPT: Millis = Millis(5_000);
+/// The minimum time for which an answer is remembered, and crashes after it don't
+/// count: longer than a burst of crashes, which takes a call and its retries, and
+/// shorter than callers put up with a request that no server answers any more.
+const ANSWER_RETENTION: Millis = Millis(5_000);
 
-/// The most answers in one half; about 64 KB. A busier instance remembers less long.
-const ANSWERED_MOST: usize = 4_096;
+/// The most answers in one generation; about 64 KB. A busier instance remembers answers
+/// for a shorter time.
+const MAX_ANSWERED: usize = 4_096;
 
 impl Answered {
     fn note(&mut self, request: Fingerprint, now: Millis) {
-        if now.since(self.since) >= ANSWERED_KEPT || self.newer.len() >= ANSWERED_MOST {
-            let idle = now.since(self.since) >= ANSWERED_KEPT + ANSWERED_KEPT;
+        if now.since(self.since) >= ANSWER_RETENTION || self.newer.len() >= MAX_ANSWERED {
+            let idle = now.since(self.since) >= ANSWER_RETENTION + ANSWER_RETENTION;
             self.older = std::mem::take(&mut self.newer);
             if idle {
                 self.older.clear();
@@ -163,7 +170,7 @@
 
     fn has(&self, request: Fingerprint, now: Millis) -> bool {
         let age = now.since(self.since);
-        let newer = age < ANSWERED_KEPT + ANSWERED_KEPT && self.newer.contains(&request);
-        newer || (age < ANSWERED_KEPT && self.older.contains(&request))
+        let newer = age < ANSWER_RETENTION + ANSWER_RETENTION && self.newer.contains(&request);
+        newer || (age < ANSWER_RETENTION && self.older.contains(&request))
     }
 }
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -8,7 +8,7 @@
     base::{Clock, Millis},
     net::Peer,
     platform::Store,
-    policy::relay::{Children, Feeders}, //
+    policy::relay::{Children, Parents}, //
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -46,7 +46,7 @@
     children: Mutex<Children>,
     pub(super) clock: Clock,
     /// What this process found out about its possible parents.
-    parents: Mutex<Feeders>,
+    parents: Mutex<Parents>,
     role: watch::Sender<Role>,
     pub(super) identity: Identity,
     /// Whether the process retains rows for children.
@@ -269,7 +269,7 @@
         lock(&self.children)
     }
 
-    pub(super) fn parents(&self) -> MutexGuard<'_, Feeders> {
+    pub(super) fn parents(&self) -> MutexGuard<'_, Parents> {
         lock(&self.parents)
     }
 
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -10,8 +10,8 @@
     base::Millis,
     batch::{Claim, WORK, WorkKey, batch_part, decode, encode},
     policy::{
-        claim_choice::{Holder, Offer, Taker, capacity, choose, is_mine_by_rule},
-        pace::is_slow, //
+        claim_choice::{Holder, Offer, Runner, choose, is_assigned, usable_slots},
+        pace::is_straggler, //
     },
     store::{Key, Outcome, StoreError, Transaction}, //
 };
@@ -41,20 +41,20 @@
         // they were counted as load, those of a few batches kept all other batches from
         // running until they were given up.
         let load = held.saturating_sub(self.engine.waiting_items.load(Ordering::Relaxed));
-        let mut room = capacity(self.slots, self.pace, usual).saturating_sub(load as u32);
+        let mut room = usable_slots(self.slots, self.pace, usual).saturating_sub(load as u32);
         if room == 0 {
             return;
         }
         let place = standing.model_rank;
         let home = standing.home.as_deref();
-        let home = home.filter(|_| !is_slow(self.pace, usual));
+        let home = home.filter(|_| !is_straggler(self.pace, usual));
         let mut offers = self.offers(&ids, home, now);
         if self.outage_start.is_some() {
-            offers.retain(|offer| is_mine_by_rule(offer, place));
+            offers.retain(|offer| is_assigned(offer, place));
             offers.sort_by_key(|offer| (offer.due, offer.order));
             for offer in offers {
                 if room > 0 {
-                    room = room.saturating_sub(offer.left);
+                    room = room.saturating_sub(offer.remaining);
                     self.run_unclaimed(&ids[offer.batch], offer.bundle);
                 }
             }
@@ -65,7 +65,7 @@
         }
         let places = place.count as u32 * self.slots;
         self.set_start_order(&ids, &mut offers, places);
-        let mut taker = Taker {
+        let mut taker = Runner {
             place: standing.class_rank,
             room,
             slower: self.kind.slower,
@@ -73,7 +73,7 @@
         };
         while let Some(offer) = choose(&offers, taker).copied() {
             offers.retain(|other| (other.batch, other.bundle) != (offer.batch, offer.bundle));
-            taker.room = taker.room.saturating_sub(offer.left);
+            taker.room = taker.room.saturating_sub(offer.remaining);
             self.claim(&ids[offer.batch], &offer);
         }
     }
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -4,8 +4,8 @@
 use crate::{
     base::Millis,
     policy::{
-        engine_life::{is_settled, present},
-        pace::{Kind, Pace}, //
+        engine_life::{current, is_caught_up},
+        pace::{EngineKind, Pace}, //
     },
     routing::ServerIncarnation, //
 };
@@ -32,7 +32,7 @@
         let confirmed = mismatch
             .as_ref()
             .is_some_and(|mismatch| self.has_own_report_since(mismatch.at));
-        let present = present(announced_id, mismatch.as_ref(), confirmed);
+        let present = current(announced_id, mismatch.as_ref(), confirmed);
 
         let started = announced
             .as_ref()
@@ -54,7 +54,7 @@
             .map_or(Millis(0), |(report, _)| report.born);
         let id = present.filter(|id| fresh && !draining(id));
         let incarnation = id.map(|id| ServerIncarnation::new(id, born));
-        if mismatch.is_some_and(|mismatch| is_settled(announced_id, &mismatch)) {
+        if mismatch.is_some_and(|mismatch| is_caught_up(announced_id, &mismatch)) {
             self.engine.mismatch.send_replace(None);
         }
         if let (Some(present), Some((_, seen))) = (&incarnation, &self.report) {
@@ -89,7 +89,7 @@
     fn reset_engine(&mut self) {
         self.pending_order = None;
         self.pace = 0.0;
-        self.kind = Kind::default();
+        self.kind = EngineKind::default();
         *self.engine.pace() = Pace::default();
     }
 
@@ -111,7 +111,7 @@
     /// Updates the engine's pace from the current runs; returns the usual pace of the
     /// service's engines, in ms per event.
     pub(super) fn update_pace(&mut self, now: Millis) -> f64 {
-        self.pace = self.engine.pace().settle(now);
+        self.pace = self.engine.pace().update(now);
         let usual = self.heartbeats.usual_pace(&self.service);
         if self.kind.note(self.pace, usual, now) {
             let (pace, slower) = (self.pace, self.kind.slower);
--- a/src/runner/heartbeats.rs
+++ b/src/runner/heartbeats.rs
@@ -4,8 +4,8 @@
     base::Millis,
     batch::Heartbeat,
     policy::{
-        liveness::{self, Beat, Sign, is_alive},
-        pace::usual, //
+        liveness::{self, ClaimWrite, LastHeartbeat, is_alive},
+        pace::usual_pace, //
     },
 };
 use std::collections::BTreeMap;
@@ -28,12 +28,12 @@
 
 impl SeenHeartbeat {
     /// The fields that decide whether the runner still works.
-    fn beat(&self) -> Beat {
-        Beat {
+    fn beat(&self) -> LastHeartbeat {
+        LastHeartbeat {
             at: self.at,
             revision: self.revision,
             token: self.heartbeat.token,
-            works: self.heartbeat.working || self.heartbeat.leaving,
+            working: self.heartbeat.working || self.heartbeat.leaving,
         }
     }
 
@@ -81,9 +81,9 @@
     }
 
     /// Whether the runner `instance`, whose last claim was `write`, still works.
-    pub(super) fn is_working(&self, instance: &str, write: Sign, now: Millis) -> bool {
+    pub(super) fn is_working(&self, instance: &str, write: ClaimWrite, now: Millis) -> bool {
         let beat = self.by_instance.get(instance).map(SeenHeartbeat::beat);
-        liveness::works(write, beat, now)
+        liveness::is_working(write, beat, now)
     }
 
     /// The last heartbeat of `instance`.
@@ -96,7 +96,7 @@
     pub(super) fn usual_pace(&self, service: &str) -> f64 {
         let beats = self.by_instance.values().map(|seen| &seen.heartbeat);
         let ours = beats.filter(|beat| beat.service == service);
-        usual(ours.map(|beat| beat.pace).collect())
+        usual_pace(ours.map(|beat| beat.pace).collect())
     }
 
     /// The instances that claim work for `service`, in an order that is the same for
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::Millis,
     batch::{Claim, Head, Item, Log, Partial, Sample},
-    policy::{liveness::Sign, model_share::Asked, step_order::Turn}, //
+    policy::{liveness::ClaimWrite, model_share::BatchDemand, step_order::StepMode}, //
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -19,7 +19,7 @@
     /// When this runner saw this revision.
     pub(super) seen_at: Millis,
     /// The last time that its holder, rather than a second runner, wrote it.
-    pub(super) write: Sign,
+    pub(super) write: ClaimWrite,
 }
 
 /// The state of a bundle that this runner has claimed or runs without a claim.
@@ -40,7 +40,7 @@
     /// Whether an append of results is in flight.
     pub(super) appending: bool,
     /// What it adds to its model's demand.
-    pub(super) demand: Asked,
+    pub(super) demand: BatchDemand,
     /// The items that were read, by chunk number.
     pub(super) chunks: HashMap<u16, Arc<Vec<Item>>>,
     /// The newest known claim on each bundle, by bundle index.
@@ -66,7 +66,7 @@
     /// When this runner first saw the batch.
     pub(super) seen_at: Millis,
     /// How its waiting bundles start, as last computed.
-    pub(super) mode: Turn,
+    pub(super) mode: StepMode,
 }
 
 impl OpenBatch {
@@ -78,7 +78,7 @@
         }
         Self {
             appending: false,
-            demand: Asked {
+            demand: BatchDemand {
                 items: head.items.len(),
                 step: head.step,
                 tokens: head.expected_tokens(),
@@ -96,7 +96,7 @@
             results: Vec::new(),
             running: HashMap::new(),
             seen_at: now,
-            mode: Turn::Whole,
+            mode: StepMode::Whole,
         }
     }
 
@@ -202,10 +202,10 @@
 
     /// The last write of the claim by its holder. A second runner writes the row as well
     /// when it joins, which does not show that the holder is alive.
-    fn last_write(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> Sign {
+    fn last_write(&self, bundle: u16, claim: &Claim, revision: u64, now: Millis) -> ClaimWrite {
         let token = claim.token;
         if claim.second.is_none() {
-            return Sign {
+            return ClaimWrite {
                 at: now,
                 revision,
                 token,
@@ -213,7 +213,7 @@
         }
         let same = self.is_claimed_by(bundle, &claim.holder, token);
         let before = self.claims.get(&bundle).filter(|_| same);
-        let unknown = Sign {
+        let unknown = ClaimWrite {
             at: now,
             revision: 0,
             token,
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -11,7 +11,7 @@
     platform::{OrderAnswer, VersionOrder, order_request, read_order_answer},
     policy::{
         claim_choice::Place,
-        version_plan::{Situation, Step, may_begin, step}, //
+        version_plan::{LoadDecision, Situation, decide, is_load_turn}, //
     },
 };
 
@@ -51,14 +51,14 @@
         }
 
         let loading = self.heartbeats.count_loading(&self.instance, now);
-        let slot = may_begin(self.store.now(), standing.service_rank);
+        let is_turn = is_load_turn(self.store.now(), standing.service_rank);
         let mut due = None;
         for weights in &report.weights {
             let is_home = standing.home.as_ref() == Some(&weights.model);
             let (named, seen) = self.site.named_version(&weights.model);
             let needs = self.needs(&weights.model, standing, now);
             let situation = Situation {
-                away_for: self.outage_start.map(|since| now.since(since)),
+                outage: self.outage_start.map(|since| now.since(since)),
                 held: weights.version,
                 home: is_home,
                 loading,
@@ -72,11 +72,11 @@
                     .heartbeats
                     .count_ready(&weights.model, named, &self.instance, now),
                 runners: standing.working,
-                slot,
-                soon: self.is_step_near(&weights.model, named),
+                is_turn,
+                next_near: self.is_step_near(&weights.model, named),
                 waiting: needs.waiting,
             };
-            if let Step::Load(version) = step(&situation) {
+            if let LoadDecision::Load(version) = decide(&situation) {
                 due = Some((weights.model.clone(), version, situation));
                 break;
             }
@@ -231,7 +231,7 @@
     /// `place`, and not among its bundles yet.
     fn waits_for(&self, place: Place) -> bool {
         let mine = |bundle: &u16| {
-            place.has(self.order_of(*bundle)) && !self.own_bundles.contains_key(bundle)
+            place.owns(self.order_of(*bundle)) && !self.own_bundles.contains_key(bundle)
         };
         self.waiting_bundles().any(|bundle| mine(&bundle))
     }
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -12,7 +12,7 @@
     platform::{
         EngineRequest, EventReader, Store, answering_server, initial_weight_version, not_executed,
     },
-    policy::{engine_life::Met, pace::Pace, step_order::Rate},
+    policy::{engine_life::Mismatch, pace::Pace, step_order::Rate},
     routing::ServerIncarnation,
     view::Crashes, //
 };
@@ -56,7 +56,7 @@
     /// The incarnation whose crash a run detected last.
     pub(super) last_crashed: watch::Sender<Option<ServerIncarnation>>,
     /// The last refusal by another incarnation than the one that was addressed.
-    pub(super) mismatch: watch::Sender<Option<Met>>,
+    pub(super) mismatch: watch::Sender<Option<Mismatch>>,
     /// Its pace, measured by all runs.
     pub(super) pace: Arc<Mutex<Pace>>,
     pub(super) peer: Peer,
@@ -105,13 +105,14 @@
         let Some(found) = answering_server(headers).filter(|found| *found != expected) else {
             return;
         };
-        let new = Met {
+        let new = Mismatch {
             at: self.clock.now(),
             expected: expected.to_owned(),
             found: found.to_owned(),
         };
         self.mismatch.send_if_modified(|known| {
-            let same = |known: &Met| (&known.expected, &known.found) == (&new.expected, &new.found);
+            let same =
+                |known: &Mismatch| (&known.expected, &known.found) == (&new.expected, &new.found);
             if known.as_ref().is_some_and(same) {
                 return false;
             }
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -5,7 +5,7 @@
     batch::Scorer,
     calls::{Call, CallOutcome, Dispatcher},
     platform::{self, ATTEMPT_ID},
-    policy::quarantine::Verdict,
+    policy::quarantine::QuarantineState,
     view::Site, //
 };
 use hyper::{
@@ -100,8 +100,8 @@
                 return ScoreEnd::GivenUp;
             }
             let wait = match self.caller.crashes.quarantine_state(fingerprint) {
-                Verdict::Clear | Verdict::Watched => RETRY_DELAY,
-                Verdict::Suspect | Verdict::Trial | Verdict::Barred => SUSPECT_RETRY_DELAY,
+                QuarantineState::Clear | QuarantineState::Watched => RETRY_DELAY,
+                QuarantineState::Suspect | QuarantineState::Trial | QuarantineState::Barred => SUSPECT_RETRY_DELAY,
             };
             tokio::time::sleep(wait.as_duration()).await;
         }
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -12,7 +12,7 @@
 use crate::{
     base::{Fingerprint, Millis},
     net::CallError,
-    policy::quarantine::Verdict,
+    policy::quarantine::QuarantineState,
     routing::ServerIncarnation,
     view::{Attempt, ClaimResult}, //
 };
@@ -52,11 +52,13 @@
 
 impl RunGuard<'_> {
     /// Whether an item with this `verdict` may start under this lock.
-    fn permits(&self, verdict: Verdict) -> bool {
+    fn permits(&self, verdict: QuarantineState) -> bool {
         match verdict {
-            Verdict::Clear | Verdict::Watched => matches!(self, Self::Shared { .. }),
-            Verdict::Suspect | Verdict::Trial => matches!(self, Self::Exclusive { .. }),
-            Verdict::Barred => false,
+            QuarantineState::Clear | QuarantineState::Watched => {
+                matches!(self, Self::Shared { .. })
+            }
+            QuarantineState::Suspect | QuarantineState::Trial => matches!(self, Self::Exclusive { .. }),
+            QuarantineState::Barred => false,
         }
     }
 
@@ -174,14 +176,14 @@
         }
         loop {
             let guard = match self.crashes.quarantine_state(request) {
-                Verdict::Clear | Verdict::Watched => {
+                QuarantineState::Clear | QuarantineState::Watched => {
                     let shared = tokio::time::timeout_at(deadline, self.run_lock.read()).await;
                     Some(RunGuard::Shared {
                         _guard: shared.ok()?,
                     })
                 }
-                Verdict::Suspect | Verdict::Trial => Some(self.isolate().await),
-                Verdict::Barred => None,
+                QuarantineState::Suspect | QuarantineState::Trial => Some(self.isolate().await),
+                QuarantineState::Barred => None,
             };
             // A run that ended during the wait may have changed the verdict.
             let verdict = self.crashes.quarantine_state(request);
@@ -194,7 +196,7 @@
                     AttemptClaim::Retry => continue,
                     AttemptClaim::Denied => {}
                 },
-                Some(_) if verdict != Verdict::Barred => continue,
+                Some(_) if verdict != QuarantineState::Barred => continue,
                 Some(_) | None => {}
             }
             if waiting.is_none() {
@@ -209,17 +211,17 @@
     }
 
     /// Claims the attempt at a request with this `verdict`; a clear one needs none.
-    async fn claim_attempt(&self, request: Fingerprint, verdict: Verdict) -> AttemptClaim {
+    async fn claim_attempt(&self, request: Fingerprint, verdict: QuarantineState) -> AttemptClaim {
         let claimed = match verdict {
-            Verdict::Clear => return AttemptClaim::Granted(None),
-            Verdict::Watched | Verdict::Suspect => {
+            QuarantineState::Clear => return AttemptClaim::Granted(None),
+            QuarantineState::Watched | QuarantineState::Suspect => {
                 self.crashes.claim_attempt(request, ATTEMPT_TTL).await
             }
-            Verdict::Trial => match self.crashes.claim_trial(request).await {
+            QuarantineState::Trial => match self.crashes.claim_trial(request).await {
                 Some(attempt) => ClaimResult::Here(attempt),
                 None => ClaimResult::Elsewhere,
             },
-            Verdict::Barred => return AttemptClaim::Denied,
+            QuarantineState::Barred => return AttemptClaim::Denied,
         };
         match claimed {
             // Claiming has read the crashes that others have recorded meanwhile.
@@ -383,7 +385,7 @@
             self.crashes.record_answer(request);
         }
         let verdict = self.crashes.quarantine_state(request);
-        if !ended || matches!(verdict, Verdict::Clear | Verdict::Watched) {
+        if !ended || matches!(verdict, QuarantineState::Clear | QuarantineState::Watched) {
             return AfterRun::Continue;
         }
         // Other runners may take its bundle over by now. The bundle has to be claimed
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -12,7 +12,7 @@
     batch::WORK,
     duty::{Context, Phase},
     platform::{EngineReport, Store},
-    policy::pace::Kind,
+    policy::pace::EngineKind,
     relay::{DEFAULT_HOLD, FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     routing::ServerIncarnation,
     store::Row,
@@ -49,7 +49,7 @@
     /// An existing home model does not change before this time.
     pub(super) move_at: Millis,
     /// Whether the engine is slower than the other engines of the service.
-    pub(super) kind: Kind,
+    pub(super) kind: EngineKind,
     /// Whether this runner is shutting down and claims nothing new.
     pub(super) leaving: bool,
     /// The last incarnation of the engine that accepted work; `None` before the first.
@@ -137,7 +137,7 @@
             instance: setup.instance,
             home,
             move_at: Millis(0),
-            kind: Kind::default(),
+            kind: EngineKind::default(),
             leaving: false,
             last_incarnation: None,
             ordered_model: None,
--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -10,7 +10,7 @@
     base::{Clock, Millis},
     batch::{decode, encode},
     platform::Store,
-    policy::usage::middle,
+    policy::usage::median,
     store::{StoreError, Transaction}, //
 };
 use std::sync::atomic::{
@@ -88,7 +88,7 @@
             .map(|(_, offset)| offset)
             .collect();
         offsets.push(own);
-        if let Some(offset) = middle(&mut offsets) {
+        if let Some(offset) = median(&mut offsets) {
             let before = self.offset.swap(offset, Ordering::Relaxed);
             if before.abs_diff(offset) > LOGGED_SHIFT_MS {
                 let gateways = offsets.len();
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -20,7 +20,7 @@
     net::Peer,
     platform::{MAX_READ_ROWS, Store, UsageReport},
     policy::{
-        lease::{Claimant, Held, Lease, Step, Watch},
+        lease::{Claimant, HeldLease, Lease, LeaseAction, LeaseWatch},
         usage::{Part, may_sum, sum}, //
     },
     store::{Key, Outcome, StoreError, Transaction}, //
@@ -81,7 +81,7 @@
         peer: Peer::open(reporting.address, clock),
         reporting,
         store,
-        watch: Watch::default(),
+        watch: LeaseWatch::default(),
     };
     let mut reports: Option<WindowReports> = None;
     loop {
@@ -108,12 +108,12 @@
     gateway: GatewayIncarnation,
     clock: Clock,
     counter: Arc<Counter>,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     claimant: Claimant,
     peer: Peer,
     reporting: Reporting,
     store: Store,
-    watch: Watch,
+    watch: LeaseWatch,
 }
 
 impl Reporter {
@@ -136,12 +136,12 @@
         let revision = row.as_ref().map_or(0, |row| row.revision);
         let value = row.and_then(|row| row.value);
         let lease = value.and_then(|value| decode::<Lease>("lease", &value));
-        self.watch.see(self.clock.boottime(), lease.clone());
+        self.watch.observe(self.clock.boottime(), lease.clone());
         if !lease.is_some_and(|lease| self.claimant.holds(&lease)) {
             self.drop_lease();
         }
         let asked = self.clock.boottime();
-        let Step::Write(next) = self
+        let LeaseAction::Write(next) = self
             .watch
             .decide(asked, &self.claimant, self.reporting.lease)
         else {
@@ -158,11 +158,11 @@
                     let (fence, instance) = (next.epoch, &self.gateway.instance);
                     tracing::info!(fence, instance, "reporting lease acquired");
                 }
-                self.held = Some(Held {
+                self.held = Some(HeldLease {
                     epoch: next.epoch,
                     since: asked,
                 });
-                self.watch.see(self.clock.boottime(), Some(next));
+                self.watch.observe(self.clock.boottime(), Some(next));
             }
             Ok(Outcome::Conflict { .. }) => self.drop_lease(),
             // The write may have been applied or not. A lease that was held before is still
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -10,7 +10,7 @@
 use crate::{
     base::{Fingerprint, Millis},
     platform::Store,
-    policy::quarantine::{ENDED_MOST, Quarantine, Verdict},
+    policy::quarantine::{MAX_CRASHES, Quarantine, QuarantineState},
     relay::{FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     routing::ServerIncarnation,
     store::{Change, Key, Outcome, Transaction}, //
@@ -134,14 +134,14 @@
                 tracing::info!(%request, server, "crash not counted: request answered elsewhere");
                 continue;
             }
-            if !self.quarantine().note(request, incarnation.clone(), now) {
+            if !self.quarantine().note_crash(request, incarnation.clone(), now) {
                 continue;
             }
-            let ended = self.quarantine().ended(request);
+            let ended = self.quarantine().crash_count(request);
             let server = &incarnation.id;
             tracing::warn!(%request, server, ended, "server crashed while it ran a request");
             metrics::counter!("redwing_crashes_seen_total").increment(1);
-            if ended == ENDED_MOST {
+            if ended == MAX_CRASHES {
                 tracing::warn!(%request, ended, "request quarantined");
                 metrics::counter!("redwing_requests_quarantined_total").increment(1);
             }
@@ -158,7 +158,7 @@
 
     /// Records that a server answered `request`, which clears its crashes.
     pub fn record_answer(&self, request: Fingerprint) {
-        let cleared = self.quarantine().acquit(request, self.store.now());
+        let cleared = self.quarantine().clear(request, self.store.now());
         if cleared.is_empty() {
             return;
         }
@@ -177,9 +177,9 @@
     }
 
     /// Whether and how `request` may run.
-    pub fn quarantine_state(&self, request: Fingerprint) -> Verdict {
+    pub fn quarantine_state(&self, request: Fingerprint) -> QuarantineState {
         let now = self.store.now();
-        self.quarantine().judge(request, now)
+        self.quarantine().state(request, now)
     }
 
     /// Claims the attempt of `request`, of which all instances may make one at a time, and
@@ -234,7 +234,7 @@
             return None;
         };
         // Another instance may have made the trial meanwhile.
-        if self.quarantine_state(request) == Verdict::Barred {
+        if self.quarantine_state(request) == QuarantineState::Barred {
             self.release_attempt(attempt);
             return None;
         }
@@ -243,7 +243,7 @@
 
     /// How many servers have crashed while they ran `request`.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
-        self.quarantine().ended(request)
+        self.quarantine().crash_count(request)
     }
 
     /// Whether the table of crashes was listed since the start.
@@ -347,8 +347,8 @@
             Some(Some(at)) => {
                 let mut quarantine = self.quarantine();
                 let server = incarnation.id.clone();
-                if quarantine.note(request, incarnation, at) {
-                    let ended = quarantine.ended(request);
+                if quarantine.note_crash(request, incarnation, at) {
+                    let ended = quarantine.crash_count(request);
                     tracing::info!(%request, server, ended, "crash received from the store");
                 }
             }
