--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -152,7 +152,7 @@
             method: head.method.clone(),
             path: target,
             route,
-            until: deadline,
+            deadline,
             workspace,
         };
         match call.route.kind {
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -61,7 +61,12 @@
 impl Quarantine {
     /// Records that the server `incarnation` crashed under `request` at `at`, by the
     /// store's clock. Returns false if that was known, or if there is no room for it.
-    pub fn note_crash(&mut self, request: Fingerprint, incarnation: ServerIncarnation, at: Millis) -> bool {
+    pub fn note_crash(
+        &mut self,
+        request: Fingerprint,
+        incarnation: ServerIncarnation,
+        at: Millis,
+    ) -> bool {
         if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&request) {
             return false;
         }
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -67,8 +67,9 @@
         self.incarnation.send_if_modified(|current| {
             let changed = *current != incarnation;
             if changed {
-                let id_of =
-                    |known: &Option<ServerIncarnation>| known.as_ref().map(|known| known.id.clone());
+                let id_of = |known: &Option<ServerIncarnation>| {
+                    known.as_ref().map(|known| known.id.clone())
+                };
                 let (engine, before) = (id_of(&incarnation), id_of(current));
                 let born = born.0;
                 tracing::info!(
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -89,7 +89,8 @@
     /// after the idle timeout of their streams, 2.5 s later.
     async fn wait_replaced(&self, incarnation: &ServerIncarnation) {
         let mut current = self.incarnation.clone();
-        let other = |now: &Option<ServerIncarnation>| now.as_ref().is_some_and(|now| now != incarnation);
+        let other =
+            |now: &Option<ServerIncarnation>| now.as_ref().is_some_and(|now| now != incarnation);
         if current.wait_for(other).await.is_err() {
             // The work loop has ended, and with it all runs.
             std::future::pending::<()>().await;
@@ -333,7 +334,8 @@
 /// Sends one request for the item to the engine and reads the answer.
 async fn run_once(
     engine: &Engine,
-    task: &Task, incarnation: &ServerIncarnation,
+    task: &Task,
+    incarnation: &ServerIncarnation,
     text: &mut Text,
 ) -> RunEnd {
     let request = EngineRequest {
@@ -382,7 +384,12 @@
 
 /// Reads events into `text` until the stream ends. Only complete events count: after an
 /// interruption the next attempt continues after the last of them.
-async fn read_stream(engine: &Engine, opened: StreamingResponse, task: &Task, text: &mut Text) -> RunEnd {
+async fn read_stream(
+    engine: &Engine,
+    opened: StreamingResponse,
+    task: &Task,
+    text: &mut Text,
+) -> RunEnd {
     let StreamingResponse {
         mut body, headers, ..
     } = opened;
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -101,7 +101,9 @@
             }
             let wait = match self.caller.crashes.quarantine_state(fingerprint) {
                 QuarantineState::Clear | QuarantineState::Watched => RETRY_DELAY,
-                QuarantineState::Suspect | QuarantineState::Trial | QuarantineState::Barred => SUSPECT_RETRY_DELAY,
+                QuarantineState::Suspect | QuarantineState::Trial | QuarantineState::Barred => {
+                    SUSPECT_RETRY_DELAY
+                }
             };
             tokio::time::sleep(wait.as_duration()).await;
         }
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -57,7 +57,9 @@
             QuarantineState::Clear | QuarantineState::Watched => {
                 matches!(self, Self::Shared { .. })
             }
-            QuarantineState::Suspect | QuarantineState::Trial => matches!(self, Self::Exclusive { .. }),
+            QuarantineState::Suspect | QuarantineState::Trial => {
+                matches!(self, Self::Exclusive { .. })
+            }
             QuarantineState::Barred => false,
         }
     }
@@ -266,7 +268,12 @@
 
     /// If the run ended because the engine crashed, counts the crash of `incarnation`
     /// against `task` and returns true.
-    async fn record_crash(&self, incarnation: &ServerIncarnation, task: &Task, run: &RunEnd) -> bool {
+    async fn record_crash(
+        &self,
+        incarnation: &ServerIncarnation,
+        task: &Task,
+        run: &RunEnd,
+    ) -> bool {
         let has_crashed = match run {
             RunEnd::Replaced => self.is_replaced(incarnation),
             RunEnd::Broken(CallError::Broken { .. }) => self.has_crashed(incarnation).await,
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -141,9 +141,9 @@
             self.drop_lease();
         }
         let asked = self.clock.boottime();
-        let LeaseAction::Write(next) = self
-            .watch
-            .decide(asked, &self.claimant, self.reporting.lease)
+        let LeaseAction::Write(next) =
+            self.watch
+                .decide(asked, &self.claimant, self.reporting.lease)
         else {
             return;
         };
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -134,7 +134,10 @@
                 tracing::info!(%request, server, "crash not counted: request answered elsewhere");
                 continue;
             }
-            if !self.quarantine().note_crash(request, incarnation.clone(), now) {
+            if !self
+                .quarantine()
+                .note_crash(request, incarnation.clone(), now)
+            {
                 continue;
             }
             let ended = self.quarantine().crash_count(request);
