--- a/src/runner/changes.rs
+++ b/src/runner/changes.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the store's work table to the runner's view of it.
+//! Applies changes of the store's work table to the work loop's state.
 
 use super::{
     open_batch::OpenBatch,
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Stores a chunk of items in memory and starts the bundles that it completes.
+    /// Keeps a chunk of items in memory and starts the bundles that it completes.
     pub(super) fn on_items_read(
         &mut self,
         id: &str,
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -2,9 +2,10 @@
 //!
 //! A trainer submits each training step as a batch of items, which is split into bundles.
 //! A runner claims bundles in the store, runs their items on its engine, has the texts
-//! scored and appends the results to the batch's log ("lists" them). It also tells the engine which weight version to load.
-//! Each runner has a home model: the model whose bundles it prefers. All runners work
-//! out from the same heartbeats and batches who serves which model.
+//! scored and appends the results to the batch's log ("lists" them). It also tells the
+//! engine which weight version to load. Each runner has a home model: the model whose
+//! bundles it prefers. All runners compute from the same heartbeats and batches which
+//! runner has which home model.
 
 mod changes;
 mod claims;
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -110,6 +110,7 @@
     }
 }
 
+/// Identifies the call of `scorer` in the crash records.
 fn fingerprint(scorer: &Scorer) -> Fingerprint {
     Fingerprint::of(Asked {
         body: &scorer.body,
@@ -121,6 +122,7 @@
     })
 }
 
+/// The call's headers: the scorer's host, and the call's id, which servers echo.
 fn headers(scorer: &Scorer) -> HeaderMap {
     let mut headers = HeaderMap::new();
     platform::set_header(&mut headers, "host", &scorer.host);
