--- a/src/agent/accounts.rs
+++ b/src/agent/accounts.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     base::{Account, RequestId},
-    duty::{Route, json},
+    duty::{AdminRoute, json},
     wire::Report, //
 };
 use hyper::StatusCode;
@@ -28,7 +28,7 @@
 }
 
 /// The agent's own routes on the operators' HTTP.
-pub(super) fn route(ring: mpsc::Sender<Query>) -> Route {
+pub(super) fn route(ring: mpsc::Sender<Query>) -> AdminRoute {
     Arc::new(move |request| {
         let ring = ring.clone();
         let path = request.uri().path().to_owned();
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{Clock, Incarnation},
-    duty::{self, DutyError, Handle, HttpServer, Limits},
+    duty::{self, DutyError, HttpLimits, HttpServer, ProgramHandle},
     settings::AgentSettings,
     wire::{Hello, Role}, //
 };
@@ -23,7 +23,7 @@
 /// A running `redwing-agent`; dropping it ends it.
 pub struct Agent {
     pub admin: SocketAddr,
-    pub handle: Handle,
+    pub handle: ProgramHandle,
     pub links: SocketAddr,
 }
 
@@ -34,11 +34,11 @@
 impl Agent {
     /// Starts an agent.
     pub fn open(settings: AgentSettings) -> Result<Self, DutyError> {
-        let mut handle = Handle::open(settings.common.drain.bound)?;
-        let admin = HttpServer::bind(settings.common.admin, Limits::default())?;
+        let mut handle = ProgramHandle::open(settings.common.drain.timeout)?;
+        let admin = HttpServer::bind(settings.common.admin, HttpLimits::default())?;
         let listener = door::bind(settings.common.links)?;
         let (admin_address, links) = (admin.address, listener.address);
-        let incarnation = Incarnation::at(Clock::open().now());
+        let incarnation = Incarnation::started_at(Clock::open().now());
         let hello = Hello {
             incarnation,
             instance: settings.common.instance.clone(),
@@ -67,7 +67,7 @@
         let health = handle.health();
         handle.add(duty::spawn("admin", &supervisor, move |context| {
             let ready = move || usable.load(Ordering::Relaxed);
-            duty::admin(context, admin, health, ready, accounts::route(query_ring))
+            duty::serve_admin(context, admin, health, ready, accounts::route(query_ring))
         })?);
         Ok(Self {
             admin: admin_address,
--- a/src/agent/door.rs
+++ b/src/agent/door.rs
@@ -42,7 +42,7 @@
     hello: Hello,
     work: mpsc::Sender<WorkEvent>,
 ) {
-    context.drained();
+    context.mark_drained();
     let Ok(listener) = TcpListener::from_std(listener.listener) else {
         return;
     };
--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -78,7 +78,7 @@
             OfferOutcome::Queued(displaced) => {
                 self.ledger.note(now, request, Event::Queued);
                 if let Some(item) = displaced {
-                    let limit = self.settings.backend.queue;
+                    let limit = self.settings.backend.max_queued;
                     self.refuse(item.key, agent_queue::overload_failure(limit));
                 }
             }
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -136,7 +136,7 @@
             ledger: Ledger::new(MAX_ACCOUNTS),
             links: HashMap::new(),
             platform: Platform::open(settings.common.platform),
-            queue: AgentQueue::new(settings.policy, backend.capacity, backend.queue),
+            queue: AgentQueue::new(settings.policy, backend.capacity, backend.max_queued),
             reported: (Millis(0), Report::default()),
             service: run_call::client(),
             service_time: 0.0,
@@ -243,9 +243,9 @@
                 now
             }
         };
-        let left = now.since(began) >= self.settings.common.drain.leave;
+        let left = now.since(began) >= self.settings.common.drain.close_delay;
         if left && self.queue.is_idle() {
-            self.context.drained();
+            self.context.mark_drained();
         }
     }
 
--- a/src/base/account.rs
+++ b/src/base/account.rs
@@ -66,7 +66,7 @@
     }
 
     /// Notes `event`; a request that retries without end stays bounded.
-    pub fn note(&mut self, now: Millis, event: Event) {
+    pub fn record(&mut self, now: Millis, event: Event) {
         if self.events.len() >= MAX_EVENTS {
             self.events.remove(MAX_EVENTS / 2);
         }
--- a/src/base/clock.rs
+++ b/src/base/clock.rs
@@ -18,16 +18,16 @@
 /// Two readings of one clock never go backwards, also when the wall clock is set.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    base: Millis,
-    origin: Instant,
+    start_wall: Millis,
+    start: Instant,
 }
 
 impl Clock {
     /// Opens a clock that starts at the present wall time.
     pub fn open() -> Self {
         Self {
-            base: wall(),
-            origin: Instant::now(),
+            start_wall: wall_time(),
+            start: Instant::now(),
         }
     }
 
@@ -40,21 +40,21 @@
 
     /// Microseconds since this clock was opened, for measuring.
     pub fn micros(&self) -> u64 {
-        self.origin.elapsed().as_micros() as u64
+        self.start.elapsed().as_micros() as u64
     }
 
     /// The instance's wall clock, which people and programs set.
     pub fn wall(&self) -> Millis {
-        wall()
+        wall_time()
     }
 
     /// The present point in time.
     pub fn now(&self) -> Millis {
-        Millis(self.base.0 + self.origin.elapsed().as_millis() as u64)
+        Millis(self.start_wall.0 + self.start.elapsed().as_millis() as u64)
     }
 }
 
-fn wall() -> Millis {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH);
-    Millis(wall.unwrap_or_default().as_millis() as u64)
+fn wall_time() -> Millis {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    Millis(since_epoch.unwrap_or_default().as_millis() as u64)
 }
--- a/src/base/fingerprint.rs
+++ b/src/base/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What was asked, whoever's attempt it is.
+//! What was input, whoever's attempt it is.
 
 use super::stable_hash;
 use std::fmt;
@@ -12,7 +12,7 @@
 
 /// What a request's fingerprint is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct FingerprintInput<'a> {
     pub body: &'a [u8],
     /// What the caller proves its identity with; empty where it has none.
     pub credential: &'a [u8],
@@ -28,14 +28,14 @@
 
 impl Fingerprint {
     /// The fingerprint of a request.
-    pub fn of(asked: Asked<'_>) -> Self {
+    pub fn of(input: FingerprintInput<'_>) -> Self {
         Self(stable_hash(&[
-            asked.method.as_bytes(),
-            asked.host.as_bytes(),
-            asked.path.as_bytes(),
-            asked.credential,
-            asked.id.as_bytes(),
-            asked.body,
+            input.method.as_bytes(),
+            input.host.as_bytes(),
+            input.path.as_bytes(),
+            input.credential,
+            input.id.as_bytes(),
+            input.body,
         ]))
     }
 
--- a/src/base/incarnation.rs
+++ b/src/base/incarnation.rs
@@ -15,7 +15,7 @@
 
 impl Incarnation {
     /// The incarnation of a process that starts at `now`.
-    pub fn at(now: Millis) -> Self {
+    pub fn started_at(now: Millis) -> Self {
         Self(now.0)
     }
 }
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -19,7 +19,7 @@
     cause::Cause,
     clock::Clock,
     failure::Failure,
-    fingerprint::{Asked, Fingerprint},
+    fingerprint::{Fingerprint, FingerprintInput},
     incarnation::Incarnation,
     millis::Millis,
     priority::Priority,
--- a/src/base/span.rs
+++ b/src/base/span.rs
@@ -16,7 +16,7 @@
 
 impl Span {
     /// Whether `spans` cover tokens `0..tokens` in order without a gap.
-    pub fn cover(spans: &[Self], tokens: u32) -> bool {
+    pub fn covers(spans: &[Self], tokens: u32) -> bool {
         let mut next = 0;
         for span in spans {
             if span.from != next || span.to < span.from {
--- a/src/base/tokens.rs
+++ b/src/base/tokens.rs
@@ -29,8 +29,8 @@
         let Unchecked { ends, text } = Unchecked::deserialize(deserializer)?;
         let rising = ends.is_sorted();
         let on_boundaries = ends.iter().all(|end| text.is_char_boundary(*end as usize));
-        let whole = ends.last().copied().unwrap_or(0) as usize == text.len();
-        if !(rising && on_boundaries && whole) {
+        let ends_at_text_length = ends.last().copied().unwrap_or(0) as usize == text.len();
+        if !(rising && on_boundaries && ends_at_text_length) {
             return Err(serde::de::Error::custom("token ends do not fit the text"));
         }
         // INVARIANT: all three conditions were checked just above.
@@ -112,7 +112,7 @@
     use super::*;
 
     #[test]
-    fn splice_voids_what_stood_there() {
+    fn splice_replaces_existing_tokens() {
         let mut tokens: Tokens = ["a", "bb", "c"].into_iter().collect();
         assert!(tokens.splice(1, &["x", "y", "z"].into_iter().collect()));
         assert_eq!(tokens.iter().collect::<Vec<_>>(), ["a", "x", "y", "z"]);
--- a/src/duty/admin.rs
+++ b/src/duty/admin.rs
@@ -22,20 +22,20 @@
 use tokio::sync::watch;
 
 /// A program's own routes; `None` for a path that it doesn't know.
-pub type Route = Arc<
+pub type AdminRoute = Arc<
     dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>> + Send + Sync,
 >;
 
 /// Serves operators until the program has stopped.
-pub async fn admin(
+pub async fn serve_admin(
     context: Context,
     server: HttpServer,
     health: watch::Receiver<Health>,
     ready: impl Fn() -> bool + Send + Sync + 'static,
-    route: Route,
+    route: AdminRoute,
 ) {
     // Operators are served to the end of a stop, so that they can watch it.
-    context.drained();
+    context.mark_drained();
     let ready = Arc::new(ready);
     let serving = server.serve(&context, Millis(u64::MAX / 4), move |request| {
         let health = *health.borrow();
@@ -43,7 +43,7 @@
         let route = route.clone();
         async move {
             match request.uri().path() {
-                "/healthz" => check(health.failed == 0, "a duty has ended"),
+                "/healthz" => probe_response(health.failed == 0, "a duty has ended"),
                 "/metrics" => text(
                     StatusCode::OK,
                     "text/plain; version=0.0.4",
@@ -51,7 +51,7 @@
                 ),
                 "/readyz" => {
                     let running = health.phase == Phase::Running;
-                    check(running && ready(), "draining, or not yet up")
+                    probe_response(running && ready(), "draining, or not yet up")
                 }
                 _ => match route(request).await {
                     Some(answer) => answer,
@@ -66,11 +66,11 @@
     }
 }
 
-fn check(holds: bool, otherwise: &'static str) -> Answer {
-    match holds {
+fn probe_response(passes: bool, reason: &'static str) -> Answer {
+    match passes {
         true => text(StatusCode::OK, "text/plain", "ok\n"),
         false => {
-            let body = format!("{otherwise}\n");
+            let body = format!("{reason}\n");
             text(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body)
         }
     }
--- a/src/duty/control.rs
+++ b/src/duty/control.rs
@@ -26,24 +26,24 @@
 }
 
 /// What the control actor of one duty has.
-pub struct DutyControl {
+pub struct ControlState {
     pub(super) name: &'static str,
     pub(super) phase: watch::Sender<Phase>,
     pub(super) supervisor: ActorRef<SupervisorMessage>,
 }
 
 /// Takes a duty's control messages on the duty's own thread.
-pub(super) struct Control;
+pub(super) struct ControlActor;
 
-impl Actor for Control {
-    type Arguments = DutyControl;
+impl Actor for ControlActor {
+    type Arguments = ControlState;
     type Msg = ControlMessage;
-    type State = DutyControl;
+    type State = ControlState;
 
     async fn pre_start(
         &self,
         _myself: ActorRef<ControlMessage>,
-        control: DutyControl,
+        control: ControlState,
     ) -> Result<Self::State, ActorProcessingErr> {
         Ok(control)
     }
--- a/src/duty/handle.rs
+++ b/src/duty/handle.rs
@@ -19,21 +19,21 @@
 };
 
 /// A program's duties and their supervisor. Dropping it ends them at once.
-pub struct Handle {
+pub struct ProgramHandle {
     duties: Vec<Duty>,
     health: watch::Receiver<Health>,
     supervisor: ActorRef<SupervisorMessage>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Handle {
+impl ProgramHandle {
     /// Starts a supervisor that forces graceful stops after `bound`.
-    pub fn open(bound: Millis) -> Result<Self, DutyError> {
+    pub fn open(drain_timeout: Millis) -> Result<Self, DutyError> {
         let (health, watch) = watch::channel(Health::default());
         let (sender, receiver) = std::sync::mpsc::sync_channel(1);
         let thread = std::thread::Builder::new()
             .name("supervisor".to_owned())
-            .spawn(move || supervise(bound, health, &sender))
+            .spawn(move || supervise(drain_timeout, health, &sender))
             .map_err(|source| DutyError::Thread {
                 name: "supervisor",
                 source,
@@ -62,16 +62,16 @@
 
     /// Begins a graceful stop, and returns once every duty knows of it: what
     /// is sent to the program after that meets a stopping one.
-    pub async fn drain_begun(&self) {
+    pub async fn drain_confirmed(&self) {
         self.drain();
         let mut health = self.health.clone();
         let duties = self.duties.len();
-        let begun = health.wait_for(|health| {
+        let confirmed = health.wait_for(|health| {
             let all = health.entered >= duties;
             health.phase == Phase::Stopped || (health.phase == Phase::Draining && all)
         });
         // A supervisor that is gone has stopped all duties.
-        let _ = begun.await;
+        let _ = confirmed.await;
     }
 
     /// The program's health, to be watched.
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for Handle {
+impl Drop for ProgramHandle {
     fn drop(&mut self) {
         self.stop();
         for duty in std::mem::take(&mut self.duties) {
@@ -118,7 +118,7 @@
 }
 
 fn supervise(
-    bound: Millis,
+    drain_timeout: Millis,
     health: watch::Sender<Health>,
     sender: &std::sync::mpsc::SyncSender<ActorRef<SupervisorMessage>>,
 ) {
@@ -126,7 +126,9 @@
         return;
     };
     runtime.block_on(async {
-        let Ok((supervisor, ended)) = Actor::spawn(None, Supervisor { bound }, health).await else {
+        let Ok((supervisor, ended)) =
+            Actor::spawn(None, Supervisor { drain_timeout }, health).await
+        else {
             return;
         };
         let _ = sender.send(supervisor);
--- a/src/duty/http_server.rs
+++ b/src/duty/http_server.rs
@@ -46,21 +46,21 @@
 
 /// What one server accepts.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct HttpLimits {
     /// Open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The bytes of a request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// How long a request's head may take to arrive.
-    pub head_time: Millis,
+    pub head_timeout: Millis,
 }
 
-impl Default for Limits {
+impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            connections: 16_384,
-            head: 64 * 1024,
-            head_time: Millis(10_000),
+            max_connections: 16_384,
+            max_head_bytes: 64 * 1024,
+            head_timeout: Millis(10_000),
         }
     }
 }
@@ -68,13 +68,13 @@
 /// A bound listener that is not serving yet.
 pub struct HttpServer {
     pub address: SocketAddr,
-    limits: Limits,
+    limits: HttpLimits,
     listener: std::net::TcpListener,
 }
 
 impl HttpServer {
     /// Binds `address`; port 0 lets the system choose.
-    pub fn bind(address: SocketAddr, limits: Limits) -> Result<Self, DutyError> {
+    pub fn bind(address: SocketAddr, limits: HttpLimits) -> Result<Self, DutyError> {
         let (address, listener) = bind_listener(address)?;
         Ok(Self {
             address,
@@ -85,7 +85,7 @@
 
     /// Serves until the program drains, and `leave` longer, so that a balancer
     /// that has not noticed yet gets answers; then finishes what is open.
-    pub async fn serve<H, Fut>(self, context: &Context, leave: Millis, handler: H)
+    pub async fn serve<H, Fut>(self, context: &Context, close_delay: Millis, handler: H)
     where
         H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
         Fut: Future<Output = Answer> + Send + 'static,
@@ -98,15 +98,15 @@
             }
         };
         let graceful = GracefulShutdown::new();
-        let room = Arc::new(Semaphore::new(self.limits.connections));
-        let leaving = async {
+        let permits = Arc::new(Semaphore::new(self.limits.max_connections));
+        let stop_accepting = async {
             context.reached(Phase::Draining).await;
             tokio::select! {
-                () = tokio::time::sleep(leave.as_duration()) => {}
+                () = tokio::time::sleep(close_delay.as_duration()) => {}
                 () = context.reached(Phase::Stopped) => {}
             }
         };
-        tokio::pin!(leaving);
+        tokio::pin!(stop_accepting);
 
         loop {
             let stream = tokio::select! {
@@ -119,16 +119,16 @@
                         continue;
                     }
                 },
-                () = &mut leaving => break,
+                () = &mut stop_accepting => break,
             };
-            let Ok(permit) = room.clone().try_acquire_owned() else {
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
                 continue;
             };
             let watcher = graceful.watcher();
             let handler = handler.clone();
             let limits = self.limits;
             tokio::spawn(async move {
-                connection(stream, limits, watcher, handler).await;
+                serve_connection(stream, limits, watcher, handler).await;
                 drop(permit);
             });
         }
@@ -141,9 +141,9 @@
     }
 }
 
-async fn connection<H, Fut>(
+async fn serve_connection<H, Fut>(
     stream: TcpStream,
-    limits: Limits,
+    limits: HttpLimits,
     watcher: hyper_util::server::graceful::Watcher,
     handler: H,
 ) where
@@ -156,7 +156,7 @@
     let mut byte = [0; 1];
     let first = stream.peek(&mut byte);
     if !matches!(
-        timeout(limits.head_time.as_duration(), first).await,
+        timeout(limits.head_timeout.as_duration(), first).await,
         Ok(Ok(1))
     ) {
         return;
@@ -166,14 +166,14 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time.as_duration())
-        .max_buf_size(limits.head);
+        .header_read_timeout(limits.head_timeout.as_duration())
+        .max_buf_size(limits.max_head_bytes);
     builder
         .http2()
         .timer(TokioTimer::new())
         .keep_alive_interval(Millis(10_000).as_duration())
         .max_concurrent_streams(1_024)
-        .max_header_list_size(limits.head as u32);
+        .max_header_list_size(limits.max_head_bytes as u32);
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move { Ok::<_, Infallible>(answer.await) }
@@ -201,7 +201,7 @@
 }
 
 /// A failure as problem details (RFC 9457) with `may_have_run` beside them.
-pub fn details(failure: &Failure, request: Option<RequestId>) -> String {
+pub fn problem_details(failure: &Failure, request: Option<RequestId>) -> String {
     let details = serde_json::json!({
         "type": format!("urn:redwing:problem:{}", failure.cause.word()),
         "title": failure.cause.word().replace('-', " "),
@@ -218,7 +218,7 @@
 pub fn problem(failure: &Failure, request: Option<RequestId>) -> Answer {
     let status = StatusCode::from_u16(failure.cause.status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let body = details(failure, request);
+    let body = problem_details(failure, request);
     let mut answer = text(status, "application/problem+json", body);
     if let Some(wait) = failure.retry_after {
         let seconds = hyper::header::HeaderValue::from(wait.0.div_ceil(1_000));
--- a/src/duty/log.rs
+++ b/src/duty/log.rs
@@ -22,7 +22,7 @@
 
 /// Lines that may wait for a slow reader of the log; more are left out and
 /// counted. A line is about 300 bytes.
-const LINES_WAITING: usize = 4_096;
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 /// Keeps the log's writer alive; dropping it writes what waits.
 pub struct LogGuard {
@@ -45,7 +45,7 @@
     let filter = EnvFilter::try_new(level).unwrap_or_else(|_| EnvFilter::new("info"));
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES_WAITING)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .thread_name("log")
         .finish(std::io::stdout());
     let dropped = writer.error_counter();
--- a/src/duty/mod.rs
+++ b/src/duty/mod.rs
@@ -16,10 +16,10 @@
 mod thread;
 
 pub use self::{
-    admin::{Route, admin},
+    admin::{AdminRoute, serve_admin},
     control::{ControlMessage, Phase},
-    handle::Handle,
-    http_server::{Answer, HttpServer, Limits, details, json, problem, text},
+    handle::ProgramHandle,
+    http_server::{Answer, HttpLimits, HttpServer, json, problem, problem_details, text},
     log::{LogGuard, open_log, open_stdout_log},
     signals::wait_for_stop,
     supervisor::{Health, Supervisor, SupervisorMessage},
--- a/src/duty/signals.rs
+++ b/src/duty/signals.rs
@@ -1,6 +1,6 @@
 //! Stops asked for by the operating system.
 
-use super::Handle;
+use super::ProgramHandle;
 use tokio::signal::unix::{
     SignalKind,
     signal, //
@@ -9,7 +9,7 @@
 /// Runs `handle` until it ends: the first SIGTERM or SIGINT begins a graceful
 /// stop, a second one forces it. SIGHUP calls `reload`; without a handler of
 /// its own it would end the program. False when the program failed.
-pub async fn wait_for_stop(handle: Handle, reload: impl Fn()) -> bool {
+pub async fn wait_for_stop(handle: ProgramHandle, reload: impl Fn()) -> bool {
     let (Ok(mut term), Ok(mut interrupt), Ok(mut hangup)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -19,7 +19,7 @@
         return false;
     };
     let mut health = handle.health();
-    let mut asked = false;
+    let mut stopping = false;
     loop {
         tokio::select! {
             _ = term.recv() => {}
@@ -30,13 +30,13 @@
             }
             _ = health.wait_for(|health| health.phase == super::Phase::Stopped) => break,
         }
-        if asked {
+        if stopping {
             handle.stop();
         } else {
             tracing::info!("stopping gracefully; a second signal forces the end");
             handle.drain();
         }
-        asked = true;
+        stopping = true;
     }
     handle.wait().await
 }
--- a/src/duty/supervisor.rs
+++ b/src/duty/supervisor.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub enum SupervisorMessage {
     /// A duty is up.
-    Added(&'static str, ActorRef<ControlMessage>),
+    Started(&'static str, ActorRef<ControlMessage>),
     /// Begin a graceful stop.
     Drain,
     /// A duty knows how far the stop has come.
@@ -35,7 +35,7 @@
     /// A duty has nothing under way any more and takes nothing new.
     Drained(&'static str),
     /// A duty's thread is about to start.
-    Expected,
+    Starting,
     /// A duty's thread ended.
     Ended(&'static str),
     /// End now, cutting what is under way.
@@ -45,7 +45,7 @@
 /// Starts graceful stops, waits for every duty, and forces the end at a bound.
 pub struct Supervisor {
     /// After this long a graceful stop is forced.
-    pub bound: Millis,
+    pub drain_timeout: Millis,
 }
 
 /// The duties and what is known of them.
@@ -55,7 +55,7 @@
     entered: Vec<&'static str>,
     duties: Vec<(&'static str, ActorRef<ControlMessage>)>,
     /// Duties that were started and have not ended.
-    expected: usize,
+    running: usize,
     health: watch::Sender<Health>,
 }
 
@@ -73,7 +73,7 @@
             drained: Vec::new(),
             entered: Vec::new(),
             duties: Vec::new(),
-            expected: 0,
+            running: 0,
             health,
         })
     }
@@ -85,7 +85,7 @@
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            SupervisorMessage::Added(name, duty) => {
+            SupervisorMessage::Started(name, duty) => {
                 state.duties.push((name, duty));
                 let phase = state.health.borrow().phase;
                 state.enter(phase);
@@ -93,7 +93,7 @@
             SupervisorMessage::Drain => {
                 if state.health.borrow().phase == Phase::Running {
                     state.enter(Phase::Draining);
-                    myself.send_after(self.bound.as_duration(), || SupervisorMessage::Stop);
+                    myself.send_after(self.drain_timeout.as_duration(), || SupervisorMessage::Stop);
                     state.stop_if_drained();
                 }
             }
@@ -103,20 +103,23 @@
                 }
                 state.stop_if_drained();
             }
-            SupervisorMessage::Expected => state.expected += 1,
+            SupervisorMessage::Starting => state.running += 1,
             SupervisorMessage::Ended(name) => {
-                state.expected = state.expected.saturating_sub(1);
-                state.ended(name);
+                state.running = state.running.saturating_sub(1);
+                state.duty_ended(name);
                 // A duty that is still starting must find its supervisor: it
                 // hears of a stop only from it, and would never end without.
-                if state.expected == 0 {
+                if state.running == 0 {
                     myself.stop(None);
                 }
             }
-            SupervisorMessage::Entered(name, phase) => state.entered(name, phase),
+            SupervisorMessage::Entered(name, phase) => state.duty_entered(name, phase),
             SupervisorMessage::Stop => {
                 if state.health.borrow().phase == Phase::Draining {
-                    tracing::error!(bound = self.bound.0, "graceful stop forced at its bound");
+                    tracing::error!(
+                        bound = self.drain_timeout.0,
+                        "graceful stop forced at its bound"
+                    );
                 }
                 state.enter(Phase::Stopped);
             }
@@ -126,7 +129,7 @@
 }
 
 impl State {
-    fn ended(&mut self, name: &'static str) {
+    fn duty_ended(&mut self, name: &'static str) {
         self.duties.retain(|(kept, _)| *kept != name);
         self.drained.retain(|kept| *kept != name);
         if self.health.borrow().phase == Phase::Stopped {
@@ -139,7 +142,7 @@
         self.enter(Phase::Stopped);
     }
 
-    fn entered(&mut self, name: &'static str, phase: Phase) {
+    fn duty_entered(&mut self, name: &'static str, phase: Phase) {
         let current = self.health.borrow().phase;
         if phase == current && !self.entered.contains(&name) {
             self.entered.push(name);
@@ -151,7 +154,7 @@
     /// Ends a graceful stop once no duty has anything under way.
     fn stop_if_drained(&mut self) {
         let draining = self.health.borrow().phase == Phase::Draining;
-        if draining && self.drained.len() == self.expected {
+        if draining && self.drained.len() == self.running {
             self.enter(Phase::Stopped);
         }
     }
--- a/src/duty/thread.rs
+++ b/src/duty/thread.rs
@@ -3,7 +3,7 @@
 use super::{
     Phase,
     SupervisorMessage,
-    control::{Control, DutyControl}, //
+    control::{ControlActor, ControlState}, //
 };
 use crate::base::Clock;
 use ractor::{
@@ -70,7 +70,7 @@
 
 impl Context {
     /// Tells that this duty has nothing under way and takes nothing new.
-    pub fn drained(&self) {
+    pub fn mark_drained(&self) {
         let _ = self.supervisor.cast(SupervisorMessage::Drained(self.name));
     }
 
@@ -98,7 +98,7 @@
 {
     let supervisor = supervisor.clone();
     // Told before the thread starts, so that nothing of the duty comes first.
-    if supervisor.cast(SupervisorMessage::Expected).is_err() {
+    if supervisor.cast(SupervisorMessage::Starting).is_err() {
         tracing::warn!(duty = name, "the supervisor is gone");
     }
     let thread = std::thread::Builder::new()
@@ -130,14 +130,14 @@
     let (sender, phase) = watch::channel(Phase::Running);
     let local = LocalSet::new();
     local.block_on(&runtime, async move {
-        let control = DutyControl {
+        let control = ControlState {
             name,
             phase: sender,
             supervisor: supervisor.clone(),
         };
-        match Actor::spawn(None, Control, control).await {
+        match Actor::spawn(None, ControlActor, control).await {
             Ok((control, _)) => {
-                let _ = supervisor.cast(SupervisorMessage::Added(name, control));
+                let _ = supervisor.cast(SupervisorMessage::Started(name, control));
             }
             Err(error) => tracing::error!(duty = name, %error, "no control actor"),
         }
--- a/src/entry/call_target.rs
+++ b/src/entry/call_target.rs
@@ -53,8 +53,8 @@
             class: class.clone(),
             kind: pool.kind,
             limits: Limits {
-                class: class.limit,
-                team: team.limit,
+                class: class.max_in_flight,
+                team: team.max_in_flight,
             },
             names: (team_name.to_owned(), class_name.to_owned()),
             retry_share: team.retry_share,
--- a/src/entry/chat_api.rs
+++ b/src/entry/chat_api.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     base::{Cause, Failure, RequestId, Span, Tokens},
-    duty::details,
+    duty::problem_details,
     engine::{Choice, Delta, Message},
     wire::{Finish, Generation, Sampling}, //
 };
@@ -267,7 +267,7 @@
                 }
                 Some(Reply::Failed(failure)) => {
                     self.ended = Some(false);
-                    let told = details(&failure, Some(self.replies.request));
+                    let told = problem_details(&failure, Some(self.replies.request));
                     return Next::Events(format!("event: error\ndata: {told}\n\n"));
                 }
                 Some(Reply::Spans(more)) => {
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -49,7 +49,7 @@
     instance: String,
     mut questions: mpsc::Receiver<Claim>,
 ) {
-    context.drained();
+    context.mark_drained();
     let mut claimer = Claimer {
         claims: ClaimQueue::new(WINDOW),
         context: context.clone(),
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::stable_hash,
-    settings::Shared, //
+    settings::SharedSettings, //
     table::{Instance, Listing},
 };
 use std::{
@@ -26,7 +26,7 @@
     history: VecDeque<(u64, Arc<Vec<Instance>>)>,
     pub(super) instances: Arc<Vec<Instance>>,
     listing: Arc<Listing>,
-    pub(super) shared: Arc<Shared>,
+    pub(super) shared: Arc<SharedSettings>,
     stamp: u64,
 }
 
@@ -108,7 +108,7 @@
         let rows = self.listing.rows.iter();
         let rows = rows.filter(|(_, row)| !row.value.is_empty());
         let texts = rows.map(|(path, row)| (path.as_str(), row.value.as_str()));
-        let (shared, errors) = Shared::read(texts);
+        let (shared, errors) = SharedSettings::read(texts);
         for error in errors {
             tracing::error!(%error, "shared settings with faults are left out");
         }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -51,7 +51,7 @@
             return false;
         };
         let running: usize = trainer.steps.values().map(|step| step.tasks.len()).sum();
-        if trainer.epoch().is_none() || running >= settings.samples as usize {
+        if trainer.epoch().is_none() || running >= settings.max_samples as usize {
             return false;
         }
         let version = trainer.version;
--- a/src/entry/entry_handle.rs
+++ b/src/entry/entry_handle.rs
@@ -18,7 +18,7 @@
 };
 use crate::{
     base::{Clock, Incarnation},
-    duty::{self, DutyError, Handle, HttpServer, Limits},
+    duty::{self, DutyError, HttpLimits, HttpServer, ProgramHandle},
     policy::lease::Claimant,
     settings::EntrySettings,
     wire::{Hello, Role}, //
@@ -36,7 +36,7 @@
 pub struct Entry {
     pub admin: SocketAddr,
     pub callers: SocketAddr,
-    pub handle: Handle,
+    pub handle: ProgramHandle,
     pub links: SocketAddr,
 }
 
@@ -47,13 +47,13 @@
     /// Starts an entry.
     pub fn open(settings: EntrySettings) -> Result<Self, DutyError> {
         let common = &settings.common;
-        let mut handle = Handle::open(common.drain.bound)?;
-        let admin = HttpServer::bind(common.admin, Limits::default())?;
-        let callers = HttpServer::bind(settings.callers, Limits::default())?;
+        let mut handle = ProgramHandle::open(common.drain.timeout)?;
+        let admin = HttpServer::bind(common.admin, HttpLimits::default())?;
+        let callers = HttpServer::bind(settings.callers, HttpLimits::default())?;
         let (links, door) = duty::bind_listener(common.links)?;
         let entry = (admin.address, callers.address);
         let clock = Clock::open();
-        let incarnation = Incarnation::at(clock.now());
+        let incarnation = Incarnation::started_at(clock.now());
         let hello = Hello {
             incarnation,
             instance: common.instance.clone(),
@@ -102,7 +102,7 @@
         );
 
         let supervisor = handle.supervisor().clone();
-        let leave = common.drain.leave;
+        let leave = common.drain.close_delay;
         let traffic = traffic::Seed {
             commands,
             directory: directory.clone(),
@@ -138,7 +138,7 @@
         let health = handle.health();
         handle.add(duty::spawn("admin", &supervisor, move |context| {
             let ready = move || directory.borrow().is_known();
-            duty::admin(context, admin, health, ready, explain::route(traffic_ring))
+            duty::serve_admin(context, admin, health, ready, explain::route(traffic_ring))
         })?);
         Ok(Self {
             admin: entry.0,
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::{Account, Cause, Event, Failure, Millis, RequestId},
-    duty::{Route, json, problem},
+    duty::{AdminRoute, json, problem},
     policy::explanation::{Explanation, conclude},
     wire::{Slot, ToAgent}, //
 };
@@ -125,7 +125,7 @@
 }
 
 /// The entry's own routes on the operators' HTTP.
-pub(super) fn route(traffic: mpsc::Sender<Command>) -> Route {
+pub(super) fn route(traffic: mpsc::Sender<Command>) -> AdminRoute {
     Arc::new(move |request| {
         let traffic = traffic.clone();
         let path = request.uri().path().to_owned();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -146,7 +146,7 @@
 
 fn start(forward: &Forward, method: &str, path: &str, body: Bytes, budget: Millis) -> ToAgent {
     let request = RequestId {
-        incarnation: Incarnation::at(forward.clock.now()),
+        incarnation: Incarnation::started_at(forward.clock.now()),
         issuer: Issuer::of(&forward.hello.instance),
         second: 0,
         sequence: 0,
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -44,7 +44,7 @@
             async move { route(app, trainers, request).await }
         })
         .await;
-    context.drained();
+    context.mark_drained();
     context.reached(crate::duty::Phase::Stopped).await;
 }
 
--- a/src/entry/learner.rs
+++ b/src/entry/learner.rs
@@ -9,7 +9,7 @@
     base::{Millis, stable_hash},
     duty::{Context, Phase},
     policy::subset,
-    settings::{EntrySettings, ROOT}, //
+    settings::{EntrySettings, SETTINGS_PREFIX}, //
     table::{Platform, Tag},
 };
 use std::{
@@ -38,7 +38,7 @@
     forward: Forward,
     directory: watch::Sender<Arc<Directory>>,
 ) {
-    context.drained();
+    context.mark_drained();
     let platform = Platform::open(settings.common.platform);
     let mut failed = 0;
     let mut tags = (Tag::default(), Tag::default());
@@ -84,7 +84,7 @@
         let answer = forward::get(forward, peer, &path, HOLD + READ).await.ok()?;
         return serde_json::from_slice(&answer).ok();
     }
-    let listing = platform.list(ROOT, &mut tags.0).await.ok()?;
+    let listing = platform.list(SETTINGS_PREFIX, &mut tags.0).await.ok()?;
     let instances = platform.instances(&mut tags.1).await.ok()?;
     let instances = instances.map_or(Change::Same, |mut list| {
         list.sort_by(|a, b| a.name.cmp(&b.name));
--- a/src/entry/peer_door.rs
+++ b/src/entry/peer_door.rs
@@ -50,7 +50,7 @@
 
 /// Answers until the program stops.
 pub(super) async fn run(context: Context, listener: std::net::TcpListener, peers: Peers) {
-    context.drained();
+    context.mark_drained();
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
     };
--- a/src/entry/rollout.rs
+++ b/src/entry/rollout.rs
@@ -167,7 +167,7 @@
                 rollout.draining = context.phase() >= Phase::Draining;
                 rollout.on_tick();
                 if rollout.draining && rollout.trainers.is_empty() {
-                    context.drained();
+                    context.mark_drained();
                 }
             }
             () = context.reached(Phase::Stopped) => return,
--- a/src/entry/swaps.rs
+++ b/src/entry/swaps.rs
@@ -68,7 +68,12 @@
             return;
         };
         let pool = settings.pool.clone();
-        let width = self.directory.shared.pools.get(&pool).map_or(1, |p| p.wave);
+        let width = self
+            .directory
+            .shared
+            .pools
+            .get(&pool)
+            .map_or(1, |p| p.max_swaps);
         let view = self.view.clone();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -239,7 +239,7 @@
             self.drop_unlisted();
         }
         if self.context.phase() >= Phase::Draining && self.calls.is_empty() {
-            self.context.drained();
+            self.context.mark_drained();
         }
     }
 
--- a/src/entry/trainer_api.rs
+++ b/src/entry/trainer_api.rs
@@ -115,7 +115,10 @@
 /// A failure as status and problem details.
 fn failed(failure: &Failure) -> (StatusCode, Bytes) {
     let status = StatusCode::from_u16(failure.cause.status()).unwrap_or_default();
-    (status, Bytes::from(crate::duty::details(failure, None)))
+    (
+        status,
+        Bytes::from(crate::duty::problem_details(failure, None)),
+    )
 }
 
 fn parse(method: &str, path: &str, body: &[u8]) -> Result<(String, String, Ask), Failure> {
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -8,7 +8,7 @@
     streams, //
 };
 use crate::{
-    base::{Asked, Clock, Fingerprint, Millis},
+    base::{Clock, Fingerprint, FingerprintInput, Millis},
     calls::{Call, Dispatcher},
     duty::{Answer, Context, Phase},
     platform::{self, BatchCall, Ingress},
@@ -136,7 +136,7 @@
 
         let target = head.uri.path_and_query();
         let target = target.map_or_else(|| path.to_owned(), ToString::to_string);
-        let fingerprint = Fingerprint::of(Asked {
+        let fingerprint = Fingerprint::of(FingerprintInput {
             body: &body,
             credential: caller_identity(workspace.as_deref(), &head),
             host,
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -9,7 +9,7 @@
 use crate::{
     base::{Clock, Millis},
     calls::Dispatcher,
-    duty::{self, DutyError, Handle, HttpServer, Limits, Route, admin},
+    duty::{self, AdminRoute, DutyError, HttpLimits, HttpServer, ProgramHandle, serve_admin},
     platform::Store,
     relay::{Identity, Relay},
     settings::GatewaySettings,
@@ -26,7 +26,7 @@
 pub struct Gateway {
     /// The address for callers and trainers.
     pub callers: SocketAddr,
-    pub handle: Handle,
+    pub handle: ProgramHandle,
     /// The address of the metrics endpoint.
     pub metrics: SocketAddr,
     /// The address of the readiness check.
@@ -49,16 +49,16 @@
     /// Binds the gateway's listeners and starts its tasks.
     pub fn open(settings: GatewaySettings) -> Result<Self, DutyError> {
         let common = &settings.common;
-        let mut handle = Handle::open(common.stop_bound())?;
-        let limits = Limits {
-            head: MAX_HEAD_BYTES,
-            head_time: CALLER_IDLE_TIMEOUT,
-            ..Limits::default()
+        let mut handle = ProgramHandle::open(common.stop_timeout())?;
+        let limits = HttpLimits {
+            max_head_bytes: MAX_HEAD_BYTES,
+            head_timeout: CALLER_IDLE_TIMEOUT,
+            ..HttpLimits::default()
         };
         let callers = HttpServer::bind(settings.callers, limits)?;
-        let ready = HttpServer::bind(settings.ready, Limits::default())?;
-        let metrics = HttpServer::bind(common.metrics, Limits::default())?;
-        let peers = HttpServer::bind(common.peers, Limits::default())?;
+        let ready = HttpServer::bind(settings.ready, HttpLimits::default())?;
+        let metrics = HttpServer::bind(common.metrics, HttpLimits::default())?;
+        let peers = HttpServer::bind(common.peers, HttpLimits::default())?;
         let addresses = (callers.address, metrics.address, ready.address);
         tracing::info!(
             instance = common.instance,
@@ -127,17 +127,17 @@
             };
             callers.serve(&context, DRAIN_ACCEPT_TIME, handler).await;
             tracing::info!("callers' requests drained");
-            context.drained();
+            context.mark_drained();
         };
         handle.add(duty::spawn("callers", &supervisor, serve)?);
 
-        let no_routes: Route = Arc::new(|_| Box::pin(async { None }));
+        let no_routes: AdminRoute = Arc::new(|_| Box::pin(async { None }));
         let metrics_inputs = (health.clone(), no_routes.clone());
         let serve = move |context: duty::Context| async move {
             let is_ready_now = move || is_ready(&site, &crashes, clock.now());
-            let ready = admin(context.clone(), ready, health, is_ready_now, no_routes);
+            let ready = serve_admin(context.clone(), ready, health, is_ready_now, no_routes);
             let (health, no_routes) = metrics_inputs;
-            let metrics = admin(context, metrics, health, || true, no_routes);
+            let metrics = serve_admin(context, metrics, health, || true, no_routes);
             tokio::join!(ready, metrics);
         };
         handle.add(duty::spawn("admin", &supervisor, serve)?);
--- a/src/operator/agent_command.rs
+++ b/src/operator/agent_command.rs
@@ -1,7 +1,7 @@
 //! The command line of `redwing-agent`.
 
 use super::{
-    parse,
+    parse_command_line,
     program::Program, //
 };
 use crate::{
@@ -31,7 +31,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn agent_main() -> ExitCode {
-    let command: AgentCommand = match parse() {
+    let command: AgentCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -3,11 +3,11 @@
 use super::{
     OperatorError,
     operator_error::{ConflictSnafu, ReadSnafu},
-    shared_settings::row, //
+    shared_settings::table_path, //
 };
 use crate::{
     base::{Clock, stable_hash},
-    settings::{PoolSettings, SettingsError, TEAMS, TeamSettings, read}, //
+    settings::{PoolSettings, SettingsError, TEAMS_PREFIX, TeamSettings, read}, //
     table::{Platform, Transaction, Write, Written},
 };
 use argh::FromArgs;
@@ -53,8 +53,8 @@
 
 impl CheckCommand {
     pub(super) fn run(self) -> Result<(), OperatorError> {
-        row(&self.path)?;
-        checked(&self.path, &self.file)?;
+        table_path(&self.path)?;
+        read_checked(&self.path, &self.file)?;
         println!("{}: ok for `{}`", self.file.display(), self.path);
         Ok(())
     }
@@ -62,8 +62,8 @@
 
 impl ApplyCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        let path = row(&self.path)?;
-        let text = checked(&self.path, &self.file)?;
+        let path = table_path(&self.path)?;
+        let text = read_checked(&self.path, &self.file)?;
         let platform = Platform::open(self.platform);
         let expect = match self.expect {
             Some(expect) => expect,
@@ -101,11 +101,11 @@
 }
 
 /// The file's text, once it is checked as settings for `path`.
-fn checked(path: &str, file: &PathBuf) -> Result<String, OperatorError> {
+fn read_checked(path: &str, file: &PathBuf) -> Result<String, OperatorError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).context(ReadSnafu { file: &name })?;
-    let team = row(path)?.starts_with(TEAMS);
-    let result: Result<(), SettingsError> = match team {
+    let is_team = table_path(path)?.starts_with(TEAMS_PREFIX);
+    let result: Result<(), SettingsError> = match is_team {
         true => read(&name, &text, TeamSettings::read).map(|_| ()),
         false => read(&name, &text, PoolSettings::read).map(|_| ()),
     };
--- a/src/operator/entry_command.rs
+++ b/src/operator/entry_command.rs
@@ -1,7 +1,7 @@
 //! The command line of `redwing-entry`.
 
 use super::{
-    parse,
+    parse_command_line,
     program::Program, //
 };
 use crate::{
@@ -31,7 +31,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn entry_main() -> ExitCode {
-    let command: EntryCommand = match parse() {
+    let command: EntryCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
--- a/src/operator/explain.rs
+++ b/src/operator/explain.rs
@@ -2,7 +2,7 @@
 
 use super::{
     OperatorError,
-    fleet::entries,
+    fleet::entry_addresses,
     operator_error::{AnswerSnafu, UnknownRequestSnafu}, //
 };
 use crate::{
@@ -49,20 +49,20 @@
 impl ExplainCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
         let request: RequestId = self.request.parse()?;
-        let mut own = None;
-        let mut agents = Vec::new();
-        for entry in entries(self.entry, self.platform).await? {
-            if let Some(told) = ask(entry, request).await? {
-                own = own.or(told.entry);
-                agents.extend(told.agents);
+        let mut entry_account = None;
+        let mut agent_accounts = Vec::new();
+        for entry in entry_addresses(self.entry, self.platform).await? {
+            if let Some(answer) = fetch_explanation(entry, request).await? {
+                entry_account = entry_account.or(answer.entry);
+                agent_accounts.extend(answer.agents);
             }
         }
         ensure!(
-            own.is_some() || !agents.is_empty(),
+            entry_account.is_some() || !agent_accounts.is_empty(),
             UnknownRequestSnafu { id: self.request }
         );
-        agents.dedup();
-        let explanation = conclude(own, agents);
+        agent_accounts.dedup();
+        let explanation = conclude(entry_account, agent_accounts);
         match self.json {
             true => println!("{}", serde_json::json!(explanation)),
             false => print(request, &explanation),
@@ -71,7 +71,10 @@
     }
 }
 
-async fn ask(entry: SocketAddr, request: RequestId) -> Result<Option<Explanation>, OperatorError> {
+async fn fetch_explanation(
+    entry: SocketAddr,
+    request: RequestId,
+) -> Result<Option<Explanation>, OperatorError> {
     let client = JsonClient::open(entry, TIMEOUT);
     let path = format!("/v1/explain/{request}");
     match client.call(Method::GET, &path, Vec::new()).await {
@@ -102,8 +105,8 @@
     println!("  {delivered}");
     let accounts = explanation.entry.iter().map(|one| ("entry", one));
     let accounts = accounts.chain(explanation.agents.iter().map(|one| ("agent", one)));
-    for (whose, account) in accounts {
-        println!("{whose}'s account ({}/{}):", account.team, account.class);
+    for (program, account) in accounts {
+        println!("{program}'s account ({}/{}):", account.team, account.class);
         print_events(account);
     }
 }
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -39,7 +39,7 @@
 
 impl StatusCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        for entry in entries(self.entry, self.platform).await? {
+        for entry in entry_addresses(self.entry, self.platform).await? {
             let client = JsonClient::open(entry, TIMEOUT);
             let (_, body) = client.call(Method::GET, "/v1/fleet", Vec::new()).await?;
             let fleet: Value =
@@ -54,7 +54,7 @@
 }
 
 /// The admin addresses to ask: those named, or those that the platform lists.
-pub(super) async fn entries(
+pub(super) async fn entry_addresses(
     named: Vec<SocketAddr>,
     platform: Option<SocketAddr>,
 ) -> Result<Vec<SocketAddr>, OperatorError> {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -29,11 +29,11 @@
 };
 
 /// The exit code for wrong usage or settings.
-pub const USAGE: u8 = 2;
+pub const USAGE_EXIT_CODE: u8 = 2;
 
 /// Parses the command line of a program that knows `--version`; on help or an
 /// error it prints that and returns the exit code.
-pub fn parse<T: TopLevelCommand>() -> Result<T, ExitCode> {
+pub fn parse_command_line<T: TopLevelCommand>() -> Result<T, ExitCode> {
     let arguments: Vec<String> = std::env::args().collect();
     let texts: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let (program, rest) = texts.split_first().unwrap_or((&"redwing", &[]));
@@ -49,7 +49,7 @@
         }
         Err(()) => {
             eprintln!("error: {}", early.output.trim_end());
-            ExitCode::from(USAGE)
+            ExitCode::from(USAGE_EXIT_CODE)
         }
     })
 }
--- a/src/operator/operator_command.rs
+++ b/src/operator/operator_command.rs
@@ -2,12 +2,12 @@
 
 use super::{
     OperatorError,
-    USAGE,
+    USAGE_EXIT_CODE,
     apply::{ApplyCommand, CheckCommand},
     block_on,
     explain::ExplainCommand,
     fleet::StatusCommand,
-    parse,
+    parse_command_line,
     shared_settings::{GetCommand, ListCommand},
     steps::StepsCommand, //
 };
@@ -60,7 +60,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn operator_main() -> ExitCode {
-    let command: OperatorCommand = match parse() {
+    let command: OperatorCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
@@ -70,7 +70,7 @@
             Err(error) => {
                 eprintln!("error: {error}");
                 match error.is_usage() {
-                    true => ExitCode::from(USAGE),
+                    true => ExitCode::from(USAGE_EXIT_CODE),
                     false => ExitCode::FAILURE,
                 }
             }
--- a/src/operator/program.rs
+++ b/src/operator/program.rs
@@ -1,11 +1,11 @@
 //! What the programs do alike: check, open, run, stop.
 
 use super::{
-    USAGE,
+    USAGE_EXIT_CODE,
     block_on, //
 };
 use crate::{
-    duty::{DutyError, Handle, render_metrics, wait_for_stop},
+    duty::{DutyError, ProgramHandle, render_metrics, wait_for_stop},
     settings::SettingsError, //
 };
 use std::{
@@ -37,13 +37,13 @@
         &self,
         load: impl Fn(&Path) -> Result<S, SettingsError>,
         open_log: impl Fn(&S) -> G,
-        open: impl Fn(S) -> Result<Handle, DutyError>,
+        open: impl Fn(S) -> Result<ProgramHandle, DutyError>,
     ) -> ExitCode {
         let settings = match load(self.file) {
             Ok(settings) => settings,
             Err(error) => {
                 eprintln!("error: {error}");
-                return ExitCode::from(USAGE);
+                return ExitCode::from(USAGE_EXIT_CODE);
             }
         };
         if self.check {
--- a/src/operator/shared_settings.rs
+++ b/src/operator/shared_settings.rs
@@ -5,7 +5,7 @@
     operator_error::{NoSettingsSnafu, PathSnafu}, //
 };
 use crate::{
-    settings::{POOLS, ROOT, TEAMS}, //
+    settings::{POOLS_PREFIX, SETTINGS_PREFIX, TEAMS_PREFIX}, //
     table::{Platform, Tag},
 };
 use argh::FromArgs;
@@ -38,22 +38,26 @@
 }
 
 /// The table's path for an operator's path.
-pub(super) fn row(path: &str) -> Result<String, OperatorError> {
-    let row = format!("{ROOT}{path}");
-    let name = row.strip_prefix(POOLS).or(row.strip_prefix(TEAMS));
-    let named = name.is_some_and(|name| {
+pub(super) fn table_path(path: &str) -> Result<String, OperatorError> {
+    let table_path = format!("{SETTINGS_PREFIX}{path}");
+    let name = table_path
+        .strip_prefix(POOLS_PREFIX)
+        .or(table_path.strip_prefix(TEAMS_PREFIX));
+    let valid = name.is_some_and(|name| {
         !name.is_empty()
             && name
                 .bytes()
                 .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
     });
-    ensure!(named, PathSnafu { path });
-    Ok(row)
+    ensure!(valid, PathSnafu { path });
+    Ok(table_path)
 }
 
 impl GetCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        let found = Platform::open(self.platform).get(&row(&self.path)?).await?;
+        let found = Platform::open(self.platform)
+            .get(&table_path(&self.path)?)
+            .await?;
         let found = found.context(NoSettingsSnafu { path: self.path })?;
         println!("# version {}", found.version);
         println!("{}", found.value.trim_end());
@@ -64,10 +68,10 @@
 impl ListCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
         let listing = Platform::open(self.platform)
-            .list(ROOT, &mut Tag::default())
+            .list(SETTINGS_PREFIX, &mut Tag::default())
             .await?;
         for (path, row) in listing.unwrap_or_default().rows {
-            let path = path.strip_prefix(ROOT).unwrap_or(&path);
+            let path = path.strip_prefix(SETTINGS_PREFIX).unwrap_or(&path);
             println!("{:>8}  {path}", row.version);
         }
         Ok(())
--- a/src/operator/site_command.rs
+++ b/src/operator/site_command.rs
@@ -1,16 +1,16 @@
 //! The command lines of `redwing-gateway` and `redwing-runner`.
 
 use super::{
-    USAGE,
-    parse,
+    USAGE_EXIT_CODE,
+    parse_command_line,
     program::Program, //
 };
 use crate::{
-    duty::{DutyError, Handle, open_stdout_log},
+    duty::{DutyError, ProgramHandle, open_stdout_log},
     gateway::Gateway,
     platform::SETTINGS_VARIABLE,
     runner::Runner,
-    settings::{GatewaySettings, RunnerSettings, SettingsError, SiteCommon}, //
+    settings::{GatewaySettings, RunnerSettings, SettingsError, SiteSettings}, //
 };
 use argh::FromArgs;
 use std::{
@@ -50,7 +50,7 @@
 
 /// Runs `redwing-gateway`; returns its exit code.
 pub fn gateway_main() -> ExitCode {
-    match parse::<GatewayCommand>() {
+    match parse_command_line::<GatewayCommand>() {
         Ok(command) => run(
             command.check,
             command.settings,
@@ -64,7 +64,7 @@
 
 /// Runs `redwing-runner`; returns its exit code.
 pub fn runner_main() -> ExitCode {
-    match parse::<RunnerCommand>() {
+    match parse_command_line::<RunnerCommand>() {
         Ok(command) => run(
             command.check,
             command.settings,
@@ -80,12 +80,12 @@
     check: bool,
     file: Option<PathBuf>,
     load: impl Fn(&Path) -> Result<S, SettingsError>,
-    common: impl Fn(&S) -> &SiteCommon,
-    open: impl Fn(S) -> Result<Handle, DutyError>,
+    common: impl Fn(&S) -> &SiteSettings,
+    open: impl Fn(S) -> Result<ProgramHandle, DutyError>,
 ) -> ExitCode {
     let Some(file) = file.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from)) else {
         eprintln!("error: give `--settings FILE`, or set {SETTINGS_VARIABLE}");
-        return ExitCode::from(USAGE);
+        return ExitCode::from(USAGE_EXIT_CODE);
     };
     let program = Program { check, file: &file };
     program.run(
--- a/src/operator/step_times.rs
+++ b/src/operator/step_times.rs
@@ -81,7 +81,7 @@
     pub batch: String,
     /// From the first start to that of the run that ended whole: what earlier runs
     /// took, at engines that were lost or too slow.
-    pub before: f64,
+    pub earlier_runs: f64,
     pub events: u64,
     /// The events' own time in the run that ended whole.
     pub generating: f64,
@@ -90,7 +90,7 @@
     pub listing: f64,
     pub model: String,
     /// What an event took in that run, in ms.
-    pub pace: f64,
+    pub ms_per_event: f64,
     /// From the result in the store to the trainer's end of the step.
     pub reading: f64,
     pub server: String,
@@ -100,17 +100,17 @@
     /// From the acceptance to the first start of a run.
     pub waiting: f64,
     /// From the run's start to its first event.
-    pub warming: f64,
+    pub first_event_wait: f64,
 }
 
 impl StepTimes {
     /// Takes a line of a log; what is none, or says nothing of steps, is left out.
-    pub fn take(&mut self, text: &str) {
+    pub fn add_line(&mut self, text: &str) {
         let json = text.find('{').map_or("", |at| &text[at..]);
         let Ok(line) = serde_json::from_str::<Line>(json) else {
             return;
         };
-        let Some(at) = seconds(&line.timestamp) else {
+        let Some(at) = unix_seconds(&line.timestamp) else {
             return;
         };
         let ids: Vec<String> = match &line.items {
@@ -140,30 +140,30 @@
                 batch.step = line.step;
             }
             "batch ended by its trainer" => batch.ended = Some(at),
-            "results listed" => note_first(&mut batch.listed, ids, at),
-            "runs a bundle" => note_first(&mut batch.started, ids, at),
+            "results listed" => record_earliest(&mut batch.listed, ids, at),
+            "runs a bundle" => record_earliest(&mut batch.started, ids, at),
             _ => {}
         }
     }
 
     /// The steps that were accepted and ended within the logs, in order.
-    pub fn rows(&self) -> Vec<StepTime> {
-        let known = self.batches.iter();
-        let mut rows: Vec<StepTime> = known
-            .filter_map(|(id, batch)| self.row(id, batch))
+    pub fn steps(&self) -> Vec<StepTime> {
+        let batches = self.batches.iter();
+        let mut steps: Vec<StepTime> = batches
+            .filter_map(|(id, batch)| self.step_time(id, batch))
             .collect();
-        rows.sort_by(|a, b| a.accepted.total_cmp(&b.accepted));
-        let first = rows.first().map_or(0.0, |row| row.accepted);
-        for row in &mut rows {
-            row.accepted -= first;
+        steps.sort_by(|a, b| a.accepted.total_cmp(&b.accepted));
+        let first = steps.first().map_or(0.0, |step| step.accepted);
+        for step in &mut steps {
+            step.accepted -= first;
         }
-        rows
+        steps
     }
 
-    fn row(&self, id: &str, batch: &Batch) -> Option<StepTime> {
+    fn step_time(&self, id: &str, batch: &Batch) -> Option<StepTime> {
         let (accepted, ended) = (batch.accepted?, batch.ended?);
-        let read = batch.listed.iter().filter(|(_, at)| **at <= ended);
-        let (item, listed) = read.max_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)))?;
+        let read_results = batch.listed.iter().filter(|(_, at)| **at <= ended);
+        let (item, listed) = read_results.max_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)))?;
         let started = *batch.started.get(item)?;
         // The run whose text was listed: an item that comes again in a later
         // step, or runs twice, has others.
@@ -176,24 +176,24 @@
         Some(StepTime {
             accepted,
             batch: id.to_owned(),
-            before: (begun - started).max(0.0),
+            earlier_runs: (begun - started).max(0.0),
             events: run.events,
             generating,
             item: item.clone(),
             listing: listed - run.ended,
             model: batch.model.clone(),
-            pace: generating * 1e3 / gaps as f64,
+            ms_per_event: generating * 1e3 / gaps as f64,
             reading: ended - listed,
             server: run.server.clone(),
             step: batch.step,
             taken: ended - accepted,
             waiting: started - accepted,
-            warming: run.waited,
+            first_event_wait: run.waited,
         })
     }
 }
 
-fn note_first(times: &mut HashMap<String, f64>, ids: Vec<String>, at: f64) {
+fn record_earliest(times: &mut HashMap<String, f64>, ids: Vec<String>, at: f64) {
     for id in ids {
         let first = times.entry(id).or_insert(at);
         *first = first.min(at);
@@ -201,7 +201,7 @@
 }
 
 /// The time of a line, in s since the Unix epoch.
-fn seconds(timestamp: &str) -> Option<f64> {
+fn unix_seconds(timestamp: &str) -> Option<f64> {
     let time = OffsetDateTime::parse(timestamp, &Rfc3339).ok()?;
     Some(time.unix_timestamp_nanos() as f64 / 1e9)
 }
--- a/src/operator/steps.rs
+++ b/src/operator/steps.rs
@@ -32,36 +32,36 @@
     pub(super) fn run(self) -> Result<(), OperatorError> {
         let mut times = StepTimes::default();
         if self.files.is_empty() {
-            take_all(&mut times, stdin().lock(), "standard input")?;
+            read_log(&mut times, stdin().lock(), "standard input")?;
         }
         for path in &self.files {
             let name = path.display().to_string();
             let file = File::open(path).context(ReadSnafu { file: &name })?;
-            take_all(&mut times, file, &name)?;
+            read_log(&mut times, file, &name)?;
         }
-        let rows = times.rows();
-        if rows.is_empty() {
+        let steps = times.steps();
+        if steps.is_empty() {
             return Err(OperatorError::NoSteps);
         }
-        println!("{HEAD}");
-        for row in rows.iter().filter(|row| row.taken > self.over) {
-            println!("{}", text(row));
+        println!("{TABLE_HEADER}");
+        for row in steps.iter().filter(|row| row.taken > self.over) {
+            println!("{}", format_step(row));
         }
         Ok(())
     }
 }
 
-fn take_all(times: &mut StepTimes, input: impl Read, name: &str) -> Result<(), OperatorError> {
+fn read_log(times: &mut StepTimes, input: impl Read, name: &str) -> Result<(), OperatorError> {
     for line in BufReader::new(input).split(b'\n') {
         let line = line.context(ReadSnafu { file: name })?;
-        times.take(&String::from_utf8_lossy(&line));
+        times.add_line(&String::from_utf8_lossy(&line));
     }
     Ok(())
 }
 
-const HEAD: &str = "accepted step model            taken   wait before  first events generate  list  read  ms/event item             server";
+const TABLE_HEADER: &str = "accepted step model            taken   wait before  first events generate  list  read  ms/event item             server";
 
-fn text(row: &StepTime) -> String {
+fn format_step(row: &StepTime) -> String {
     format!(
         "{:8.2} {:4} {:16} {:5.2} {:6.2} {:6.2} {:6.2} {:6} {:8.2} {:5.2} {:5.2} {:9.1} {:16} {}",
         row.accepted,
@@ -69,13 +69,13 @@
         row.model,
         row.taken,
         row.waiting,
-        row.before,
-        row.warming,
+        row.earlier_runs,
+        row.first_event_wait,
         row.events,
         row.generating,
         row.listing,
         row.reading,
-        row.pace,
+        row.ms_per_event,
         row.item,
         row.server,
     )
--- a/src/policy/explanation.rs
+++ b/src/policy/explanation.rs
@@ -139,7 +139,7 @@
         };
         let mut account = Account::new(request, "team", "class");
         for event in events {
-            account.note(Millis(0), event);
+            account.record(Millis(0), event);
         }
         account
     }
--- a/src/policy/step.rs
+++ b/src/policy/step.rs
@@ -198,7 +198,7 @@
         }
         // Tokens whose version is in doubt must not be delivered. No span covers them,
         // so the sample is generated again.
-        if !Span::cover(&sample.spans, sample.tokens.len()) || sample.spans.is_empty() {
+        if !Span::covers(&sample.spans, sample.tokens.len()) || sample.spans.is_empty() {
             self.restart(number, now);
             return false;
         }
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -6,7 +6,7 @@
     text::Text, //
 };
 use crate::{
-    base::{Asked, Clock, Fingerprint, Millis},
+    base::{Clock, Fingerprint, FingerprintInput, Millis},
     batch::{Item, Partial, Sample, SampleState},
     net::{CallError, Peer, StreamingResponse},
     platform::{
@@ -192,7 +192,7 @@
 
 /// Identifies the request of `item`, from a batch for `host`, in the crash records.
 pub(super) fn fingerprint(host: &str, item: &Item) -> Fingerprint {
-    Fingerprint::of(Asked {
+    Fingerprint::of(FingerprintInput {
         body: &item.body,
         credential: &[],
         host,
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -8,7 +8,7 @@
 use crate::{
     base::Clock,
     calls::Dispatcher,
-    duty::{self, DutyError, Handle, HttpServer, Limits, Route, admin},
+    duty::{self, AdminRoute, DutyError, HttpLimits, HttpServer, ProgramHandle, serve_admin},
     net::Peer,
     platform::Store,
     relay::{Identity, Relay},
@@ -26,7 +26,7 @@
 
 /// A running `redwing-runner`; dropping it ends it.
 pub struct Runner {
-    pub handle: Handle,
+    pub handle: ProgramHandle,
     /// The address of its metrics and health endpoints.
     pub metrics: SocketAddr,
 }
@@ -39,9 +39,9 @@
     /// A [`DutyError`] if an address can't be bound or a thread can't be started.
     pub fn open(settings: RunnerSettings) -> Result<Self, DutyError> {
         let common = settings.common;
-        let mut handle = Handle::open(common.stop_bound())?;
-        let metrics = HttpServer::bind(common.metrics, Limits::default())?;
-        let peers = HttpServer::bind(common.peers, Limits::default())?;
+        let mut handle = ProgramHandle::open(common.stop_timeout())?;
+        let metrics = HttpServer::bind(common.metrics, HttpLimits::default())?;
+        let peers = HttpServer::bind(common.peers, HttpLimits::default())?;
         let address = metrics.address;
         tracing::info!(
             instance = common.instance,
@@ -105,8 +105,8 @@
         };
         handle.add(duty::spawn("work", &supervisor, work)?);
 
-        let no_route: Route = Arc::new(|_| Box::pin(async { None }));
-        let serve = move |context| admin(context, metrics, health, || true, no_route);
+        let no_route: AdminRoute = Arc::new(|_| Box::pin(async { None }));
+        let serve = move |context| serve_admin(context, metrics, health, || true, no_route);
         handle.add(duty::spawn("admin", &supervisor, serve)?);
         Ok(Self {
             handle,
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -1,7 +1,7 @@
 //! Calls the scorer of an item's text.
 
 use crate::{
-    base::{Asked, Fingerprint, Millis},
+    base::{Fingerprint, FingerprintInput, Millis},
     batch::Scorer,
     calls::{Call, CallOutcome, Dispatcher},
     platform::{self, ATTEMPT_ID},
@@ -111,7 +111,7 @@
 }
 
 fn fingerprint(scorer: &Scorer) -> Fingerprint {
-    Fingerprint::of(Asked {
+    Fingerprint::of(FingerprintInput {
         body: &scorer.body,
         credential: &[],
         host: &scorer.host,
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -110,7 +110,7 @@
         let (token, home) = tokio::select! {
             first = first => first,
             () = context.reached(Phase::Draining) => {
-                context.drained();
+                context.mark_drained();
                 return;
             }
         };
@@ -171,7 +171,7 @@
             work.leaving = context.phase() >= Phase::Draining;
             work.plan();
             if work.leaving && work.is_idle() {
-                context.drained();
+                context.mark_drained();
             }
         }
     }
--- a/src/settings/agent_settings.rs
+++ b/src/settings/agent_settings.rs
@@ -1,7 +1,7 @@
 //! An agent's own settings.
 
 use super::{
-    Common,
+    CommonSettings,
     Reader,
     SettingsError,
     common::{address, policy},
@@ -32,14 +32,14 @@
     pub kind: BackendKind,
     pub pool: String,
     /// Requests that may wait for it.
-    pub queue: usize,
+    pub max_queued: usize,
 }
 
 /// The settings of a `redwing-agent`.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
     pub backend: Backend,
-    pub common: Common,
+    pub common: CommonSettings,
     pub policy: Policy,
 }
 
@@ -51,7 +51,7 @@
 
     /// Reads the document's root.
     pub fn read(reader: &Reader<'_>) -> Self {
-        let common = Common::read(reader);
+        let common = CommonSettings::read(reader);
         let listen = reader.section("listen");
         listen.text("admin", Some("-"));
         listen.text("links", Some("-"));
@@ -66,7 +66,7 @@
         let checks_fence = backend.value("checks_fence", "true or false", Some(false));
         if checks_fence && kind == BackendKind::Service {
             let expected = "false: a plain service takes no orders";
-            backend.contradiction("checks_fence", expected, "true");
+            backend.reject("checks_fence", expected, "true");
         }
         let settings = Self {
             backend: Backend {
@@ -75,7 +75,7 @@
                 checks_fence,
                 kind,
                 pool: backend.text("pool", None),
-                queue: backend.number("queue", 0..=1_000_000, Some(256)) as usize,
+                max_queued: backend.number("queue", 0..=1_000_000, Some(256)) as usize,
             },
             common,
             policy: policy(reader),
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -19,15 +19,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSettings {
     /// After this the stop is forced, and what it cut is counted.
-    pub bound: Millis,
+    pub timeout: Millis,
     /// How long a leaving process still takes requests that were under way
     /// to it before others learned that it leaves.
-    pub leave: Millis,
+    pub close_delay: Millis,
 }
 
 /// The settings of every process.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct CommonSettings {
     pub admin: SocketAddr,
     pub data_centre: String,
     pub drain: DrainSettings,
@@ -53,7 +53,7 @@
         return text.parse().unwrap_or_else(|_| {
             if !text.is_empty() {
                 let found = format!("`{text}`");
-                reader.contradiction(key, "an IP address and a port", &found);
+                reader.reject(key, "an IP address and a port", &found);
             }
             any_port()
         });
@@ -61,7 +61,7 @@
     let text = reader.text(key, Some(&default.to_string()));
     text.parse().unwrap_or_else(|_| {
         let found = format!("`{text}`");
-        reader.contradiction(key, "an IP address and a port", &found);
+        reader.reject(key, "an IP address and a port", &found);
         default
     })
 }
@@ -73,7 +73,7 @@
     policy.unwrap_or_default()
 }
 
-impl Common {
+impl CommonSettings {
     /// What this process shows on a link as proof of knowing the key.
     pub fn link_key(&self) -> String {
         let key = blake3::derive_key("redwingpond link key v1", self.key.as_bytes());
@@ -89,8 +89,8 @@
             admin: address(&listen, "admin", Some(any_port())),
             data_centre: reader.text("data_centre", None),
             drain: DrainSettings {
-                bound: Millis(drain.number("bound_ms", 100..=3_600_000, Some(60_000))),
-                leave: Millis(drain.number("leave_ms", 0..=60_000, Some(2_000))),
+                timeout: Millis(drain.number("bound_ms", 100..=3_600_000, Some(60_000))),
+                close_delay: Millis(drain.number("leave_ms", 0..=60_000, Some(2_000))),
             },
             instance: reader.text("instance", None),
             key: reader.text("key", None),
@@ -105,9 +105,9 @@
             log_level: log.text("level", Some("info")),
             platform: address(reader, "platform", None),
         };
-        if common.drain.leave > common.drain.bound {
-            let found = common.drain.leave.0.to_string();
-            drain.contradiction("leave_ms", "no more than `bound_ms`", &found);
+        if common.drain.close_delay > common.drain.timeout {
+            let found = common.drain.close_delay.0.to_string();
+            drain.reject("leave_ms", "no more than `bound_ms`", &found);
         }
         drain.finish();
         log.finish();
--- a/src/settings/entry_settings.rs
+++ b/src/settings/entry_settings.rs
@@ -1,7 +1,7 @@
 //! An entry's own settings.
 
 use super::{
-    Common,
+    CommonSettings,
     Reader,
     SettingsError,
     common::{address, any_port, policy},
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
     pub callers: SocketAddr,
-    pub common: Common,
+    pub common: CommonSettings,
     /// One-way delay to each other data centre.
     pub distances: BTreeMap<String, Millis>,
     /// Link ports of other entries, for a start while the platform is down.
@@ -30,7 +30,7 @@
 }
 
 /// The one-way delay assumed to a data centre that is not listed.
-pub const DISTANCE: Millis = Millis(2);
+pub const DEFAULT_DISTANCE: Millis = Millis(2);
 
 impl EntrySettings {
     /// Loads and checks the file at `path`.
@@ -40,7 +40,7 @@
 
     /// Reads the document's root.
     pub fn read(reader: &Reader<'_>) -> Self {
-        let common = Common::read(reader);
+        let common = CommonSettings::read(reader);
         let listen = reader.section("listen");
         let callers = address(&listen, "callers", Some(any_port()));
         // Read once more so that only unknown keys of the section are told.
@@ -58,7 +58,7 @@
         let parsed: Vec<SocketAddr> = peers.iter().filter_map(|p| p.parse().ok()).collect();
         if parsed.len() < peers.len() {
             let expected = "IP addresses with ports";
-            reader.contradiction("peers", expected, &peers.join(", "));
+            reader.reject("peers", expected, &peers.join(", "));
         }
         Self {
             callers,
@@ -74,6 +74,9 @@
         if data_centre == self.common.data_centre {
             return Millis(0);
         }
-        self.distances.get(data_centre).copied().unwrap_or(DISTANCE)
+        self.distances
+            .get(data_centre)
+            .copied()
+            .unwrap_or(DEFAULT_DISTANCE)
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,13 +13,13 @@
 
 pub use self::{
     agent_settings::{AgentSettings, Backend, BackendKind},
-    common::{Common, DrainSettings, LogFormat},
+    common::{CommonSettings, DrainSettings, LogFormat},
     entry_settings::EntrySettings,
     fault::{Fault, SettingsError},
     file::{load, read},
     pool_settings::PoolSettings,
     reader::Reader,
-    shared::{POOLS, ROOT, Shared, TEAMS},
-    site_settings::{GatewaySettings, RunnerSettings, SiteCommon, UsageSettings},
+    shared::{POOLS_PREFIX, SETTINGS_PREFIX, SharedSettings, TEAMS_PREFIX},
+    site_settings::{GatewaySettings, RunnerSettings, SiteSettings, UsageSettings},
     team_settings::{Caller, ClassSettings, RolloutSettings, TeamSettings, key_hash}, //
 };
--- a/src/settings/pool_settings.rs
+++ b/src/settings/pool_settings.rs
@@ -10,7 +10,7 @@
 pub struct PoolSettings {
     pub kind: BackendKind,
     /// Engines of the pool that may swap weights at the same time.
-    pub wave: usize,
+    pub max_swaps: usize,
 }
 
 impl PoolSettings {
@@ -22,7 +22,7 @@
         ];
         Self {
             kind: reader.choice("kind", &kinds, None).unwrap_or_default(),
-            wave: reader.number("wave", 1..=10_000, Some(3)) as usize,
+            max_swaps: reader.number("wave", 1..=10_000, Some(3)) as usize,
         }
     }
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -21,20 +21,20 @@
     faults: Rc<RefCell<Vec<Fault>>>,
     mapping: Option<&'a MarkedMappingNode>,
     path: String,
-    seen: RefCell<BTreeSet<String>>,
+    read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Reader<'a> {
     /// A reader of a document's root.
     pub fn new(root: &'a Node, faults: Rc<RefCell<Vec<Fault>>>) -> Self {
-        Self::of(Some(root), String::new(), faults)
+        Self::from_node(Some(root), String::new(), faults)
     }
 
     /// The value of `key` as one of the listed words.
     pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> Option<T> {
-        let Some(node) = self.node(key) else {
+        let Some(node) = self.get(key) else {
             if default.is_none() {
-                self.missing(key, &one_of(words));
+                self.push_missing(key, &list_choices(words));
             }
             return default;
         };
@@ -43,20 +43,20 @@
             .map(marked_yaml::types::MarkedScalarNode::as_str);
         let found = words.iter().find(|(word, _)| Some(*word) == text);
         if found.is_none() {
-            self.fault(key, node, &one_of(words));
+            self.push_unexpected(key, node, &list_choices(words));
         }
         found.map(|(_, value)| *value).or(default)
     }
 
-    /// Notes a contradiction at `key`.
-    pub fn contradiction(&self, key: &str, expected: &str, found: &str) {
-        let span = self.node(key).map(Node::span);
+    /// Notes a reject at `key`.
+    pub fn reject(&self, key: &str, expected: &str, found: &str) {
+        let span = self.get(key).map(Node::span);
         let span = span.or(self.mapping.map(MarkedMappingNode::span));
-        self.push(key, span, expected, found.to_owned());
+        self.push_fault(key, span, expected, found.to_owned());
     }
 
     /// The entries of the mapping at `key`, each a mapping with a free name.
-    pub fn entries(&self, key: &str) -> Vec<(String, Reader<'a>)> {
+    pub fn sections(&self, key: &str) -> Vec<(String, Reader<'a>)> {
         let inner = self.section(key);
         let Some(mapping) = inner.mapping else {
             return Vec::new();
@@ -66,7 +66,7 @@
             .map(|(name, node)| {
                 let name = name.as_str().to_owned();
                 let path = format!("{}.{name}", inner.path);
-                (name, Self::of(Some(node), path, self.faults.clone()))
+                (name, Self::from_node(Some(node), path, self.faults.clone()))
             })
             .collect()
     }
@@ -76,21 +76,21 @@
         let Some(mapping) = self.mapping else {
             return;
         };
-        let seen = self.seen.borrow();
+        let read_keys = self.read_keys.borrow();
         for (key, _) in mapping.iter() {
-            if seen.contains(key.as_str()) {
+            if read_keys.contains(key.as_str()) {
                 continue;
             }
-            let known: Vec<&str> = seen.iter().map(String::as_str).collect();
+            let known: Vec<&str> = read_keys.iter().map(String::as_str).collect();
             let expected = format!("one of {}", known.join(", "));
             let found = format!("unknown key `{}`", key.as_str());
-            self.push(key.as_str(), Some(key.span()), &expected, found);
+            self.push_fault(key.as_str(), Some(key.span()), &expected, found);
         }
     }
 
     /// Whether `key` is there.
     pub fn has(&self, key: &str) -> bool {
-        self.node(key).is_some()
+        self.get(key).is_some()
     }
 
     /// The keys of the mapping at `key`, which are free names.
@@ -109,8 +109,8 @@
     ) -> u64 {
         let expected = format!("a number from {} to {}", range.start(), range.end());
         let value = self.value::<u64>(key, &expected, default);
-        if !range.contains(&value) && self.node(key).is_some() {
-            self.contradiction(key, &expected, &value.to_string());
+        if !range.contains(&value) && self.get(key).is_some() {
+            self.reject(key, &expected, &value.to_string());
             return *range.start();
         }
         value
@@ -118,33 +118,33 @@
 
     /// The mapping at `key`; an absent one reads as empty.
     pub fn section(&self, key: &str) -> Reader<'a> {
-        let node = self.node(key);
-        Self::of(node, self.path_of(key), self.faults.clone())
+        let node = self.get(key);
+        Self::from_node(node, self.path_to(key), self.faults.clone())
     }
 
     /// The text at `key`, not empty.
     pub fn text(&self, key: &str, default: Option<&str>) -> String {
         let value: String = self.value(key, "a text", default.map(str::to_owned));
-        if value.is_empty() && self.node(key).is_some() {
-            self.contradiction(key, "a text that is not empty", "an empty one");
+        if value.is_empty() && self.get(key).is_some() {
+            self.reject(key, "a text that is not empty", "an empty one");
         }
         value
     }
 
     /// The list of texts at `key`; an absent one is empty.
     pub fn texts(&self, key: &str) -> Vec<String> {
-        let Some(node) = self.node(key) else {
+        let Some(node) = self.get(key) else {
             return Vec::new();
         };
         let Some(list) = node.as_sequence() else {
-            self.fault(key, node, "a list of texts");
+            self.push_unexpected(key, node, "a list of texts");
             return Vec::new();
         };
         let mut texts = Vec::new();
         for item in list.iter() {
             match item.as_scalar() {
                 Some(scalar) => texts.push(scalar.as_str().to_owned()),
-                None => self.fault(key, item, "a text"),
+                None => self.push_unexpected(key, item, "a text"),
             }
         }
         texts
@@ -152,57 +152,57 @@
 
     /// The value of `key` parsed from its text.
     pub fn value<T: FromStr + Default>(&self, key: &str, expected: &str, default: Option<T>) -> T {
-        let Some(node) = self.node(key) else {
+        let Some(node) = self.get(key) else {
             if default.is_none() {
-                self.missing(key, expected);
+                self.push_missing(key, expected);
             }
             return default.unwrap_or_default();
         };
         let parsed = node.as_scalar().and_then(|s| s.as_str().parse().ok());
         if parsed.is_none() {
-            self.fault(key, node, expected);
+            self.push_unexpected(key, node, expected);
         }
         parsed.unwrap_or_default()
     }
 
-    fn fault(&self, key: &str, node: &Node, expected: &str) {
+    fn push_unexpected(&self, key: &str, node: &Node, expected: &str) {
         let found = match node {
             Node::Mapping(_) => "a mapping".to_owned(),
             Node::Scalar(scalar) => format!("`{}`", scalar.as_str()),
             Node::Sequence(_) => "a list".to_owned(),
         };
-        self.push(key, Some(node.span()), expected, found);
+        self.push_fault(key, Some(node.span()), expected, found);
     }
 
-    fn missing(&self, key: &str, expected: &str) {
+    fn push_missing(&self, key: &str, expected: &str) {
         let mapping = self.mapping;
         let first = mapping.and_then(|mapping| mapping.keys().next());
         let span = first.map(marked_yaml::types::MarkedScalarNode::span);
         let span = span.or(mapping.map(MarkedMappingNode::span));
-        self.push(key, span, expected, "nothing".into());
+        self.push_fault(key, span, expected, "nothing".into());
     }
 
-    fn node(&self, key: &str) -> Option<&'a Node> {
-        self.seen.borrow_mut().insert(key.to_owned());
+    fn get(&self, key: &str) -> Option<&'a Node> {
+        self.read_keys.borrow_mut().insert(key.to_owned());
         self.mapping?.get_node(key)
     }
 
-    fn of(node: Option<&'a Node>, path: String, faults: Rc<RefCell<Vec<Fault>>>) -> Self {
+    fn from_node(node: Option<&'a Node>, path: String, faults: Rc<RefCell<Vec<Fault>>>) -> Self {
         let reader = Self {
             faults,
             mapping: node.and_then(Node::as_mapping),
             path,
-            seen: RefCell::default(),
+            read_keys: RefCell::default(),
         };
         if let Some(node) = node
             && reader.mapping.is_none()
         {
-            reader.fault("", node, "a mapping");
+            reader.push_unexpected("", node, "a mapping");
         }
         reader
     }
 
-    fn path_of(&self, key: &str) -> String {
+    fn path_to(&self, key: &str) -> String {
         match (self.path.as_str(), key) {
             ("", key) => key.to_owned(),
             (path, "") => path.to_owned(),
@@ -210,19 +210,19 @@
         }
     }
 
-    fn push(&self, key: &str, span: Option<&Span>, expected: &str, found: String) {
+    fn push_fault(&self, key: &str, span: Option<&Span>, expected: &str, found: String) {
         let start = span.and_then(Span::start);
         self.faults.borrow_mut().push(Fault {
             column: start.map_or(1, marked_yaml::Marker::column),
             expected: expected.to_owned(),
             found,
             line: start.map_or(1, marked_yaml::Marker::line),
-            path: self.path_of(key),
+            path: self.path_to(key),
         });
     }
 }
 
-fn one_of<T>(words: &[(&str, T)]) -> String {
+fn list_choices<T>(words: &[(&str, T)]) -> String {
     let words: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
     format!("one of {}", words.join(", "))
 }
--- a/src/settings/site_settings.rs
+++ b/src/settings/site_settings.rs
@@ -18,7 +18,7 @@
 
 /// What every program on a site is told.
 #[derive(Clone, Debug)]
-pub struct SiteCommon {
+pub struct SiteSettings {
     pub data_centre: String,
     /// How long after the stop signal the process may live.
     pub grace: Millis,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     pub callers: SocketAddr,
-    pub common: SiteCommon,
+    pub common: SiteSettings,
     /// Within which time of its removal a key must stop working, also on a gateway
     /// that doesn't reach the store; `None` for as soon as it hears of it.
     pub revocation: Option<Millis>,
@@ -75,11 +75,11 @@
     fn read(reader: &Reader<'_>) -> Self {
         let settings = Self {
             address: address(reader, "address", None),
-            lease: Millis(reader.number("lease_ms", LEASE_LEAST..=60_000, Some(4_000))),
+            lease: Millis(reader.number("lease_ms", MIN_LEASE_MS..=60_000, Some(4_000))),
             window: seconds(reader, "window_s", 60.0),
         };
-        if settings.window < WINDOW_LEAST {
-            reader.contradiction("window_s", "a second or more", "less");
+        if settings.window < MIN_WINDOW {
+            reader.reject("window_s", "a second or more", "less");
         }
         reader.finish();
         settings
@@ -87,15 +87,15 @@
 }
 
 /// The shortest lease that can be renewed in time.
-const LEASE_LEAST: u64 = 2_500;
+const MIN_LEASE_MS: u64 = 2_500;
 
 /// The shortest window that can be summed up.
-const WINDOW_LEAST: Millis = Millis(1_000);
+const MIN_WINDOW: Millis = Millis(1_000);
 
 /// The settings of a `redwing-runner`.
 #[derive(Clone, Debug)]
 pub struct RunnerSettings {
-    pub common: SiteCommon,
+    pub common: SiteSettings,
     /// The engine on the same instance.
     pub engine: SocketAddr,
     /// The service that the engine belongs to.
@@ -103,12 +103,12 @@
 }
 
 /// The part of the grace that a stop may use; the rest is for the exit itself.
-const GRACE_SHARE: f64 = 0.85;
+const STOP_SHARE: f64 = 0.85;
 
-impl SiteCommon {
+impl SiteSettings {
     /// After this long a graceful stop is forced.
-    pub fn stop_bound(&self) -> Millis {
-        Millis((self.grace.0 as f64 * GRACE_SHARE) as u64)
+    pub fn stop_timeout(&self) -> Millis {
+        Millis((self.grace.0 as f64 * STOP_SHARE) as u64)
     }
 
     fn read(reader: &Reader<'_>, listen: &Reader<'_>) -> Self {
@@ -136,7 +136,7 @@
         let listen = reader.section("listen");
         let settings = Self {
             callers: address(&listen, "callers", None),
-            common: SiteCommon::read(reader, &listen),
+            common: SiteSettings::read(reader, &listen),
             ready: address(&listen, "ready", None),
             revocation: revocation(reader),
             usage: reader
@@ -159,7 +159,7 @@
         let listen = reader.section("listen");
         let engine = reader.section("engine");
         let settings = Self {
-            common: SiteCommon::read(reader, &listen),
+            common: SiteSettings::read(reader, &listen),
             engine: address(&engine, "address", None),
             service: engine.text("service", None),
         };
@@ -170,11 +170,11 @@
 }
 
 /// The shortest revocation that can be kept: some questions to the store must fit.
-const REVOCATION_LEAST: u64 = 1_500;
+const MIN_REVOCATION_MS: u64 = 1_500;
 
 fn revocation(reader: &Reader<'_>) -> Option<Millis> {
     let set = reader.has("revocation_ms");
-    let within = reader.number("revocation_ms", REVOCATION_LEAST..=600_000, Some(0));
+    let within = reader.number("revocation_ms", MIN_REVOCATION_MS..=600_000, Some(0));
     set.then_some(Millis(within))
 }
 
--- a/src/settings/team_settings.rs
+++ b/src/settings/team_settings.rs
@@ -15,7 +15,7 @@
     /// Only the callers that list this class may use it.
     pub internal: bool,
     /// Calls in flight at one entry at most.
-    pub limit: u32,
+    pub max_in_flight: u32,
     pub pool: String,
     pub priority: Priority,
 }
@@ -33,7 +33,7 @@
 pub struct RolloutSettings {
     pub pool: String,
     /// Samples of the team that run at once at most.
-    pub samples: u32,
+    pub max_samples: u32,
     /// The pool of the scoring service.
     pub scorer: String,
 }
@@ -44,7 +44,7 @@
     pub callers: BTreeMap<String, Caller>,
     pub classes: BTreeMap<String, ClassSettings>,
     /// Calls in flight at one entry at most, over all classes.
-    pub limit: u32,
+    pub max_in_flight: u32,
     /// The share of successful calls that may be retried, in percent.
     pub retry_share: u64,
     pub rollout: Option<RolloutSettings>,
@@ -66,19 +66,19 @@
     /// Reads the document's root.
     pub fn read(reader: &Reader<'_>) -> Self {
         let classes: BTreeMap<String, ClassSettings> = reader
-            .entries("classes")
+            .sections("classes")
             .into_iter()
             .map(|(name, section)| (name, class(&section)))
             .collect();
         let callers = reader
-            .entries("callers")
+            .sections("callers")
             .into_iter()
             .map(|(name, section)| (name, caller(&section, &classes)))
             .collect();
         Self {
             callers,
             classes,
-            limit: reader.number("limit", 1..=1_000_000, Some(10_000)) as u32,
+            max_in_flight: reader.number("limit", 1..=1_000_000, Some(10_000)) as u32,
             retry_share: reader.number("retry_share", 0..=100, Some(10)),
             rollout: rollout(reader),
         }
@@ -102,12 +102,12 @@
     let hash = caller.key.len() == 64 && hex;
     if !caller.key.is_empty() && !hash {
         let expected = "the 64 hexadecimal digits that `redwing key hash` prints";
-        section.contradiction("key", expected, "something else");
+        section.reject("key", expected, "something else");
     }
     for name in &caller.classes {
         if !classes.contains_key(name) {
             let expected = "a class of this team";
-            section.contradiction("classes", expected, &format!("`{name}`"));
+            section.reject("classes", expected, &format!("`{name}`"));
         }
     }
     section.finish();
@@ -118,7 +118,7 @@
     let settings = ClassSettings {
         deadline: Millis(section.number("deadline_ms", 1..=3_600_000, Some(10_000))),
         internal: section.value("internal", "true or false", Some(false)),
-        limit: section.number("limit", 1..=1_000_000, Some(1_000)) as u32,
+        max_in_flight: section.number("limit", 1..=1_000_000, Some(1_000)) as u32,
         pool: section.text("pool", None),
         priority: section
             .choice("priority", &PRIORITIES, Some(Priority::Live))
@@ -135,7 +135,7 @@
     let section = reader.section("rollout");
     let settings = RolloutSettings {
         pool: section.text("pool", None),
-        samples: section.number("samples", 1..=1_000_000, Some(1_024)) as u32,
+        max_samples: section.number("samples", 1..=1_000_000, Some(1_024)) as u32,
         scorer: section.text("scorer", None),
     };
     section.finish();
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -177,7 +177,7 @@
         return false;
     };
     let whole = truth::length(&prompt(nonce), number, CHAT_TOKENS);
-    Span::cover(&spans, whole)
+    Span::covers(&spans, whole)
         && json["choices"][0]["text"] == truth::text(&prompt(nonce), number, &spans)
 }
 
--- a/standins/src/cli/command.rs
+++ b/standins/src/cli/command.rs
@@ -8,7 +8,7 @@
     service::Service, //
 };
 use argh::FromArgs;
-use redwingpond::operator::parse;
+use redwingpond::operator::parse_command_line;
 use std::{
     net::SocketAddr,
     process::ExitCode,
@@ -107,7 +107,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn standin_main() -> ExitCode {
-    let command: StandinCommand = match parse() {
+    let command: StandinCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
--- a/standins/src/demo/command.rs
+++ b/standins/src/demo/command.rs
@@ -7,7 +7,7 @@
 use argh::FromArgs;
 use redwingpond::{
     duty::open_log,
-    operator::{USAGE, parse},
+    operator::{USAGE_EXIT_CODE, parse_command_line},
     settings::LogFormat, //
 };
 use std::{
@@ -48,7 +48,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn demo_main() -> ExitCode {
-    let command: DemoCommand = match parse() {
+    let command: DemoCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
@@ -104,7 +104,7 @@
 fn fail(error: &super::DemoError) -> ExitCode {
     eprintln!("error: {error}");
     match error.is_usage() {
-        true => ExitCode::from(USAGE),
+        true => ExitCode::from(USAGE_EXIT_CODE),
         false => ExitCode::FAILURE,
     }
 }
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -99,14 +99,14 @@
             trainers: each(reader, "trainers", trainer),
         };
         if plan.data_centres.is_empty() {
-            reader.contradiction("data_centres", "at least one", "none");
+            reader.reject("data_centres", "at least one", "none");
         }
         plan
     }
 }
 
 fn each<T>(reader: &Reader<'_>, key: &str, read: impl Fn(&Reader<'_>) -> T) -> BTreeMap<String, T> {
-    let entries = reader.entries(key).into_iter();
+    let entries = reader.sections(key).into_iter();
     let all = entries.map(|(name, section)| {
         let value = read(&section);
         section.finish();
--- a/standins/src/fleet/settings.rs
+++ b/standins/src/fleet/settings.rs
@@ -8,7 +8,7 @@
         AgentSettings,
         Backend,
         BackendKind,
-        Common,
+        CommonSettings,
         DrainSettings,
         EntrySettings,
         LogFormat, //
@@ -28,13 +28,13 @@
 }
 
 /// What every process has.
-pub(super) fn common(instance: &str, data_centre: &str, platform: SocketAddr) -> Common {
-    Common {
+pub(super) fn common(instance: &str, data_centre: &str, platform: SocketAddr) -> CommonSettings {
+    CommonSettings {
         admin: loopback(),
         data_centre: data_centre.to_owned(),
         drain: DrainSettings {
-            bound: Millis(30_000),
-            leave: Millis(500),
+            timeout: Millis(30_000),
+            close_delay: Millis(500),
         },
         instance: instance.to_owned(),
         key: KEY.to_owned(),
@@ -47,7 +47,7 @@
 
 /// An agent before `backend`.
 pub(super) fn agent(
-    common: Common,
+    common: CommonSettings,
     pool: &str,
     plan: &super::PoolPlan,
     address: SocketAddr,
@@ -64,7 +64,7 @@
             checks_fence: plan.checks_fence,
             kind,
             pool: pool.to_owned(),
-            queue: plan.queue,
+            max_queued: plan.queue,
         },
         common,
         policy,
@@ -72,7 +72,11 @@
 }
 
 /// An entry.
-pub(super) fn entry(common: Common, policy: Policy, peers: Vec<SocketAddr>) -> EntrySettings {
+pub(super) fn entry(
+    common: CommonSettings,
+    policy: Policy,
+    peers: Vec<SocketAddr>,
+) -> EntrySettings {
     EntrySettings {
         callers: loopback(),
         common,
--- a/standins/src/load/command.rs
+++ b/standins/src/load/command.rs
@@ -11,7 +11,7 @@
 use redwingpond::{
     base::Clock,
     duty::open_log,
-    operator::{USAGE, parse},
+    operator::{USAGE_EXIT_CODE, parse_command_line},
     settings::LogFormat, //
 };
 use std::{
@@ -71,7 +71,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn load_main() -> ExitCode {
-    let command: LoadCommand = match parse() {
+    let command: LoadCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
@@ -87,7 +87,7 @@
         (false, Some("current")) => (false, true),
         (_, Some(other)) => {
             eprintln!("error: `--policy {other}`: expected baseline or current, no `--compare`");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(USAGE_EXIT_CODE);
         }
     };
     let named = CASES
@@ -95,7 +95,7 @@
         .find(|case| Some(case.name) == command.case.as_deref());
     let Some(case) = named else {
         eprintln!("error: name a case with `--case`; `--list` tells which there are");
-        return ExitCode::from(USAGE);
+        return ExitCode::from(USAGE_EXIT_CODE);
     };
 
     open_log(LogFormat::Text, &command.log);
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -14,7 +14,7 @@
     base::{Incarnation, Millis},
     entry::Entry,
     policy::{router::Policy, subset::SUBSET_SIZE},
-    settings::{Common, DrainSettings, EntrySettings, LogFormat},
+    settings::{CommonSettings, DrainSettings, EntrySettings, LogFormat},
     table::{Instance, InstanceState},
     wire::{
         FromAgent,
@@ -184,14 +184,14 @@
     first.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn common(platform: SocketAddr) -> Common {
+fn common(platform: SocketAddr) -> CommonSettings {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-    Common {
+    CommonSettings {
         admin: loopback,
         data_centre: "hall".to_owned(),
         drain: DrainSettings {
-            bound: Millis(1_000),
-            leave: Millis(0),
+            timeout: Millis(1_000),
+            close_delay: Millis(0),
         },
         instance: "entry".to_owned(),
         key: KEY.to_owned(),
--- a/standins/src/platform/handle.rs
+++ b/standins/src/platform/handle.rs
@@ -94,7 +94,7 @@
     /// Writes settings at an operator's path, whatever is there.
     pub fn apply(&self, path: &str, value: &str) {
         let mut state = self.inner.state();
-        let path = format!("{}{path}", redwingpond::settings::ROOT);
+        let path = format!("{}{path}", redwingpond::settings::SETTINGS_PREFIX);
         let expect = state.table.get(&path).map_or(0, |row| row.version);
         let token = format!("standin-{path}-{expect}");
         let value = Some(value.to_owned());
--- a/standins/src/site/scene.rs
+++ b/standins/src/site/scene.rs
@@ -17,7 +17,7 @@
     base::{Clock, Millis},
     gateway::Gateway,
     runner::Runner,
-    settings::{GatewaySettings, RunnerSettings, SiteCommon, UsageSettings}, //
+    settings::{GatewaySettings, RunnerSettings, SiteSettings, UsageSettings}, //
 };
 use std::{
     io,
@@ -279,8 +279,8 @@
         }
     }
 
-    fn common(&self, instance: &str) -> SiteCommon {
-        SiteCommon {
+    fn common(&self, instance: &str) -> SiteSettings {
+        SiteSettings {
             data_centre: "north".to_owned(),
             grace: Millis(8_000),
             instance: instance.to_owned(),
--- a/standins/src/soak/command.rs
+++ b/standins/src/soak/command.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use redwingpond::{
     base::Millis,
-    operator::parse, //
+    operator::parse_command_line, //
 };
 use std::{
     io,
@@ -36,7 +36,7 @@
 
 /// Runs the program; returns its exit code.
 pub fn soak_main() -> ExitCode {
-    let command: SoakCommand = match parse() {
+    let command: SoakCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
--- a/standins/src/trainer/check.rs
+++ b/standins/src/trainer/check.rs
@@ -33,7 +33,7 @@
         &group.to_le_bytes(),
         &sample.index.to_le_bytes(),
     ]);
-    if !Span::cover(&sample.weight_versions, tokens) || sample.weight_versions.is_empty() {
+    if !Span::covers(&sample.weight_versions, tokens) || sample.weight_versions.is_empty() {
         report.unversioned += 1;
         return;
     }
--- a/standins/tests/integration/stage.rs
+++ b/standins/tests/integration/stage.rs
@@ -278,7 +278,7 @@
         }
         if case.args.contains_key("stop") {
             let agent = member.agent.take().unwrap();
-            self.runtime.block_on(agent.handle.drain_begun());
+            self.runtime.block_on(agent.handle.drain_confirmed());
             self.stops.push(self.runtime.spawn(agent.handle.wait()));
         }
         if case.args.contains_key("start") {
@@ -296,7 +296,7 @@
             let (name, entry) = fleet.entries.remove(0);
             fleet.balancer.remove(entry.callers);
             fleet.platform.remove_instance(&name);
-            self.runtime.block_on(entry.handle.drain_begun());
+            self.runtime.block_on(entry.handle.drain_confirmed());
             self.stops.push(self.runtime.spawn(entry.handle.wait()));
         }
         if case.args.contains_key("kill") {
--- a/tests/integration/duties.rs
+++ b/tests/integration/duties.rs
@@ -2,7 +2,7 @@
 
 use redwingpond::{
     base::Millis,
-    duty::{self, Handle, Phase}, //
+    duty::{self, Phase, ProgramHandle}, //
 };
 use std::{
     sync::mpsc,
@@ -18,7 +18,7 @@
     let (sender, ended) = mpsc::channel();
     std::thread::spawn(move || {
         for round in 0..200_u64 {
-            let mut handle = Handle::open(Millis(1_000)).unwrap();
+            let mut handle = ProgramHandle::open(Millis(1_000)).unwrap();
             let supervisor = handle.supervisor().clone();
             for name in ["first", "second"] {
                 let late = (name == "second").then(|| Duration::from_micros(round * 7));
--- a/tests/integration/messages.rs
+++ b/tests/integration/messages.rs
@@ -91,7 +91,7 @@
 fn from_agent() -> Vec<FromAgent> {
     let slot = Slot(9);
     let mut account = Account::new(request(), "t", "c");
-    account.note(
+    account.record(
         Millis(1),
         Event::Failed {
             cause: Cause::LinkLost,
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -1,7 +1,7 @@
 //! Which requests run no more, as a table of what happened to them.
 
 use redwingpond::{
-    base::{Asked, Fingerprint, Millis},
+    base::{Fingerprint, FingerprintInput, Millis},
     policy::quarantine::{Quarantine, QuarantineState, RETENTION},
     routing::ServerIncarnation, //
 };
@@ -22,7 +22,7 @@
 }
 
 fn request(body: &str) -> Fingerprint {
-    Fingerprint::of(Asked {
+    Fingerprint::of(FingerprintInput {
         body: body.as_bytes(),
         credential: b"",
         host: "site.example",
@@ -156,7 +156,7 @@
 /// credential makes another.
 #[test]
 fn a_fingerprint_names_what_was_asked() {
-    let asked = Asked {
+    let asked = FingerprintInput {
         body: b"body",
         credential: b"key",
         host: "host",
@@ -167,24 +167,24 @@
     let name = Fingerprint::of(asked);
     assert_eq!(Fingerprint::parse(&name.to_string()), Some(name));
     for other in [
-        Asked {
+        FingerprintInput {
             body: b"other",
             ..asked
         },
-        Asked {
+        FingerprintInput {
             credential: b"",
             ..asked
         },
-        Asked {
+        FingerprintInput {
             host: "other",
             ..asked
         },
-        Asked { id: "a", ..asked },
-        Asked {
+        FingerprintInput { id: "a", ..asked },
+        FingerprintInput {
             method: "PUT",
             ..asked
         },
-        Asked {
+        FingerprintInput {
             path: "/a?c",
             ..asked
         },
--- a/tests/integration/step_times.rs
+++ b/tests/integration/step_times.rs
@@ -21,8 +21,8 @@
 #[test]
 fn a_late_step_is_broken_down() {
     let mut times = StepTimes::default();
-    LOGS.lines().for_each(|line| times.take(line));
-    let rows = times.rows();
+    LOGS.lines().for_each(|line| times.add_line(line));
+    let rows = times.steps();
     assert_eq!(rows.len(), 1, "the second step has no end");
     let row = &rows[0];
     assert_eq!(
@@ -32,8 +32,8 @@
     for (name, found, expected) in [
         ("taken", row.taken, 9.0),
         ("waiting", row.waiting, 1.2),
-        ("before", row.before, 2.2),
-        ("warming", row.warming, 0.1),
+        ("earlier_runs", row.earlier_runs, 2.2),
+        ("first_event_wait", row.first_event_wait, 0.1),
         ("generating", row.generating, 5.0),
         ("listing", row.listing, 0.1),
         ("reading", row.reading, 0.4),
@@ -43,7 +43,11 @@
             "{name}: {found}, not {expected}"
         );
     }
-    assert!((row.pace - 5_000.0 / 99.0).abs() < 0.01, "{}", row.pace);
+    assert!(
+        (row.ms_per_event - 5_000.0 / 99.0).abs() < 0.01,
+        "{}",
+        row.ms_per_event
+    );
 }
 
 #[test]
@@ -55,7 +59,7 @@
         "{}",
         r#"{"message":"batch accepted","timestamp":"x"}"#,
     ] {
-        times.take(line);
+        times.add_line(line);
     }
-    assert!(times.rows().is_empty());
+    assert!(times.steps().is_empty());
 }
