--- a/src/base/account.rs
+++ b/src/base/account.rs
@@ -1,4 +1,4 @@
-//! What one process knows of one request.
+//! The events of one request, as one process recorded them.
 
 use super::{
     Cause,
@@ -12,17 +12,18 @@
     Serialize, //
 };
 
-/// One thing that happened to a request.
+/// An event in the course of a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
     Admitted,
-    /// The whole answer was handed to the caller's connection.
+    /// The whole answer was written to the caller's connection.
     Delivered,
     Failed {
         cause: Cause,
         verdict: Verdict,
     },
+    /// The whole answer arrived from the backend server.
     Finished,
     Queued,
     Retried {
@@ -36,13 +37,14 @@
     Started {
         server: String,
     },
+    /// The weight versions that produced the answer's tokens.
     Versions {
         model: String,
         spans: Vec<Span>,
     },
 }
 
-/// A request's events in the order in which this process saw them.
+/// The events of a request, in the order in which one process recorded them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Account {
     pub class: String,
@@ -51,11 +53,12 @@
     pub team: String,
 }
 
-/// The events kept for each request; later ones replace the middle of the list.
+/// The maximum number of events kept for a request. Beyond that, each new event evicts
+/// one from the middle of the list, so that the first and the last ones stay.
 const MAX_EVENTS: usize = 24;
 
 impl Account {
-    /// An account without events.
+    /// Creates an account without events.
     pub fn new(request: RequestId, team: &str, class: &str) -> Self {
         Self {
             class: class.into(),
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Notes `event`; a request that retries without end stays bounded.
+    /// Records `event`. The account of a request with endless retries stays bounded.
     pub fn record(&mut self, now: Millis, event: Event) {
         if self.events.len() >= MAX_EVENTS {
             self.events.remove(MAX_EVENTS / 2);
--- a/src/base/cause.rs
+++ b/src/base/cause.rs
@@ -1,11 +1,11 @@
-//! Why a request failed.
+//! The causes of failed requests.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// The reason for a failure, the same word on the wire, in logs and in error bodies.
+/// Why a request failed. The wire, the logs and the error bodies use the same word.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
@@ -29,7 +29,7 @@
 }
 
 impl Cause {
-    /// The HTTP status that callers see for this cause.
+    /// The HTTP status of the response to the caller.
     pub fn status(self) -> u16 {
         match self {
             Self::BackendBroken | Self::BackendUnreachable | Self::LinkLost => 502,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The cause as its kebab-case word.
+    /// The kebab-case word for this cause.
     pub fn word(self) -> &'static str {
         match self {
             Self::BackendBroken => "backend-broken",
--- a/src/base/clock.rs
+++ b/src/base/clock.rs
@@ -1,4 +1,4 @@
-//! The one place where time is read.
+//! The clock from which all modules read the time.
 
 use super::Millis;
 use rustix::time::{
@@ -11,11 +11,11 @@
     UNIX_EPOCH, //
 };
 
-/// Reads the time: wall time when opened, monotonic from then on.
+/// A clock that is set from the wall clock when it is opened and is monotonic from then on.
 ///
 /// # Invariants
 ///
-/// Two readings of one clock never go backwards, also when the wall clock is set.
+/// The time that [`Clock::now`] returns never goes backwards, even if the wall clock is set.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_wall: Millis,
@@ -23,7 +23,7 @@
 }
 
 impl Clock {
-    /// Opens a clock that starts at the present wall time.
+    /// Opens a clock that starts at the current wall time.
     pub fn open() -> Self {
         Self {
             start_wall: wall_time(),
@@ -31,24 +31,24 @@
         }
     }
 
-    /// The time since the machine's start, which runs on while it is suspended: for
-    /// the age of what must not be used when it is old.
+    /// The time since the machine booted, including the time in which it was suspended.
+    /// Use it where a value must not be used beyond a certain age.
     pub fn boottime(&self) -> Millis {
         let time = clock_gettime(ClockId::Boottime);
         Millis(time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000)
     }
 
-    /// Microseconds since this clock was opened, for measuring.
+    /// Microseconds since this clock was opened, for measuring durations.
     pub fn micros(&self) -> u64 {
         self.start.elapsed().as_micros() as u64
     }
 
-    /// The instance's wall clock, which people and programs set.
+    /// The wall clock of the instance, which may be set forwards or backwards at any time.
     pub fn wall(&self) -> Millis {
         wall_time()
     }
 
-    /// The present point in time.
+    /// The current time.
     pub fn now(&self) -> Millis {
         Millis(self.start_wall.0 + self.start.elapsed().as_millis() as u64)
     }
--- a/src/base/failure.rs
+++ b/src/base/failure.rs
@@ -1,4 +1,4 @@
-//! A failure as it travels between processes and to callers.
+//! Failures as they are sent between processes and to callers.
 
 use super::{
     Cause,
@@ -10,23 +10,24 @@
     Serialize, //
 };
 
-/// Why a request got no whole answer, and whether it may have run.
+/// Why a request got no complete answer, and whether it may have run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Failure {
     pub cause: Cause,
     pub detail: String,
-    /// When asking again is worthwhile; absent when it is not.
+    /// How long the caller should wait before it retries; `None` if a retry is not
+    /// worthwhile.
     pub retry_after: Option<Millis>,
     pub verdict: Verdict,
 }
 
 impl Failure {
-    /// A failure of a request that may have run.
+    /// Creates the failure of a request that may have run.
     pub fn may_have_run(cause: Cause, detail: impl Into<String>) -> Self {
         Self::new(Verdict::MayHaveRun, cause, detail)
     }
 
-    /// A failure with `verdict` and no time for another try.
+    /// Creates a failure with `verdict` and without a retry time.
     pub fn new(verdict: Verdict, cause: Cause, detail: impl Into<String>) -> Self {
         Self {
             cause,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// A failure of a request that did not run.
+    /// Creates the failure of a request that did not run.
     pub fn not_run(cause: Cause, detail: impl Into<String>) -> Self {
         Self::new(Verdict::NotRun, cause, detail)
     }
 
-    /// The same failure, telling the caller when to ask again.
+    /// Sets how long the caller should wait before it retries.
     #[must_use]
     pub fn retry_after(mut self, wait: Millis) -> Self {
         self.retry_after = Some(wait);
--- a/src/base/fingerprint.rs
+++ b/src/base/fingerprint.rs
@@ -1,25 +1,25 @@
-//! What was input, whoever's attempt it is.
+//! Identifies requests by their content, independent of attempts and retries.
 
 use super::stable_hash;
 use std::fmt;
 
-/// Names a request by its content.
+/// The hash of a request's content.
 ///
-/// Attempts and retries have ids of their own; requests that ask the same of the
-/// same service for the same caller have one fingerprint, in every process.
+/// Each attempt and each retry has its own request id. Requests of the same caller to the
+/// same service with the same content have the same fingerprint, in every process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(u64);
 
-/// What a request's fingerprint is made of.
+/// The parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintInput<'a> {
     pub body: &'a [u8],
-    /// What the caller proves its identity with; empty where it has none.
+    /// The credential that authenticates the caller; empty if there is none.
     pub credential: &'a [u8],
     pub host: &'a str,
-    /// The name that its retries keep: an item's. Empty for a call, whose returns
-    /// have new names. Items of one group ask the same and run as requests of
-    /// their own.
+    /// The id of a batch item, which stays the same over its retries. It tells the items
+    /// of a group apart, which have the same content but run as separate requests. Empty
+    /// for a call, because a call that its client repeats gets a new id.
     pub id: &'a str,
     pub method: &'a str,
     /// Path and query.
@@ -27,7 +27,7 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(input: FingerprintInput<'_>) -> Self {
         Self(stable_hash(&[
             input.method.as_bytes(),
@@ -39,7 +39,7 @@
         ]))
     }
 
-    /// Reads what [`fmt::Display`] wrote.
+    /// Parses the text that [`fmt::Display`] writes.
     pub fn parse(text: &str) -> Option<Self> {
         u64::from_str_radix(text, 16).ok().map(Self)
     }
--- a/src/base/incarnation.rs
+++ b/src/base/incarnation.rs
@@ -1,4 +1,4 @@
-//! Which life of an instance a message comes from.
+//! Identifies one run of a process, from its start to its end.
 
 use super::Millis;
 use serde::{
@@ -6,8 +6,8 @@
     Serialize, //
 };
 
-/// The start time of a process in milliseconds: a replacement at the same
-/// address has a higher one.
+/// The start time of a process in milliseconds since the Unix epoch. A process that
+/// replaces another one at the same address has a higher incarnation.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/src/base/millis.rs
+++ b/src/base/millis.rs
@@ -1,4 +1,4 @@
-//! A point in time or a length of time.
+//! Points in time and durations.
 
 use serde::{
     Deserialize,
@@ -9,19 +9,20 @@
     Sub, //
 };
 
-/// Milliseconds: since the Unix epoch for a point in time, or a length.
+/// A duration in milliseconds, or a point in time: milliseconds since the Unix epoch, or
+/// since the machine booted (see [`super::Clock::boottime`]).
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The length as the standard library's type, for timers.
+    /// The duration as the standard library's type, for timers.
     pub fn as_duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
 
-    /// The time from `earlier` to this point; zero when `earlier` is later.
+    /// The time from `earlier` to this point; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -1,4 +1,4 @@
-//! Base types that every other layer uses: time, identities, verdicts and failures.
+//! Types that all other layers use: time, ids, verdicts and failures.
 
 mod account;
 mod cause;
@@ -30,10 +30,10 @@
     weight_version::WeightVersion, //
 };
 
-/// A number that a newer order or lease holder always exceeds.
+/// A fencing number: a newer order or lease holder always has a higher one than an older.
 pub type Fence = u64;
 
-/// Hashes `parts` to 64 bits, the same in every process and release.
+/// Hashes `parts` to 64 bits. The result is the same in every process and every release.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/src/base/priority.rs
+++ b/src/base/priority.rs
@@ -5,7 +5,7 @@
     Serialize, //
 };
 
-/// A traffic class's rank; a greater one is served first.
+/// The priority of a traffic class; requests of a greater one are served first.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -13,7 +13,7 @@
 pub enum Priority {
     /// Samples of a rollout step.
     Rollout,
-    /// Callers that may wait, such as batch reconcilers.
+    /// Callers that can wait, such as batch reconciliation jobs.
     Background,
     /// People waiting for an answer.
     #[default]
--- a/src/base/request_id.rs
+++ b/src/base/request_id.rs
@@ -1,4 +1,5 @@
-//! The identity of one request, findable from its text alone.
+//! Request ids. The text of an id names its issuer, so that a request can be looked up by
+//! its id alone.
 
 use super::{
     Incarnation,
@@ -10,7 +11,7 @@
 };
 use snafu::Snafu;
 
-/// The number of the entry that issued a request id, derived from its name.
+/// The number of the entry that issued a request id, derived from the entry's name.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Issuer(pub u32);
 
@@ -21,20 +22,21 @@
     }
 }
 
-/// A request's identity: who issued it, in which life, when, and which one.
+/// The id of a request: its issuer, the issuer's incarnation, the time of issue and a
+/// sequence number.
 ///
-/// The text form is `IIIIIIII-LLLLLLLLLLLL-TTTTTTTT-SSSSSSSS` in hexadecimal:
-/// issuer, incarnation in ms, seconds since that incarnation, sequence.
+/// The text form is `IIIIIIII-NNNNNNNNNNNN-TTTTTTTT-SSSSSSSS` in hexadecimal: issuer,
+/// incarnation in ms, seconds since the start of that incarnation, sequence number.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct RequestId {
     pub issuer: Issuer,
     pub incarnation: Incarnation,
-    /// Seconds from the incarnation's start to the issue.
+    /// Seconds from the start of the incarnation to the issue of this id.
     pub second: u32,
     pub sequence: u32,
 }
 
-/// A text is not a request id.
+/// The error for a text that is not a request id.
 #[derive(Debug, PartialEq, Snafu)]
 #[snafu(display(
     "`{text}` is not a request id: expected four hexadecimal parts of 8, 12, 8 and 8 digits joined by `-`"
@@ -43,7 +45,7 @@
     text: String,
 }
 
-/// The digits of each part of the text form.
+/// The number of digits of each part of the text form.
 const DIGITS: [usize; 4] = [8, 12, 8, 8];
 
 impl std::fmt::Display for RequestId {
--- a/src/base/span.rs
+++ b/src/base/span.rs
@@ -1,4 +1,4 @@
-//! Which weight version produced which tokens.
+//! Records which weight version produced which tokens of a generation.
 
 use super::WeightVersion;
 use serde::{
@@ -15,7 +15,7 @@
 }
 
 impl Span {
-    /// Whether `spans` cover tokens `0..tokens` in order without a gap.
+    /// Whether `spans` cover the tokens `0..tokens` in order and without gaps.
     pub fn covers(spans: &[Self], tokens: u32) -> bool {
         let mut next = 0;
         for span in spans {
@@ -27,7 +27,7 @@
         next == tokens
     }
 
-    /// Appends all of `more`, see [`Span::push`].
+    /// Appends all spans of `more` as [`Span::push`] does.
     pub fn extend(spans: &mut Vec<Self>, more: impl IntoIterator<Item = Self>) {
         for span in more {
             Self::push(spans, span);
@@ -39,7 +39,8 @@
         spans.iter().map(|span| span.version).min()
     }
 
-    /// Appends `span`, joining it to the last one when both share a version.
+    /// Appends `span` unless it is empty. Merges it with the last span if that one ends where
+    /// `span` begins and has the same version.
     pub fn push(spans: &mut Vec<Self>, span: Self) {
         if span.from == span.to {
             return;
--- a/src/base/tokens.rs
+++ b/src/base/tokens.rs
@@ -1,23 +1,23 @@
-//! The tokens of a generation, kept compactly.
+//! Compact storage for the tokens of a generation.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Token texts in one string: a token costs its text and 4 bytes.
+/// The texts of all tokens in one string: each token takes its text and 4 more bytes.
 ///
 /// # Invariants
 ///
-/// `ends` rises, lies on character boundaries of `text`, and its last element
-/// is the length of `text`.
+/// `ends` holds the end offset of each token in `text`: in ascending order, each on a
+/// character boundary, and the last one equal to the length of `text`.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Tokens {
     ends: Vec<u32>,
     text: String,
 }
 
-/// What arrives from a peer, before the invariants are checked.
+/// Tokens as received from a peer, before their invariants are checked.
 #[derive(Deserialize)]
 struct Unchecked {
     ends: Vec<u32>,
@@ -33,25 +33,25 @@
         if !(rising && on_boundaries && ends_at_text_length) {
             return Err(serde::de::Error::custom("token ends do not fit the text"));
         }
-        // INVARIANT: all three conditions were checked just above.
+        // INVARIANT: all three conditions were checked above.
         Ok(Self { ends, text })
     }
 }
 
 impl Tokens {
-    /// Appends all of `other`.
+    /// Appends all tokens of `other`.
     pub fn append(&mut self, other: &Self) {
         let base = self.text.len() as u32;
         self.text.push_str(&other.text);
         self.ends.extend(other.ends.iter().map(|end| base + end));
     }
 
-    /// Whether there are none.
+    /// Whether there are no tokens.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// The texts in order.
+    /// The texts of the tokens in order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         (0..self.ends.len()).map(|index| {
             let from = index.checked_sub(1).map_or(0, |before| self.ends[before]);
@@ -59,7 +59,7 @@
         })
     }
 
-    /// How many there are.
+    /// The number of tokens.
     pub fn len(&self) -> u32 {
         self.ends.len() as u32
     }
@@ -70,8 +70,8 @@
         self.ends.push(self.text.len() as u32);
     }
 
-    /// Takes `tokens` in as the tokens from index `from` on, voiding those
-    /// that stood there; false when that would leave a gap.
+    /// Replaces the tokens from index `from` on by `tokens`. Returns false and changes nothing
+    /// if that would leave a gap.
     pub fn splice(&mut self, from: u32, tokens: &Self) -> bool {
         if from > self.len() {
             return false;
@@ -81,12 +81,12 @@
         true
     }
 
-    /// All texts joined.
+    /// The texts of all tokens, joined.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Keeps the first `count`.
+    /// Keeps the first `count` tokens and drops the others.
     pub fn truncate(&mut self, count: u32) {
         if count >= self.len() {
             return;
--- a/src/base/verdict.rs
+++ b/src/base/verdict.rs
@@ -1,17 +1,17 @@
-//! Whether a request may have run.
+//! States whether a request has run at its backend server.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// What is known of a request's execution at its backend server.
+/// What is known about whether a request ran at its backend server.
 ///
-/// Once a request was handed to an agent, only that agent may say [`Verdict::NotRun`].
+/// After a request was sent to an agent, only that agent may report [`Verdict::NotRun`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It may or may not have run: whoever knew is silent or gone.
+    /// It may or may not have run: the process that knew does not answer or has ended.
     MayHaveRun,
     /// It did not run and will not run.
     NotRun,
@@ -20,7 +20,7 @@
 }
 
 impl Verdict {
-    /// Whether a caller has to reckon with the request having run.
+    /// Whether a caller must assume that the request may have run.
     pub fn may_have_run(self) -> bool {
         self != Self::NotRun
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! redwingpond: a rollout service for reinforcement learning beside live traffic.
 //!
-//! Each layer imports only those listed before it: `base`, `policy` (pure
-//! decisions), `wire`, `net`, `routing`, `store`, `batch`, `platform` (the
-//! users' machines), `table`, `engine`, `settings`, `duty`, `relay`, `view`, `calls`,
-//! then the programs `agent`, `entry`, `gateway`, `runner` and `operator`.
+//! The modules form layers. From the lowest to the highest: `base`, `policy` (decisions
+//! without I/O), `wire`, `net`, `routing`, `store`, `batch`, `platform` (the wire
+//! formats of the users' platform), `usage`, `table`, `engine`, `settings`, `duty`, `relay`, `view`,
+//! `calls`, then the programs `agent`, `entry`, `gateway`, `runner` and `operator`. A layer
+//! imports only lower ones, except that `policy` uses types of `routing`.
 
 pub mod agent;
 pub mod base;
