--- a/src/settings/agent_settings.rs
+++ b/src/settings/agent_settings.rs
@@ -1,4 +1,4 @@
-//! An agent's own settings.
+//! The settings of an agent.
 
 use super::{
     CommonSettings,
@@ -13,7 +13,7 @@
     path::Path, //
 };
 
-/// What kind of backend server stands behind an agent.
+/// The kind of a backend server: an engine that generates text, or any other service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum BackendKind {
     Engine,
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug)]
 pub struct Backend {
     pub address: SocketAddr,
-    /// Requests that it takes at once.
+    /// The maximum number of requests that the backend server runs at once.
     pub capacity: u32,
-    /// Whether it refuses orders with an old fencing number by itself.
+    /// Whether the backend server itself refuses orders with an outdated fencing number.
     pub checks_fence: bool,
     pub kind: BackendKind,
     pub pool: String,
-    /// Requests that may wait for it.
+    /// The maximum number of requests that wait in the agent's queue.
     pub max_queued: usize,
 }
 
@@ -44,15 +44,17 @@
 }
 
 impl AgentSettings {
-    /// Loads and checks the file at `path`.
+    /// Loads and checks the settings file at `path`.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         file::load(path, Self::read)
     }
 
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let common = CommonSettings::read(reader);
         let listen = reader.section("listen");
+        // `CommonSettings` reads these keys with a reader of its own. Reading them here too marks them
+        // as known, so that `finish` reports only unknown keys.
         listen.text("admin", Some("-"));
         listen.text("links", Some("-"));
         listen.finish();
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -1,4 +1,4 @@
-//! What entries and agents have in common.
+//! The settings that entries and agents share.
 
 use super::Reader;
 use crate::{
@@ -7,7 +7,7 @@
 };
 use std::net::SocketAddr;
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogFormat {
     Json,
@@ -15,38 +15,38 @@
     Text,
 }
 
-/// The bounds of a graceful stop.
+/// The time limits of a graceful stop.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSettings {
-    /// After this the stop is forced, and what it cut is counted.
+    /// After this long the stop is forced, and the requests that it cuts are counted.
     pub timeout: Millis,
-    /// How long a leaving process still takes requests that were under way
-    /// to it before others learned that it leaves.
+    /// How long a stopping process still accepts requests, because others may have sent them
+    /// before they learned of the stop.
     pub close_delay: Millis,
 }
 
-/// The settings of every process.
+/// The settings that every entry and every agent has.
 #[derive(Clone, Debug)]
 pub struct CommonSettings {
     pub admin: SocketAddr,
     pub data_centre: String,
     pub drain: DrainSettings,
     pub instance: String,
-    /// The deployment's secret: a process that doesn't know it gets no link.
+    /// The secret of the deployment. A process that doesn't know it can't open a link.
     pub key: String,
     pub links: SocketAddr,
     pub log: LogFormat,
-    /// A filter such as `info` or `info,decision=off`.
+    /// A log filter such as `info` or `info,decision=off`.
     pub log_level: String,
     pub platform: SocketAddr,
 }
 
-/// Where a process listens when its settings leave the port to the system.
+/// The default listening address, at which the system chooses the port.
 pub(super) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// An IP address and port.
+/// Reads the IP address and port at `key`.
 pub(super) fn address(reader: &Reader<'_>, key: &str, default: Option<SocketAddr>) -> SocketAddr {
     let Some(default) = default else {
         let text = reader.text(key, None);
@@ -66,7 +66,7 @@
     })
 }
 
-/// The policies by which a process decides.
+/// Reads the policy by which a process routes, queues and retries.
 pub(super) fn policy(reader: &Reader<'_>) -> Policy {
     let words = [("baseline", Policy::Baseline), ("current", Policy::Current)];
     let policy = reader.choice("policy", &words, Some(Policy::Current));
@@ -74,13 +74,13 @@
 }
 
 impl CommonSettings {
-    /// What this process shows on a link as proof of knowing the key.
+    /// The hash that a process sends on a new link to prove that it knows the key.
     pub fn link_key(&self) -> String {
         let key = blake3::derive_key("redwingpond link key v1", self.key.as_bytes());
         blake3::Hash::from_bytes(key).to_string()
     }
 
-    /// Reads the keys that all processes share.
+    /// Reads the shared settings from the root of the document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let drain = reader.section("drain");
         let listen = reader.section("listen");
--- a/src/settings/entry_settings.rs
+++ b/src/settings/entry_settings.rs
@@ -1,4 +1,4 @@
-//! An entry's own settings.
+//! The settings of an entry.
 
 use super::{
     CommonSettings,
@@ -20,30 +20,32 @@
 /// The settings of a `redwing-entry`.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
+    /// The address at which the entry listens for callers and trainers.
     pub callers: SocketAddr,
     pub common: CommonSettings,
-    /// One-way delay to each other data centre.
+    /// The one-way delay to each other data centre, by its name.
     pub distances: BTreeMap<String, Millis>,
-    /// Link ports of other entries, for a start while the platform is down.
+    /// The link ports of other entries, used if this one starts while the platform is down.
     pub peers: Vec<SocketAddr>,
     pub policy: Policy,
 }
 
-/// The one-way delay assumed to a data centre that is not listed.
+/// The assumed one-way delay to a data centre that `distances` doesn't list.
 pub const DEFAULT_DISTANCE: Millis = Millis(2);
 
 impl EntrySettings {
-    /// Loads and checks the file at `path`.
+    /// Loads and checks the settings file at `path`.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         file::load(path, Self::read)
     }
 
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let common = CommonSettings::read(reader);
         let listen = reader.section("listen");
         let callers = address(&listen, "callers", Some(any_port()));
-        // Read once more so that only unknown keys of the section are told.
+        // `CommonSettings` reads these keys with a reader of its own. Reading them here too marks
+        // them as known, so that `finish` reports only unknown keys.
         listen.text("admin", Some("-"));
         listen.text("links", Some("-"));
         listen.finish();
--- a/src/settings/fault.rs
+++ b/src/settings/fault.rs
@@ -1,22 +1,23 @@
-//! What is wrong with settings.
+//! Errors in settings.
 
 use snafu::Snafu;
 
-/// One fault and where it is.
+/// One error in a settings document, with its position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
     pub column: usize,
     pub expected: String,
     pub found: String,
     pub line: usize,
-    /// The path inside the document, such as `backend.capacity`.
+    /// The path of the key inside the document, such as `backend.capacity`.
     pub path: String,
 }
 
-/// Settings that can't be taken, with every fault found.
+/// Why settings were refused.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum SettingsError {
+    /// The document is valid YAML but not valid settings; lists all its faults.
     #[snafu(display("{}", list(file, faults)))]
     Faults { faults: Vec<Fault>, file: String },
     #[snafu(display("can't read settings `{file}`: {source}"))]
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! From a settings file to checked settings.
+//! Loads, parses and checks settings files.
 
 use super::{
     Reader,
@@ -12,14 +12,14 @@
     rc::Rc, //
 };
 
-/// Reads and checks the file at `path` with `read_root`.
+/// Loads the file at `path`, then parses and checks it with `read_root`.
 pub fn load<T>(path: &Path, read_root: impl Fn(&Reader<'_>) -> T) -> Result<T, SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).context(ReadSnafu { file: &file })?;
     read(&file, &text, read_root)
 }
 
-/// Checks `text` with `read_root`; `file` names it in faults.
+/// Parses `text` and checks it with `read_root`; errors name it `file`.
 pub fn read<T>(
     file: &str,
     text: &str,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings: a process's own in a YAML file, and the shared ones under paths.
+//! Settings: each process has its own in a YAML file; the shared settings of all entries are
+//! YAML documents in the platform's table.
 
 mod agent_settings;
 mod common;
--- a/src/settings/pool_settings.rs
+++ b/src/settings/pool_settings.rs
@@ -1,20 +1,20 @@
-//! A pool of backend servers.
+//! The shared settings of a pool of backend servers.
 
 use super::{
     BackendKind,
     Reader, //
 };
 
-/// The shared settings under `pools/NAME`.
+/// The settings at `pools/NAME`.
 #[derive(Clone, Debug)]
 pub struct PoolSettings {
     pub kind: BackendKind,
-    /// Engines of the pool that may swap weights at the same time.
+    /// The maximum number of engines of the pool that swap weights at the same time.
     pub max_swaps: usize,
 }
 
 impl PoolSettings {
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let kinds = [
             ("engine", BackendKind::Engine),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a YAML mapping key by key and gathers every fault on the way.
+//! Reads a YAML mapping key by key and collects all its faults.
 
 use super::Fault;
 use marked_yaml::{
@@ -13,24 +13,26 @@
     str::FromStr, //
 };
 
-/// A mapping being read; readers of one document share their list of faults.
+/// Reads one mapping of a document. All readers of a document share one list of faults.
 ///
-/// A key that is wrong or missing gives a default value and a fault, so that
-/// reading goes on and all faults are told at once.
+/// For an invalid or missing key, the reader records a fault and returns a default value, so
+/// that reading continues and all faults are reported at once.
 pub struct Reader<'a> {
     faults: Rc<RefCell<Vec<Fault>>>,
     mapping: Option<&'a MarkedMappingNode>,
+    /// The path of the mapping inside the document.
     path: String,
+    /// The keys that were asked for; any other key of the mapping is unknown.
     read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of a document's root.
+    /// Creates a reader of a document's root.
     pub fn new(root: &'a Node, faults: Rc<RefCell<Vec<Fault>>>) -> Self {
         Self::from_node(Some(root), String::new(), faults)
     }
 
-    /// The value of `key` as one of the listed words.
+    /// The value that `words` lists for the word at `key`.
     pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> Option<T> {
         let Some(node) = self.get(key) else {
             if default.is_none() {
@@ -48,14 +50,15 @@
         found.map(|(_, value)| *value).or(default)
     }
 
-    /// Notes a reject at `key`.
+    /// Records a fault: the value at `key` is not allowed.
     pub fn reject(&self, key: &str, expected: &str, found: &str) {
         let span = self.get(key).map(Node::span);
         let span = span.or(self.mapping.map(MarkedMappingNode::span));
         self.push_fault(key, span, expected, found.to_owned());
     }
 
-    /// The entries of the mapping at `key`, each a mapping with a free name.
+    /// Readers of the mappings inside the mapping at `key`, each with its name, which the user
+    /// chooses.
     pub fn sections(&self, key: &str) -> Vec<(String, Reader<'a>)> {
         let inner = self.section(key);
         let Some(mapping) = inner.mapping else {
@@ -71,7 +74,7 @@
             .collect()
     }
 
-    /// Ends reading: what was not asked for is unknown.
+    /// Ends reading and records a fault for each key that was not asked for.
     pub fn finish(&self) {
         let Some(mapping) = self.mapping else {
             return;
@@ -88,19 +91,19 @@
         }
     }
 
-    /// Whether `key` is there.
+    /// Whether the mapping has `key`.
     pub fn has(&self, key: &str) -> bool {
         self.get(key).is_some()
     }
 
-    /// The keys of the mapping at `key`, which are free names.
+    /// The keys of the mapping at `key`, which the user chooses.
     pub fn keys(&self, key: &str) -> Vec<String> {
         let inner = self.section(key);
         let keys = inner.mapping.into_iter().flat_map(|m| m.keys());
         keys.map(|name| name.as_str().to_owned()).collect()
     }
 
-    /// A number within `range`; `default` when the key is absent.
+    /// The number at `key`, which must be within `range`; `default` if the key is absent.
     pub fn number(
         &self,
         key: &str,
@@ -116,13 +119,13 @@
         value
     }
 
-    /// The mapping at `key`; an absent one reads as empty.
+    /// A reader of the mapping at `key`; an absent mapping reads as empty.
     pub fn section(&self, key: &str) -> Reader<'a> {
         let node = self.get(key);
         Self::from_node(node, self.path_to(key), self.faults.clone())
     }
 
-    /// The text at `key`, not empty.
+    /// The text at `key`, which must not be empty.
     pub fn text(&self, key: &str, default: Option<&str>) -> String {
         let value: String = self.value(key, "a text", default.map(str::to_owned));
         if value.is_empty() && self.get(key).is_some() {
@@ -131,7 +134,7 @@
         value
     }
 
-    /// The list of texts at `key`; an absent one is empty.
+    /// The list of texts at `key`; empty if the key is absent.
     pub fn texts(&self, key: &str) -> Vec<String> {
         let Some(node) = self.get(key) else {
             return Vec::new();
@@ -150,7 +153,7 @@
         texts
     }
 
-    /// The value of `key` parsed from its text.
+    /// The value at `key`, parsed from its text. `expected` describes a valid one in faults.
     pub fn value<T: FromStr + Default>(&self, key: &str, expected: &str, default: Option<T>) -> T {
         let Some(node) = self.get(key) else {
             if default.is_none() {
@@ -165,6 +168,7 @@
         parsed.unwrap_or_default()
     }
 
+    /// Records that `node`, the value at `key`, is not what was expected.
     fn push_unexpected(&self, key: &str, node: &Node, expected: &str) {
         let found = match node {
             Node::Mapping(_) => "a mapping".to_owned(),
@@ -174,6 +178,7 @@
         self.push_fault(key, Some(node.span()), expected, found);
     }
 
+    /// Records that `key` is missing.
     fn push_missing(&self, key: &str, expected: &str) {
         let mapping = self.mapping;
         let first = mapping.and_then(|mapping| mapping.keys().next());
@@ -182,6 +187,7 @@
         self.push_fault(key, span, expected, "nothing".into());
     }
 
+    /// The value at `key`, which counts as asked for from now on.
     fn get(&self, key: &str) -> Option<&'a Node> {
         self.read_keys.borrow_mut().insert(key.to_owned());
         self.mapping?.get_node(key)
--- a/src/settings/shared.rs
+++ b/src/settings/shared.rs
@@ -1,4 +1,4 @@
-//! The settings that all entries share.
+//! The settings that all entries share: teams and pools, as rows of the platform's table.
 
 use super::{
     PoolSettings,
@@ -8,16 +8,16 @@
 };
 use std::collections::BTreeMap;
 
-/// The path under which all shared settings are.
+/// The prefix of the paths of all shared settings.
 pub const SETTINGS_PREFIX: &str = "settings/";
 
-/// The path under which each pool has its document.
+/// The prefix of the pools' paths; each pool has one document.
 pub const POOLS_PREFIX: &str = "settings/pools/";
 
-/// The path under which each team has its subtree.
+/// The prefix of the teams' paths; each team has one document.
 pub const TEAMS_PREFIX: &str = "settings/teams/";
 
-/// All teams and pools, as of one read of the table.
+/// All teams and pools by name, as of one read of the table.
 #[derive(Clone, Debug, Default)]
 pub struct SharedSettings {
     pub pools: BTreeMap<String, PoolSettings>,
@@ -25,8 +25,8 @@
 }
 
 impl SharedSettings {
-    /// Reads `rows` of path and document. A document with faults is left out
-    /// and its faults are returned beside the rest.
+    /// Reads `rows` of path and document. Omits each document with faults and returns the
+    /// errors of those documents as well.
     pub fn read<'a>(rows: impl Iterator<Item = (&'a str, &'a str)>) -> (Self, Vec<SettingsError>) {
         let mut shared = Self::default();
         let mut errors = Vec::new();
--- a/src/settings/site_settings.rs
+++ b/src/settings/site_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway and of a runner.
+//! The settings of gateways and runners.
 
 use super::{
     Reader,
@@ -16,18 +16,20 @@
     path::Path, //
 };
 
-/// What every program on a site is told.
+/// The settings that every gateway and every runner has.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
     pub data_centre: String,
-    /// How long after the stop signal the process may live.
+    /// How long the process may take to exit after the stop signal.
     pub grace: Millis,
     pub instance: String,
     pub log_level: String,
+    /// The address at which the process serves its metrics.
     pub metrics: SocketAddr,
-    /// Where other instances of the program ask for what this one knows.
+    /// The address at which other instances fetch changes from this one, see
+    /// [`crate::relay`].
     pub peers: SocketAddr,
-    /// How long after its submission a batch can be read.
+    /// How long a batch is kept after its submission.
     pub retention: Millis,
     pub store: SocketAddr,
 }
@@ -35,36 +37,40 @@
 /// The settings of a `redwing-gateway`.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
+    /// The address at which the gateway listens for callers and trainers.
     pub callers: SocketAddr,
     pub common: SiteSettings,
-    /// Within which time of its removal a key must stop working, also on a gateway
-    /// that doesn't reach the store; `None` for as soon as it hears of it.
+    /// The maximum time from the removal of a key until it stops working, also on a gateway
+    /// that can't reach the store. `None`: a key stops working as soon as the gateway learns of
+    /// its removal.
     pub revocation: Option<Millis>,
-    /// Where the balancer asks whether this gateway is ready.
+    /// The address at which the load balancer checks whether this gateway is ready.
     pub ready: SocketAddr,
-    /// Where use is reported; `None` where nobody asks for it.
+    /// How usage is reported; `None` if it is not reported.
     pub usage: Option<UsageSettings>,
 }
 
-/// How use is reported.
+/// How the usage of workspaces is reported.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageSettings {
+    /// The address to which reports are sent.
     pub address: SocketAddr,
-    /// Nobody takes over from a holder that was heard of within this time.
+    /// How long the reporting lease lasts without renewal; after that, another gateway may
+    /// take it over.
     pub lease: Millis,
-    /// What one report covers.
+    /// The length of the time window that one report covers.
     pub window: Millis,
 }
 
 impl UsageSettings {
-    /// How time is cut into windows.
+    /// The division of time into windows.
     pub fn windows(&self) -> Windows {
         Windows {
             length: self.window,
         }
     }
 
-    /// Where reports go, by whom.
+    /// The settings of the reporter: the address of its reports and the length of its lease.
     pub fn reporting(&self) -> Reporting {
         Reporting {
             address: self.address,
@@ -86,27 +92,28 @@
     }
 }
 
-/// The shortest lease that can be renewed in time.
+/// The shortest lease that its holder can renew in time, in ms.
 const MIN_LEASE_MS: u64 = 2_500;
 
-/// The shortest window that can be summed up.
+/// The shortest window whose counts can be summed.
 const MIN_WINDOW: Millis = Millis(1_000);
 
 /// The settings of a `redwing-runner`.
 #[derive(Clone, Debug)]
 pub struct RunnerSettings {
     pub common: SiteSettings,
-    /// The engine on the same instance.
+    /// The address of the engine on the same instance.
     pub engine: SocketAddr,
     /// The service that the engine belongs to.
     pub service: String,
 }
 
-/// The part of the grace that a stop may use; the rest is for the exit itself.
+/// The share of the grace time that a graceful stop may use. The rest is for the exit of the
+/// process.
 const STOP_SHARE: f64 = 0.85;
 
 impl SiteSettings {
-    /// After this long a graceful stop is forced.
+    /// The time after which a graceful stop is forced.
     pub fn stop_timeout(&self) -> Millis {
         Millis((self.grace.0 as f64 * STOP_SHARE) as u64)
     }
@@ -126,12 +133,12 @@
 }
 
 impl GatewaySettings {
-    /// Loads and checks the file at `path`.
+    /// Loads and checks the settings file at `path`.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         file::load(path, Self::read)
     }
 
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let listen = reader.section("listen");
         let settings = Self {
@@ -149,12 +156,12 @@
 }
 
 impl RunnerSettings {
-    /// Loads and checks the file at `path`.
+    /// Loads and checks the settings file at `path`.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         file::load(path, Self::read)
     }
 
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let listen = reader.section("listen");
         let engine = reader.section("engine");
@@ -169,7 +176,8 @@
     }
 }
 
-/// The shortest revocation that can be kept: some questions to the store must fit.
+/// The shortest revocation time that a gateway can keep, in ms: several requests to the store
+/// must fit into it.
 const MIN_REVOCATION_MS: u64 = 1_500;
 
 fn revocation(reader: &Reader<'_>) -> Option<Millis> {
--- a/src/settings/team_settings.rs
+++ b/src/settings/team_settings.rs
@@ -1,4 +1,4 @@
-//! A team's subtree.
+//! The shared settings of a team.
 
 use super::Reader;
 use crate::base::{
@@ -10,60 +10,62 @@
 /// A traffic class of a team.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// The deadline of calls that name none.
+    /// The deadline of calls that set none themselves.
     pub deadline: Millis,
-    /// Only the callers that list this class may use it.
+    /// Whether only callers whose settings list this class may use it.
     pub internal: bool,
-    /// Calls in flight at one entry at most.
+    /// The maximum number of calls in flight at one entry.
     pub max_in_flight: u32,
     pub pool: String,
     pub priority: Priority,
 }
 
-/// A caller with a credential.
+/// A caller that has a key.
 #[derive(Clone, Debug)]
 pub struct Caller {
+    /// The internal classes that the caller may use.
     pub classes: Vec<String>,
-    /// The hash of the caller's key, see [`key_hash`]; the key is kept nowhere.
+    /// The hash of the caller's key, see [`key_hash`]. The key itself is not stored.
     pub key: String,
 }
 
-/// How a team's rollouts are made.
+/// How a team's rollouts are run.
 #[derive(Clone, Debug)]
 pub struct RolloutSettings {
+    /// The pool of engines that generate the samples.
     pub pool: String,
-    /// Samples of the team that run at once at most.
+    /// The maximum number of samples that each of the team's trainers has running at once.
     pub max_samples: u32,
-    /// The pool of the scoring service.
+    /// The pool of the service that scores the samples.
     pub scorer: String,
 }
 
-/// The shared settings under `teams/NAME`.
+/// The settings at `teams/NAME`.
 #[derive(Clone, Debug)]
 pub struct TeamSettings {
     pub callers: BTreeMap<String, Caller>,
     pub classes: BTreeMap<String, ClassSettings>,
-    /// Calls in flight at one entry at most, over all classes.
+    /// The maximum number of calls in flight at one entry, over all classes.
     pub max_in_flight: u32,
-    /// The share of successful calls that may be retried, in percent.
+    /// The size of the retry budget: the number of retries in percent of the successful calls.
     pub retry_share: u64,
     pub rollout: Option<RolloutSettings>,
 }
 
-/// The hash under which a caller's key is kept in settings.
+/// The hash of a caller's key, as it stands in the settings.
 pub fn key_hash(key: &str) -> String {
     let hash = blake3::derive_key("redwingpond caller key v1", key.as_bytes());
     blake3::Hash::from_bytes(hash).to_string()
 }
 
-/// The word that settings use for each priority of a class.
+/// The words for the priorities that a class can have.
 const PRIORITIES: [(&str, Priority); 2] = [
     ("background", Priority::Background),
     ("live", Priority::Live),
 ];
 
 impl TeamSettings {
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let classes: BTreeMap<String, ClassSettings> = reader
             .sections("classes")
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Whether the holder of `key` may call the internal class `class`.
+    /// Whether the caller with `key` may use the internal class `class`.
     pub fn may_call(&self, key: &str, class: &str) -> bool {
         let hash = key_hash(key);
         self.callers
