--- a/src/duty/admin.rs
+++ b/src/duty/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP of a program: health, readiness, metrics and its own routes.
+//! The HTTP server for operators: health, readiness, metrics and routes of the program.
 
 use super::{
     Answer,
@@ -21,12 +21,13 @@
 };
 use tokio::sync::watch;
 
-/// A program's own routes; `None` for a path that it doesn't know.
+/// The handler for a program's own paths; returns `None` for an unknown path.
 pub type AdminRoute = Arc<
     dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>> + Send + Sync,
 >;
 
-/// Serves operators until the program has stopped.
+/// Serves operators until the program has stopped. `ready` tells whether the program can serve
+/// its clients.
 pub async fn serve_admin(
     context: Context,
     server: HttpServer,
@@ -34,7 +35,8 @@
     ready: impl Fn() -> bool + Send + Sync + 'static,
     route: AdminRoute,
 ) {
-    // Operators are served to the end of a stop, so that they can watch it.
+    // Operators are served until the end of a stop, so that they can watch it: this duty must
+    // not hold the stop up.
     context.mark_drained();
     let ready = Arc::new(ready);
     let serving = server.serve(&context, Millis(u64::MAX / 4), move |request| {
--- a/src/duty/control.rs
+++ b/src/duty/control.rs
@@ -1,4 +1,4 @@
-//! The control actor of one duty.
+//! The actor that receives the control messages of one duty.
 
 use super::SupervisorMessage;
 use ractor::{
@@ -8,31 +8,33 @@
 };
 use tokio::sync::watch;
 
-/// How far a program's stop has come.
+/// The phases of a program, up to its stop.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
     #[default]
     Running,
-    /// No new work; what is under way goes on.
+    /// A graceful stop: no new work is taken, work in progress continues.
     Draining,
-    /// Everything ends now.
+    /// All work ends now.
     Stopped,
 }
 
-/// What a duty is told.
+/// A message from the supervisor to a duty.
 #[derive(Clone, Copy, Debug)]
 pub enum ControlMessage {
+    /// The program has entered this phase.
     Enter(Phase),
 }
 
-/// What the control actor of one duty has.
+/// The state of a duty's control actor.
 pub struct ControlState {
     pub(super) name: &'static str,
     pub(super) phase: watch::Sender<Phase>,
     pub(super) supervisor: ActorRef<SupervisorMessage>,
 }
 
-/// Takes a duty's control messages on the duty's own thread.
+/// Receives a duty's control messages on the duty's own thread and confirms them to the
+/// supervisor.
 pub(super) struct ControlActor;
 
 impl Actor for ControlActor {
@@ -62,7 +64,10 @@
         });
         let entered = SupervisorMessage::Entered(control.name, next);
         if control.supervisor.cast(entered).is_err() {
-            tracing::warn!(duty = control.name, "the supervisor is gone");
+            tracing::warn!(
+                duty = control.name,
+                "can't confirm the phase: the supervisor has ended"
+            );
         }
         Ok(())
     }
--- a/src/duty/handle.rs
+++ b/src/duty/handle.rs
@@ -1,4 +1,4 @@
-//! A running program.
+//! The handle of a running program.
 
 use super::{
     Duty,
@@ -18,7 +18,7 @@
     sync::watch, //
 };
 
-/// A program's duties and their supervisor. Dropping it ends them at once.
+/// Owns the duties of a running program and their supervisor. Dropping it stops them at once.
 pub struct ProgramHandle {
     duties: Vec<Duty>,
     health: watch::Receiver<Health>,
@@ -27,7 +27,7 @@
 }
 
 impl ProgramHandle {
-    /// Starts a supervisor that forces graceful stops after `bound`.
+    /// Starts a supervisor that forces a graceful stop after `drain_timeout`.
     pub fn open(drain_timeout: Millis) -> Result<Self, DutyError> {
         let (health, watch) = watch::channel(Health::default());
         let (sender, receiver) = std::sync::mpsc::sync_channel(1);
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Adds a running duty.
+    /// Adds a running duty to the program.
     pub fn add(&mut self, duty: Duty) {
         self.duties.push(duty);
     }
@@ -60,8 +60,8 @@
         let _ = self.supervisor.cast(SupervisorMessage::Drain);
     }
 
-    /// Begins a graceful stop, and returns once every duty knows of it: what
-    /// is sent to the program after that meets a stopping one.
+    /// Begins a graceful stop and returns once every duty has confirmed it. Requests that are
+    /// sent to the program after that reach a draining program.
     pub async fn drain_confirmed(&self) {
         self.drain();
         let mut health = self.health.clone();
@@ -70,26 +70,26 @@
             let all = health.entered >= duties;
             health.phase == Phase::Stopped || (health.phase == Phase::Draining && all)
         });
-        // A supervisor that is gone has stopped all duties.
+        // The wait fails if the supervisor has ended; then all duties have been stopped.
         let _ = confirmed.await;
     }
 
-    /// The program's health, to be watched.
+    /// A receiver that follows the program's health.
     pub fn health(&self) -> watch::Receiver<Health> {
         self.health.clone()
     }
 
-    /// Ends the program now.
+    /// Stops the program at once.
     pub fn stop(&self) {
         let _ = self.supervisor.cast(SupervisorMessage::Stop);
     }
 
-    /// The supervisor, for starting duties.
+    /// The supervisor, which [`super::spawn`] needs to start a duty.
     pub fn supervisor(&self) -> &ActorRef<SupervisorMessage> {
         &self.supervisor
     }
 
-    /// Waits until all duties have ended; false when one failed.
+    /// Waits until all duties have ended. Returns false if one of them failed.
     pub async fn wait(mut self) -> bool {
         let mut health = self.health.clone();
         let _ = health.wait_for(|h| h.phase == Phase::Stopped).await;
@@ -117,6 +117,7 @@
     }
 }
 
+/// Runs the supervisor on the current thread; sends its address to `sender` once it is up.
 fn supervise(
     drain_timeout: Millis,
     health: watch::Sender<Health>,
--- a/src/duty/http_server.rs
+++ b/src/duty/http_server.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 and HTTP/2 towards callers, trainers and operators.
+//! An HTTP/1.1 and HTTP/2 server for callers, trainers and operators, and helpers to build its
+//! responses.
 
 use super::{
     Context,
@@ -40,18 +41,18 @@
     time::timeout, //
 };
 
-/// An answer whose body may end in an error, which cuts the connection so
-/// that nobody takes a part for the whole.
+/// An HTTP response. If its body ends in an error, the connection is cut, so that the client
+/// doesn't take a part of the body for the whole.
 pub type Answer = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
-/// What one server accepts.
+/// Limits of one server for its clients.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Open connections.
+    /// The maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// The bytes of a request's head.
+    /// The maximum size of a request's head.
     pub max_head_bytes: usize,
-    /// How long a request's head may take to arrive.
+    /// The maximum time for a request's head to arrive.
     pub head_timeout: Millis,
 }
 
@@ -73,7 +74,7 @@
 }
 
 impl HttpServer {
-    /// Binds `address`; port 0 lets the system choose.
+    /// Binds `address`; for port 0 the system chooses one.
     pub fn bind(address: SocketAddr, limits: HttpLimits) -> Result<Self, DutyError> {
         let (address, listener) = bind_listener(address)?;
         Ok(Self {
@@ -83,8 +84,9 @@
         })
     }
 
-    /// Serves until the program drains, and `leave` longer, so that a balancer
-    /// that has not noticed yet gets answers; then finishes what is open.
+    /// Accepts connections until `close_delay` after the program began to drain, so that a
+    /// load balancer that has not noticed yet still gets responses. Then finishes the open
+    /// requests.
     pub async fn serve<H, Fut>(self, context: &Context, close_delay: Millis, handler: H)
     where
         H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
@@ -93,7 +95,7 @@
         let listener = match TcpListener::from_std(self.listener) {
             Ok(listener) => listener,
             Err(error) => {
-                tracing::error!(%error, "can't listen");
+                tracing::error!(%error, "can't use the listener");
                 return;
             }
         };
@@ -113,8 +115,8 @@
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => stream,
                     Err(_) => {
-                        // Out of descriptors, most likely: without the wait
-                        // the loop would spin until some are free.
+                        // Most likely the process is out of file descriptors. Without the
+                        // wait this loop would spin until one is free.
                         tokio::time::sleep(Millis(20).as_duration()).await;
                         continue;
                     }
@@ -151,8 +153,8 @@
     Fut: Future<Output = Answer> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    // A client that connects and sends nothing would hold the connection for
-    // good: the protocol is told apart by its first bytes, before any timer.
+    // The server detects the protocol by the first bytes, and no timer runs until then: without
+    // this timeout, a client that sends nothing would keep the connection forever.
     let mut byte = [0; 1];
     let first = stream.peek(&mut byte);
     if !matches!(
@@ -182,7 +184,7 @@
     let _ = watcher.watch(served.into_owned()).await;
 }
 
-/// An answer with a body of `kind`.
+/// A response with `body`, whose content type is `kind`.
 pub fn text(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Answer {
     let body = Full::new(body.into()).map_err(|never| match never {});
     let mut answer = Response::new(body.boxed_unsync());
@@ -192,7 +194,7 @@
     answer
 }
 
-/// An answer in JSON.
+/// A response with `value` as JSON.
 pub fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Answer {
     match serde_json::to_vec(value) {
         Ok(body) => text(status, "application/json", body),
@@ -200,7 +202,7 @@
     }
 }
 
-/// A failure as problem details (RFC 9457) with `may_have_run` beside them.
+/// A failure as problem details (RFC 9457) with additional members such as `may_have_run`.
 pub fn problem_details(failure: &Failure, request: Option<RequestId>) -> String {
     let details = serde_json::json!({
         "type": format!("urn:redwing:problem:{}", failure.cause.word()),
@@ -214,7 +216,7 @@
     details.to_string()
 }
 
-/// An answer that tells of a failure.
+/// A response that reports `failure` as problem details.
 pub fn problem(failure: &Failure, request: Option<RequestId>) -> Answer {
     let status = StatusCode::from_u16(failure.cause.status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/src/duty/log.rs
+++ b/src/duty/log.rs
@@ -1,4 +1,4 @@
-//! Where log lines go.
+//! Sets up the output of log lines.
 
 use crate::settings::LogFormat;
 use tracing_appender::non_blocking::{
@@ -8,7 +8,8 @@
 };
 use tracing_subscriber::EnvFilter;
 
-/// Sends this process's log lines to standard error; later calls change nothing.
+/// Sends this process's log lines to standard error. Only the first call in a process has an
+/// effect.
 pub fn open_log(format: LogFormat, level: &str) {
     let filter = EnvFilter::try_new(level).unwrap_or_else(|_| EnvFilter::new("info"));
     let lines = tracing_subscriber::fmt()
@@ -20,11 +21,11 @@
     };
 }
 
-/// Lines that may wait for a slow reader of the log; more are left out and
-/// counted. A line is about 300 bytes.
+/// The maximum number of lines buffered for a slow reader of the log; further ones are dropped
+/// and counted. A line has about 300 bytes.
 const MAX_BUFFERED_LINES: usize = 4_096;
 
-/// Keeps the log's writer alive; dropping it writes what waits.
+/// Keeps the writer of the log alive. Dropping it writes the buffered lines.
 pub struct LogGuard {
     dropped: ErrorCounter,
     _writer: WorkerGuard,
@@ -34,13 +35,16 @@
     fn drop(&mut self) {
         let dropped = self.dropped.dropped_lines();
         if dropped > 0 {
-            tracing::warn!(dropped, "log lines were left out: their reader was slow");
+            tracing::warn!(
+                dropped,
+                "log lines dropped: the reader of standard output was too slow"
+            );
         }
     }
 }
 
-/// Sends this process's log lines to standard output as JSON. A thread of its
-/// own writes them, so that a slow reader never holds up a request.
+/// Sends this process's log lines to standard output as JSON. A separate thread writes them,
+/// so that a slow reader never delays a request.
 pub fn open_stdout_log(level: &str) -> LogGuard {
     let filter = EnvFilter::try_new(level).unwrap_or_else(|_| EnvFilter::new("info"));
     let (writer, guard) = NonBlockingBuilder::default()
--- a/src/duty/mod.rs
+++ b/src/duty/mod.rs
@@ -1,9 +1,9 @@
-//! Threads that each own one task's state, and their supervision.
+//! Duties, their supervision, and what all programs need around them: HTTP, logs, signals.
 //!
-//! Each duty is a thread with a runtime of its own. Data flows between duties
-//! over bounded rings. Control (drain, stop, a duty's end) flows over `ractor`
-//! actors, whose mailboxes are unbounded and therefore carry nothing whose
-//! rate a caller controls.
+//! A duty is a thread with its own async runtime that owns the state of one task of a
+//! program, such as accepting calls. Duties exchange data over bounded channels. Control
+//! messages (drain, stop, the end of a duty) pass between `ractor` actors: their mailboxes
+//! are unbounded, so they carry nothing whose rate a caller controls.
 
 mod admin;
 mod control;
--- a/src/duty/signals.rs
+++ b/src/duty/signals.rs
@@ -1,4 +1,4 @@
-//! Stops asked for by the operating system.
+//! Stops and reloads a program on signals of the operating system.
 
 use super::ProgramHandle;
 use tokio::signal::unix::{
@@ -6,16 +6,17 @@
     signal, //
 };
 
-/// Runs `handle` until it ends: the first SIGTERM or SIGINT begins a graceful
-/// stop, a second one forces it. SIGHUP calls `reload`; without a handler of
-/// its own it would end the program. False when the program failed.
+/// Waits until the program of `handle` has stopped; returns false if it failed.
+///
+/// The first SIGTERM or SIGINT begins a graceful stop, a second one forces it. SIGHUP calls
+/// `reload`; without a handler, SIGHUP would end the program.
 pub async fn wait_for_stop(handle: ProgramHandle, reload: impl Fn()) -> bool {
     let (Ok(mut term), Ok(mut interrupt), Ok(mut hangup)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
         signal(SignalKind::hangup()),
     ) else {
-        tracing::error!("can't listen for signals");
+        tracing::error!("can't install signal handlers");
         return false;
     };
     let mut health = handle.health();
@@ -33,7 +34,7 @@
         if stopping {
             handle.stop();
         } else {
-            tracing::info!("stopping gracefully; a second signal forces the end");
+            tracing::info!("graceful stop begun; a second signal forces the stop");
             handle.drain();
         }
         stopping = true;
--- a/src/duty/supervisor.rs
+++ b/src/duty/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor of a program's duties.
+//! The actor that supervises the duties of a program.
 
 use super::{
     ControlMessage,
@@ -12,49 +12,50 @@
 };
 use tokio::sync::watch;
 
-/// Whether all duties of a program are alive, and how far its stop has come.
+/// The phase of a program and whether any of its duties failed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Health {
-    /// Duties that know of `phase`. Until all do, some still take work as
-    /// before: a stop is under way only once this is their number.
+    /// The number of duties that have confirmed `phase`. Until it is the number of all duties,
+    /// some may still take work as before.
     pub entered: usize,
-    /// Duties that ended without being told to.
+    /// The number of duties that ended without being stopped.
     pub failed: u32,
     pub phase: Phase,
 }
 
-/// What the supervisor is told.
+/// A message to the supervisor.
 #[derive(Debug)]
 pub enum SupervisorMessage {
-    /// A duty is up.
+    /// The duty has started and takes control messages at this address.
     Started(&'static str, ActorRef<ControlMessage>),
     /// Begin a graceful stop.
     Drain,
-    /// A duty knows how far the stop has come.
+    /// The duty confirms that it has entered the phase.
     Entered(&'static str, Phase),
-    /// A duty has nothing under way any more and takes nothing new.
+    /// The duty has finished its work and takes no new work.
     Drained(&'static str),
     /// A duty's thread is about to start.
     Starting,
-    /// A duty's thread ended.
+    /// The duty's thread has ended.
     Ended(&'static str),
-    /// End now, cutting what is under way.
+    /// Stop now and cut the work in progress.
     Stop,
 }
 
-/// Starts graceful stops, waits for every duty, and forces the end at a bound.
+/// Begins graceful stops, waits for every duty to drain, and forces the stop after a timeout.
 pub struct Supervisor {
-    /// After this long a graceful stop is forced.
+    /// The time after which a graceful stop is forced.
     pub drain_timeout: Millis,
 }
 
-/// The duties and what is known of them.
+/// The state of the supervisor: the duties and what they have reported.
 pub struct State {
     drained: Vec<&'static str>,
-    /// Duties that know of the present phase.
+    /// Duties that have confirmed the current phase.
     entered: Vec<&'static str>,
+    /// Duties that take control messages.
     duties: Vec<(&'static str, ActorRef<ControlMessage>)>,
-    /// Duties that were started and have not ended.
+    /// The number of duties whose threads were started and have not ended.
     running: usize,
     health: watch::Sender<Health>,
 }
@@ -107,8 +108,8 @@
             SupervisorMessage::Ended(name) => {
                 state.running = state.running.saturating_sub(1);
                 state.duty_ended(name);
-                // A duty that is still starting must find its supervisor: it
-                // hears of a stop only from it, and would never end without.
+                // The supervisor must outlive every duty that is still starting: a duty
+                // learns of a stop only from it and would never end without it.
                 if state.running == 0 {
                     myself.stop(None);
                 }
@@ -118,7 +119,7 @@
                 if state.health.borrow().phase == Phase::Draining {
                     tracing::error!(
                         bound = self.drain_timeout.0,
-                        "graceful stop forced at its bound"
+                        "graceful stop timed out; forcing the stop"
                     );
                 }
                 state.enter(Phase::Stopped);
@@ -135,9 +136,9 @@
         if self.health.borrow().phase == Phase::Stopped {
             return;
         }
-        // A duty that died would leave its callers waiting for good; it shows
-        // as a failed /healthz, and the platform replaces the instance.
-        tracing::error!(duty = name, "a duty ended without being told to");
+        // Without the duty, its callers would wait forever. So the program stops, /healthz
+        // fails, and the platform replaces the instance.
+        tracing::error!(duty = name, "duty ended unexpectedly; stopping the program");
         self.health.send_modify(|health| health.failed += 1);
         self.enter(Phase::Stopped);
     }
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Ends a graceful stop once no duty has anything under way.
+    /// Ends a graceful stop once all duties have drained.
     fn stop_if_drained(&mut self) {
         let draining = self.health.borrow().phase == Phase::Draining;
         if draining && self.drained.len() == self.running {
@@ -159,6 +160,7 @@
         }
     }
 
+    /// Moves the program to `phase`, if that is a later one, and sends it to all duties.
     fn enter(&mut self, phase: Phase) {
         if phase > self.health.borrow().phase {
             self.entered.clear();
@@ -170,7 +172,10 @@
         });
         for (name, duty) in &self.duties {
             if duty.cast(ControlMessage::Enter(phase)).is_err() {
-                tracing::warn!(duty = name, "a duty takes no control messages");
+                tracing::warn!(
+                    duty = name,
+                    "can't send the phase to the duty: its control actor has ended"
+                );
             }
         }
     }
--- a/src/duty/telemetry.rs
+++ b/src/duty/telemetry.rs
@@ -1,4 +1,4 @@
-//! The metrics of this process.
+//! The Prometheus metrics of this process.
 
 use metrics_exporter_prometheus::{
     PrometheusBuilder,
@@ -8,7 +8,7 @@
 
 static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// The metrics in Prometheus text; the first call begins their recording.
+/// The metrics in the Prometheus text format. Recording begins with the first call.
 pub fn render_metrics() -> String {
     let recorder = RECORDER.get_or_init(|| PrometheusBuilder::new().install_recorder().ok());
     recorder
--- a/src/duty/thread.rs
+++ b/src/duty/thread.rs
@@ -1,4 +1,4 @@
-//! A duty: one thread, one runtime, one owner of state.
+//! Starts duties, each as a thread with its own runtime.
 
 use super::{
     Phase,
@@ -24,7 +24,7 @@
     task::LocalSet, //
 };
 
-/// A duty could not be started.
+/// Why a duty could not be started.
 #[derive(Debug, Snafu)]
 pub enum DutyError {
     #[snafu(display("can't listen at {address}: {source}"))]
@@ -40,7 +40,7 @@
     },
 }
 
-/// Binds a listening port; port 0 lets the system choose.
+/// Binds a listening socket; for port 0 the system chooses one.
 pub fn bind_listener(
     address: std::net::SocketAddr,
 ) -> Result<(std::net::SocketAddr, std::net::TcpListener), DutyError> {
@@ -59,7 +59,7 @@
     pub(super) thread: JoinHandle<()>,
 }
 
-/// What a duty's main function gets.
+/// What a duty's main function gets: a clock and its connection to the supervisor.
 #[derive(Clone)]
 pub struct Context {
     pub clock: Clock,
@@ -69,17 +69,17 @@
 }
 
 impl Context {
-    /// Tells that this duty has nothing under way and takes nothing new.
+    /// Reports to the supervisor that this duty has finished its work and takes no new work.
     pub fn mark_drained(&self) {
         let _ = self.supervisor.cast(SupervisorMessage::Drained(self.name));
     }
 
-    /// How far the program's stop has come.
+    /// The current phase of the program.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Waits until the program's stop has come at least as far as `phase`.
+    /// Waits until the program has entered `phase` or a later one.
     pub async fn reached(&self, phase: Phase) {
         let mut watch = self.phase.clone();
         let _ = watch.wait_for(|now| *now >= phase).await;
@@ -97,9 +97,12 @@
     Fut: Future<Output = ()> + 'static,
 {
     let supervisor = supervisor.clone();
-    // Told before the thread starts, so that nothing of the duty comes first.
+    // Sent before the thread starts, so that it arrives before any message of the duty.
     if supervisor.cast(SupervisorMessage::Starting).is_err() {
-        tracing::warn!(duty = name, "the supervisor is gone");
+        tracing::warn!(
+            duty = name,
+            "can't report the duty's start: the supervisor has ended"
+        );
     }
     let thread = std::thread::Builder::new()
         .name(name.to_owned())
@@ -107,7 +110,7 @@
             let ended = supervisor.clone();
             let run = AssertUnwindSafe(|| run(name, supervisor, main));
             if catch_unwind(run).is_err() {
-                tracing::error!(duty = name, "a duty panicked");
+                tracing::error!(duty = name, "duty panicked");
             }
             let _ = ended.cast(SupervisorMessage::Ended(name));
         })
@@ -123,7 +126,7 @@
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            tracing::error!(duty = name, %error, "no runtime for a duty");
+            tracing::error!(duty = name, %error, "can't create the duty's runtime");
             return;
         }
     };
@@ -139,7 +142,7 @@
             Ok((control, _)) => {
                 let _ = supervisor.cast(SupervisorMessage::Started(name, control));
             }
-            Err(error) => tracing::error!(duty = name, %error, "no control actor"),
+            Err(error) => tracing::error!(duty = name, %error, "can't start the control actor"),
         }
         let clock = Clock::open();
         main(Context {
