--- a/src/operator/agent_command.rs
+++ b/src/operator/agent_command.rs
@@ -15,9 +15,10 @@
     process::ExitCode, //
 };
 
-/// Runs an agent of redwingpond: the only door to the backend server beside it.
-/// It queues, runs, streams back and cancels what entries send it. SIGTERM or
-/// SIGINT begins a graceful stop, a second one forces it.
+/// Runs an agent of redwingpond: all requests to the backend server beside it
+/// pass through it. It queues and runs the requests that entries send, streams
+/// their answers back and cancels them. SIGTERM or SIGINT begins a graceful
+/// stop, a second one forces it.
 #[derive(FromArgs)]
 struct AgentCommand {
     /// only check the settings, then exit
@@ -29,7 +30,7 @@
     settings: PathBuf,
 }
 
-/// Runs the program; returns its exit code.
+/// Runs `redwing-agent`; returns its exit code.
 pub fn agent_main() -> ExitCode {
     let command: AgentCommand = match parse_command_line() {
         Ok(command) => command,
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -30,7 +30,7 @@
     file: PathBuf,
 }
 
-/// Put settings in force at a path.
+/// Store settings at a path, where they take effect.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub(super) struct ApplyCommand {
@@ -42,7 +42,7 @@
     #[argh(positional)]
     file: PathBuf,
 
-    /// only apply if the path is at this version; 0 if it must be new
+    /// apply only if the path is at this version; 0 if it must be new
     #[argh(option)]
     expect: Option<u64>,
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// The file's text, once it is checked as settings for `path`.
+/// Reads `file` and checks it as settings for `path`; returns its text.
 fn read_checked(path: &str, file: &PathBuf) -> Result<String, OperatorError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).context(ReadSnafu { file: &name })?;
--- a/src/operator/entry_command.rs
+++ b/src/operator/entry_command.rs
@@ -29,7 +29,7 @@
     settings: PathBuf,
 }
 
-/// Runs the program; returns its exit code.
+/// Runs `redwing-entry`; returns its exit code.
 pub fn entry_main() -> ExitCode {
     let command: EntryCommand = match parse_command_line() {
         Ok(command) => command,
--- a/src/operator/explain.rs
+++ b/src/operator/explain.rs
@@ -1,4 +1,4 @@
-//! `redwing explain`.
+//! `redwing explain`: what happened to one request, by the accounts of entries and agents.
 
 use super::{
     OperatorError,
@@ -21,16 +21,16 @@
 };
 use std::net::SocketAddr;
 
-/// Tell what became of one request: it ran once, it never ran, or why that
+/// Show what happened to one request: it ran once, it never ran, or why that
 /// can't be known.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(super) struct ExplainCommand {
-    /// the request id, as in the answer's `redwing-request-id`
+    /// the request id, as in the answer's header `redwing-request-id`
     #[argh(positional)]
     request: String,
 
-    /// the admin address of an entry; may be given again
+    /// the admin address of an entry; can be repeated
     #[argh(option)]
     entry: Vec<SocketAddr>,
 
@@ -38,12 +38,12 @@
     #[argh(switch)]
     json: bool,
 
-    /// the platform's address, to find the entries in its list
+    /// the platform's IP address and port, to look up the entries there
     #[argh(option)]
     platform: Option<SocketAddr>,
 }
 
-/// How long one entry may take, its agents' answers included.
+/// The timeout for one entry, including the answers of its agents.
 const TIMEOUT: Millis = Millis(2_000);
 
 impl ExplainCommand {
@@ -71,6 +71,8 @@
     }
 }
 
+/// Asks the entry for its account of `request` and those of its agents. `None` if the entry
+/// knows nothing of the request or can't be reached.
 async fn fetch_explanation(
     entry: SocketAddr,
     request: RequestId,
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! `redwing status`, and how operators' commands find the entries.
+//! `redwing status`, and the lookup of the entries' admin addresses.
 
 use super::{
     OperatorError,
@@ -17,14 +17,14 @@
 };
 use std::net::SocketAddr;
 
-/// How long one process may take to answer.
+/// The timeout for the answer of one entry.
 const TIMEOUT: Millis = Millis(2_000);
 
 /// Show the backend servers as each entry sees them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(super) struct StatusCommand {
-    /// the admin address of an entry; may be given again
+    /// the admin address of an entry; can be repeated
     #[argh(option)]
     entry: Vec<SocketAddr>,
 
@@ -32,7 +32,7 @@
     #[argh(switch)]
     json: bool,
 
-    /// the platform's address, to find the entries in its list
+    /// the platform's IP address and port, to look up the entries there
     #[argh(option)]
     platform: Option<SocketAddr>,
 }
@@ -53,7 +53,7 @@
     }
 }
 
-/// The admin addresses to ask: those named, or those that the platform lists.
+/// The admin addresses of the entries: those in `named` and those that the platform lists.
 pub(super) async fn entry_addresses(
     named: Vec<SocketAddr>,
     platform: Option<SocketAddr>,
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The programs' command lines and the operators' commands.
+//! The command lines of all programs, and the commands of the operators' tool `redwing`.
 
 mod agent_command;
 mod apply;
@@ -28,11 +28,11 @@
     process::ExitCode, //
 };
 
-/// The exit code for wrong usage or settings.
+/// The exit code for an invalid command line or invalid settings.
 pub const USAGE_EXIT_CODE: u8 = 2;
 
-/// Parses the command line of a program that knows `--version`; on help or an
-/// error it prints that and returns the exit code.
+/// Parses the command line of a program. For `--version`, `--help` and errors it prints the
+/// text and returns the exit code as the error.
 pub fn parse_command_line<T: TopLevelCommand>() -> Result<T, ExitCode> {
     let arguments: Vec<String> = std::env::args().collect();
     let texts: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -54,7 +54,7 @@
     })
 }
 
-/// Runs `main` on a small runtime.
+/// Runs `main` on a single-threaded runtime.
 pub fn block_on(main: impl Future<Output = ExitCode>) -> ExitCode {
     match tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -62,7 +62,7 @@
     {
         Ok(runtime) => runtime.block_on(main),
         Err(error) => {
-            eprintln!("error: no runtime: {error}");
+            eprintln!("error: can't create the runtime: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/operator/operator_command.rs
+++ b/src/operator/operator_command.rs
@@ -32,7 +32,7 @@
     Steps(StepsCommand),
 }
 
-/// Print the hash under which a caller's key is kept in a team's settings.
+/// Print the hash of a caller's key, as it stands in a team's settings.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "key-hash")]
 struct KeyHashCommand {
@@ -58,7 +58,7 @@
     List(ListCommand),
 }
 
-/// Runs the program; returns its exit code.
+/// Runs `redwing`; returns its exit code.
 pub fn operator_main() -> ExitCode {
     let command: OperatorCommand = match parse_command_line() {
         Ok(command) => command,
--- a/src/operator/operator_error.rs
+++ b/src/operator/operator_error.rs
@@ -1,4 +1,4 @@
-//! Errors that the programs print.
+//! The errors that `redwing` prints.
 
 use crate::{
     base::RequestIdError,
@@ -8,7 +8,7 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// Why an operator's command failed.
+/// Why a command of `redwing` failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum OperatorError {
@@ -55,7 +55,7 @@
 }
 
 impl OperatorError {
-    /// Whether the fault is in what the operator wrote.
+    /// Whether the command line or a file that the operator gave is at fault.
     pub fn is_usage(&self) -> bool {
         matches!(
             self,
--- a/src/operator/program.rs
+++ b/src/operator/program.rs
@@ -1,4 +1,4 @@
-//! What the programs do alike: check, open, run, stop.
+//! The start, run and stop that all long-running programs share.
 
 use super::{
     USAGE_EXIT_CODE,
@@ -13,26 +13,27 @@
     process::ExitCode, //
 };
 
-/// A program's settings file, and what is to be done with it.
+/// A program, as its command line describes it.
 pub(super) struct Program<'a> {
-    /// Only check the settings.
+    /// Whether to only check the settings.
     pub(super) check: bool,
+    /// The settings file.
     pub(super) file: &'a Path,
 }
 
 impl Program<'_> {
-    /// Checks the settings file again. All that a process takes from it (its
-    /// addresses, its data centre, the store) is fixed for its life; what may
-    /// change while it runs comes from the store.
+    /// Checks the settings file again, without applying it. The settings in the file (addresses,
+    /// data centre, the store) are fixed until the process ends; those that may change while it
+    /// runs come from the store.
     fn reload<S>(&self, load: &impl Fn(&Path) -> Result<S, SettingsError>) {
         match load(self.file) {
-            Ok(_) => tracing::info!("settings checked: changes hold from the next start"),
-            Err(error) => tracing::error!(%error, "the settings file is wrong; it is left alone"),
+            Ok(_) => tracing::info!("settings checked; changes apply at the next start"),
+            Err(error) => tracing::error!(%error, "settings file invalid; running settings kept"),
         }
     }
 
-    /// Checks the settings, then runs what `open` starts until it has stopped.
-    /// What `open_log` returns is kept until then.
+    /// Loads and checks the settings, starts the program with `open` and runs it until it has
+    /// stopped. The value that `open_log` returns is kept until the end.
     pub(super) fn run<S, G>(
         &self,
         load: impl Fn(&Path) -> Result<S, SettingsError>,
@@ -66,7 +67,7 @@
                 false => ExitCode::FAILURE,
             }
         });
-        tracing::info!("stopped");
+        tracing::info!("program stopped");
         drop(log);
         code
     }
--- a/src/operator/shared_settings.rs
+++ b/src/operator/shared_settings.rs
@@ -37,7 +37,8 @@
     platform: SocketAddr,
 }
 
-/// The table's path for an operator's path.
+/// The table's path for a path that an operator gave, which must be `pools/NAME` or
+/// `teams/NAME`.
 pub(super) fn table_path(path: &str) -> Result<String, OperatorError> {
     let table_path = format!("{SETTINGS_PREFIX}{path}");
     let name = table_path
--- a/src/operator/site_command.rs
+++ b/src/operator/site_command.rs
@@ -18,9 +18,9 @@
     process::ExitCode, //
 };
 
-/// Runs a gateway: callers and trainers talk HTTP to it. It answers calls by
-/// the operators' routes, takes batches into the store and reads their results.
-/// SIGTERM or SIGINT begins a graceful stop, a second one forces it.
+/// Runs a gateway: callers and trainers talk HTTP to it. It forwards calls by
+/// the operators' routes, stores batches and returns their results. SIGTERM or
+/// SIGINT begins a graceful stop, a second one forces it.
 #[derive(FromArgs)]
 struct GatewayCommand {
     /// only check the settings, then exit
@@ -33,9 +33,9 @@
     settings: Option<PathBuf>,
 }
 
-/// Runs a runner beside an engine: it takes groups of items from the store,
-/// runs them on the engine and lists their results. SIGTERM or SIGINT begins a
-/// graceful stop, a second one forces it.
+/// Runs a runner beside an engine: it takes groups of batch items from the
+/// store, runs them on the engine and stores their results. SIGTERM or SIGINT
+/// begins a graceful stop, a second one forces it.
 #[derive(FromArgs)]
 struct RunnerCommand {
     /// only check the settings, then exit
--- a/src/operator/step_times.rs
+++ b/src/operator/step_times.rs
@@ -1,4 +1,4 @@
-//! Where the time of a trainer's steps went, by the logs of gateways and runners.
+//! Breaks down the time of a trainer's steps, from the logs of gateways and runners.
 
 use serde::Deserialize;
 use std::collections::{
@@ -10,19 +10,20 @@
     format_description::well_known::Rfc3339, //
 };
 
-/// A line of a log, as far as steps are concerned.
+/// The fields of a log line that concern steps.
 #[derive(Deserialize)]
 struct Line {
     #[serde(default)]
     batch: String,
-    /// The first event that a run brought, and how many its text then had.
+    /// The index of the first event of a run: a run can continue the text of an earlier one.
     #[serde(default)]
     begun: u64,
+    /// The number of events in the text at the end of a run.
     #[serde(default)]
     events: u64,
     #[serde(default)]
     item: String,
-    /// A number of items, or their ids.
+    /// A number of items, or their ids separated by spaces.
     #[serde(default)]
     items: serde_json::Value,
     message: String,
@@ -32,20 +33,19 @@
     server: String,
     #[serde(default)]
     step: u64,
-    /// What a run took, in ms.
+    /// The duration of a run, in ms.
     #[serde(default)]
     taken: f64,
     timestamp: String,
-    /// What a run waited for its first event, in ms.
+    /// The time from the start of a run to its first event, in ms.
     #[serde(default)]
     waited: f64,
 }
 
-/// One run of an item that ended whole.
+/// A run of an item that ended with the whole text. All times are in s.
 #[derive(Clone, Debug)]
 struct WholeRun {
     begun: u64,
-    /// In s, as all times here.
     ended: f64,
     events: u64,
     server: String,
@@ -53,45 +53,48 @@
     waited: f64,
 }
 
+/// The times of a batch, which is one step of its trainer. All times are in s.
 #[derive(Debug, Default)]
 struct Batch {
     accepted: Option<f64>,
     ended: Option<f64>,
-    /// When each item was listed.
+    /// When the result of each item was listed, by item id.
     listed: HashMap<String, f64>,
     model: String,
-    /// When each item's bundle was first begun.
+    /// When the bundle of each item was first started, by item id.
     started: HashMap<String, f64>,
     step: u64,
 }
 
-/// What is known of the steps of some logs.
+/// Collects the events of steps from log lines and derives the steps' times from them.
 #[derive(Debug, Default)]
 pub struct StepTimes {
+    /// By batch id.
     batches: BTreeMap<String, Batch>,
+    /// By item id.
     runs: HashMap<String, Vec<WholeRun>>,
 }
 
-/// Where one step's time went: the way of the result that its trainer had last.
-/// All times in s.
+/// The breakdown of one step's time, along the last result that its trainer received. All times
+/// are in s.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepTime {
-    /// When the batch was accepted, after the first one of the logs.
+    /// When the batch was accepted, counted from the first step in the logs.
     pub accepted: f64,
     pub batch: String,
-    /// From the first start to that of the run that ended whole: what earlier runs
-    /// took, at engines that were lost or too slow.
+    /// From the first start of a run to the start of the run that ended whole: the time of
+    /// earlier runs, on engines that were lost or too slow.
     pub earlier_runs: f64,
     pub events: u64,
-    /// The events' own time in the run that ended whole.
+    /// From the first event to the end of the run that ended whole.
     pub generating: f64,
     pub item: String,
-    /// From the text's last event to its result in the store: score and append.
+    /// From the end of that run until its result is in the store: scoring and append.
     pub listing: f64,
     pub model: String,
-    /// What an event took in that run, in ms.
+    /// The average time between two events of that run, in ms.
     pub ms_per_event: f64,
-    /// From the result in the store to the trainer's end of the step.
+    /// From the result in the store until the trainer ends the step.
     pub reading: f64,
     pub server: String,
     pub step: u64,
@@ -104,7 +107,8 @@
 }
 
 impl StepTimes {
-    /// Takes a line of a log; what is none, or says nothing of steps, is left out.
+    /// Adds a line of a log. Ignores text that is not a log line and lines that don't concern
+    /// steps.
     pub fn add_line(&mut self, text: &str) {
         let json = text.find('{').map_or("", |at| &text[at..]);
         let Ok(line) = serde_json::from_str::<Line>(json) else {
@@ -146,7 +150,7 @@
         }
     }
 
-    /// The steps that were accepted and ended within the logs, in order.
+    /// The steps that were both accepted and ended within the logs, in order of acceptance.
     pub fn steps(&self) -> Vec<StepTime> {
         let batches = self.batches.iter();
         let mut steps: Vec<StepTime> = batches
@@ -165,8 +169,8 @@
         let read_results = batch.listed.iter().filter(|(_, at)| **at <= ended);
         let (item, listed) = read_results.max_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)))?;
         let started = *batch.started.get(item)?;
-        // The run whose text was listed: an item that comes again in a later
-        // step, or runs twice, has others.
+        // The run whose text was listed. There can be others: an item may run twice or return
+        // in a later step.
         let runs = self.runs.get(item)?.iter();
         let runs = runs.filter(|run| run.ended >= started && run.ended <= *listed);
         let run = runs.min_by(|a, b| a.ended.total_cmp(&b.ended))?;
@@ -193,6 +197,7 @@
     }
 }
 
+/// Records for each of `ids` the earliest time at which it was seen.
 fn record_earliest(times: &mut HashMap<String, f64>, ids: Vec<String>, at: f64) {
     for id in ids {
         let first = times.entry(id).or_insert(at);
@@ -200,7 +205,7 @@
     }
 }
 
-/// The time of a line, in s since the Unix epoch.
+/// Parses the timestamp of a line to s since the Unix epoch.
 fn unix_seconds(timestamp: &str) -> Option<f64> {
     let time = OffsetDateTime::parse(timestamp, &Rfc3339).ok()?;
     Some(time.unix_timestamp_nanos() as f64 / 1e9)
--- a/src/operator/steps.rs
+++ b/src/operator/steps.rs
@@ -1,4 +1,4 @@
-//! `redwing steps`: why steps were late, from logs.
+//! `redwing steps`: shows from logs why steps were late.
 
 use super::{
     OperatorError,
@@ -13,17 +13,17 @@
     path::PathBuf, //
 };
 
-/// Show where each step's time went, from the logs of gateways and runners: one
-/// line a step, with the way of the result that its trainer had last. Times are
-/// in s; logs of several processes may come in any order.
+/// Show how each step spent its time, from the logs of gateways and runners: one
+/// line per step, along the last result that its trainer received. Times are in
+/// s; the logs of several processes can be in any order.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steps")]
 pub(super) struct StepsCommand {
-    /// files with logs; without any, standard input
+    /// log files; without any, standard input
     #[argh(positional)]
     files: Vec<PathBuf>,
 
-    /// only steps that took longer than so many seconds
+    /// show only steps that took longer than this number of seconds
     #[argh(option, default = "0.0")]
     over: f64,
 }
