--- a/src/duty/handle.rs
+++ b/src/duty/handle.rs
@@ -1,4 +1,4 @@
-//! A running program.
+//! The handle of a running program.
 
 use super::{
     Duty,
@@ -18,22 +18,22 @@
     sync::watch, //
 };
 
-/// A program's duties and their supervisor. Dropping it ends them at once.
-pub struct Handle {
+/// Owns the duties of a running program and their supervisor. Dropping it stops them at once.
+pub struct ProgramHandle {
     duties: Vec<Duty>,
     health: watch::Receiver<Health>,
     supervisor: ActorRef<SupervisorMessage>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Handle {
-    /// Starts a supervisor that forces graceful stops after `bound`.
-    pub fn open(bound: Millis) -> Result<Self, DutyError> {
+impl ProgramHandle {
+    /// Starts a supervisor that forces a graceful stop after `drain_timeout`.
+    pub fn open(drain_timeout: Millis) -> Result<Self, DutyError> {
         let (health, watch) = watch::channel(Health::default());
         let (sender, receiver) = std::sync::mpsc::sync_channel(1);
         let thread = std::thread::Builder::new()
             .name("supervisor".to_owned())
-            .spawn(move || supervise(bound, health, &sender))
+            .spawn(move || supervise(drain_timeout, health, &sender))
             .map_err(|source| DutyError::Thread {
                 name: "supervisor",
                 source,
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Adds a running duty.
+    /// Adds a running duty to the program.
     pub fn add(&mut self, duty: Duty) {
         self.duties.push(duty);
     }
@@ -60,36 +60,36 @@
         let _ = self.supervisor.cast(SupervisorMessage::Drain);
     }
 
-    /// Begins a graceful stop, and returns once every duty knows of it: what
-    /// is sent to the program after that meets a stopping one.
-    pub async fn drain_begun(&self) {
+    /// Begins a graceful stop and returns once every duty has confirmed it. Requests that are
+    /// sent to the program after that reach a draining program.
+    pub async fn drain_confirmed(&self) {
         self.drain();
         let mut health = self.health.clone();
         let duties = self.duties.len();
-        let begun = health.wait_for(|health| {
+        let confirmed = health.wait_for(|health| {
             let all = health.entered >= duties;
             health.phase == Phase::Stopped || (health.phase == Phase::Draining && all)
         });
-        // A supervisor that is gone has stopped all duties.
-        let _ = begun.await;
+        // The wait fails if the supervisor has ended; then all duties have been stopped.
+        let _ = confirmed.await;
     }
 
-    /// The program's health, to be watched.
+    /// A receiver that follows the program's health.
     pub fn health(&self) -> watch::Receiver<Health> {
         self.health.clone()
     }
 
-    /// Ends the program now.
+    /// Stops the program at once.
     pub fn stop(&self) {
         let _ = self.supervisor.cast(SupervisorMessage::Stop);
     }
 
-    /// The supervisor, for starting duties.
+    /// The supervisor, which [`super::spawn`] needs to start a duty.
     pub fn supervisor(&self) -> &ActorRef<SupervisorMessage> {
         &self.supervisor
     }
 
-    /// Waits until all duties have ended; false when one failed.
+    /// Waits until all duties have ended. Returns false if one of them failed.
     pub async fn wait(mut self) -> bool {
         let mut health = self.health.clone();
         let _ = health.wait_for(|h| h.phase == Phase::Stopped).await;
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for Handle {
+impl Drop for ProgramHandle {
     fn drop(&mut self) {
         self.stop();
         for duty in std::mem::take(&mut self.duties) {
@@ -117,8 +117,9 @@
     }
 }
 
+/// Runs the supervisor on the current thread; sends its address to `sender` once it is up.
 fn supervise(
-    bound: Millis,
+    drain_timeout: Millis,
     health: watch::Sender<Health>,
     sender: &std::sync::mpsc::SyncSender<ActorRef<SupervisorMessage>>,
 ) {
@@ -126,7 +127,9 @@
         return;
     };
     runtime.block_on(async {
-        let Ok((supervisor, ended)) = Actor::spawn(None, Supervisor { bound }, health).await else {
+        let Ok((supervisor, ended)) =
+            Actor::spawn(None, Supervisor { drain_timeout }, health).await
+        else {
             return;
         };
         let _ = sender.send(supervisor);
--- a/src/duty/http_server.rs
+++ b/src/duty/http_server.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 and HTTP/2 towards callers, trainers and operators.
+//! An HTTP/1.1 and HTTP/2 server for callers, trainers and operators, and helpers to build its
+//! responses.
 
 use super::{
     Context,
@@ -40,27 +41,27 @@
     time::timeout, //
 };
 
-/// An answer whose body may end in an error, which cuts the connection so
-/// that nobody takes a part for the whole.
+/// An HTTP response. If its body ends in an error, the connection is cut, so that the client
+/// doesn't take a part of the body for the whole.
 pub type Answer = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
-/// What one server accepts.
+/// Limits of one server for its clients.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Open connections.
-    pub connections: usize,
-    /// The bytes of a request's head.
-    pub head: usize,
-    /// How long a request's head may take to arrive.
-    pub head_time: Millis,
+pub struct HttpLimits {
+    /// The maximum number of open connections; further ones are closed at once.
+    pub max_connections: usize,
+    /// The maximum size of a request's head.
+    pub max_head_bytes: usize,
+    /// The maximum time for a request's head to arrive.
+    pub head_timeout: Millis,
 }
 
-impl Default for Limits {
+impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            connections: 16_384,
-            head: 64 * 1024,
-            head_time: Millis(10_000),
+            max_connections: 16_384,
+            max_head_bytes: 64 * 1024,
+            head_timeout: Millis(10_000),
         }
     }
 }
@@ -68,13 +69,13 @@
 /// A bound listener that is not serving yet.
 pub struct HttpServer {
     pub address: SocketAddr,
-    limits: Limits,
+    limits: HttpLimits,
     listener: std::net::TcpListener,
 }
 
 impl HttpServer {
-    /// Binds `address`; port 0 lets the system choose.
-    pub fn bind(address: SocketAddr, limits: Limits) -> Result<Self, DutyError> {
+    /// Binds `address`; for port 0 the system chooses one.
+    pub fn bind(address: SocketAddr, limits: HttpLimits) -> Result<Self, DutyError> {
         let (address, listener) = bind_listener(address)?;
         Ok(Self {
             address,
@@ -83,9 +84,10 @@
         })
     }
 
-    /// Serves until the program drains, and `leave` longer, so that a balancer
-    /// that has not noticed yet gets answers; then finishes what is open.
-    pub async fn serve<H, Fut>(self, context: &Context, leave: Millis, handler: H)
+    /// Accepts connections until `close_delay` after the program began to drain, so that a
+    /// load balancer that has not noticed yet still gets responses. Then finishes the open
+    /// requests.
+    pub async fn serve<H, Fut>(self, context: &Context, close_delay: Millis, handler: H)
     where
         H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
         Fut: Future<Output = Answer> + Send + 'static,
@@ -93,42 +95,42 @@
         let listener = match TcpListener::from_std(self.listener) {
             Ok(listener) => listener,
             Err(error) => {
-                tracing::error!(%error, "can't listen");
+                tracing::error!(%error, "can't use the listener");
                 return;
             }
         };
         let graceful = GracefulShutdown::new();
-        let room = Arc::new(Semaphore::new(self.limits.connections));
-        let leaving = async {
+        let permits = Arc::new(Semaphore::new(self.limits.max_connections));
+        let stop_accepting = async {
             context.reached(Phase::Draining).await;
             tokio::select! {
-                () = tokio::time::sleep(leave.as_duration()) => {}
+                () = tokio::time::sleep(close_delay.as_duration()) => {}
                 () = context.reached(Phase::Stopped) => {}
             }
         };
-        tokio::pin!(leaving);
+        tokio::pin!(stop_accepting);
 
         loop {
             let stream = tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => stream,
                     Err(_) => {
-                        // Out of descriptors, most likely: without the wait
-                        // the loop would spin until some are free.
+                        // Most likely the process is out of file descriptors. Without the
+                        // wait this loop would spin until one is free.
                         tokio::time::sleep(Millis(20).as_duration()).await;
                         continue;
                     }
                 },
-                () = &mut leaving => break,
+                () = &mut stop_accepting => break,
             };
-            let Ok(permit) = room.clone().try_acquire_owned() else {
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
                 continue;
             };
             let watcher = graceful.watcher();
             let handler = handler.clone();
             let limits = self.limits;
             tokio::spawn(async move {
-                connection(stream, limits, watcher, handler).await;
+                serve_connection(stream, limits, watcher, handler).await;
                 drop(permit);
             });
         }
@@ -141,9 +143,9 @@
     }
 }
 
-async fn connection<H, Fut>(
+async fn serve_connection<H, Fut>(
     stream: TcpStream,
-    limits: Limits,
+    limits: HttpLimits,
     watcher: hyper_util::server::graceful::Watcher,
     handler: H,
 ) where
@@ -151,12 +153,12 @@
     Fut: Future<Output = Answer> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    // A client that connects and sends nothing would hold the connection for
-    // good: the protocol is told apart by its first bytes, before any timer.
+    // The server detects the protocol by the first bytes, and no timer runs until then: without
+    // this timeout, a client that sends nothing would keep the connection forever.
     let mut byte = [0; 1];
     let first = stream.peek(&mut byte);
     if !matches!(
-        timeout(limits.head_time.as_duration(), first).await,
+        timeout(limits.head_timeout.as_duration(), first).await,
         Ok(Ok(1))
     ) {
         return;
@@ -166,14 +168,14 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time.as_duration())
-        .max_buf_size(limits.head);
+        .header_read_timeout(limits.head_timeout.as_duration())
+        .max_buf_size(limits.max_head_bytes);
     builder
         .http2()
         .timer(TokioTimer::new())
         .keep_alive_interval(Millis(10_000).as_duration())
         .max_concurrent_streams(1_024)
-        .max_header_list_size(limits.head as u32);
+        .max_header_list_size(limits.max_head_bytes as u32);
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move { Ok::<_, Infallible>(answer.await) }
@@ -182,7 +184,7 @@
     let _ = watcher.watch(served.into_owned()).await;
 }
 
-/// An answer with a body of `kind`.
+/// A response with `body`, whose content type is `kind`.
 pub fn text(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Answer {
     let body = Full::new(body.into()).map_err(|never| match never {});
     let mut answer = Response::new(body.boxed_unsync());
@@ -192,7 +194,7 @@
     answer
 }
 
-/// An answer in JSON.
+/// A response with `value` as JSON.
 pub fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Answer {
     match serde_json::to_vec(value) {
         Ok(body) => text(status, "application/json", body),
@@ -200,8 +202,8 @@
     }
 }
 
-/// A failure as problem details (RFC 9457) with `may_have_run` beside them.
-pub fn details(failure: &Failure, request: Option<RequestId>) -> String {
+/// A failure as problem details (RFC 9457) with additional members such as `may_have_run`.
+pub fn problem_details(failure: &Failure, request: Option<RequestId>) -> String {
     let details = serde_json::json!({
         "type": format!("urn:redwing:problem:{}", failure.cause.word()),
         "title": failure.cause.word().replace('-', " "),
@@ -214,11 +216,11 @@
     details.to_string()
 }
 
-/// An answer that tells of a failure.
+/// A response that reports `failure` as problem details.
 pub fn problem(failure: &Failure, request: Option<RequestId>) -> Answer {
     let status = StatusCode::from_u16(failure.cause.status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let body = details(failure, request);
+    let body = problem_details(failure, request);
     let mut answer = text(status, "application/problem+json", body);
     if let Some(wait) = failure.retry_after {
         let seconds = hyper::header::HeaderValue::from(wait.0.div_ceil(1_000));
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! `redwing status`, and how operators' commands find the entries.
+//! `redwing status`, and the lookup of the entries' admin addresses.
 
 use super::{
     OperatorError,
@@ -17,14 +17,14 @@
 };
 use std::net::SocketAddr;
 
-/// How long one process may take to answer.
+/// The timeout for the answer of one entry.
 const TIMEOUT: Millis = Millis(2_000);
 
 /// Show the backend servers as each entry sees them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(super) struct StatusCommand {
-    /// the admin address of an entry; may be given again
+    /// the admin address of an entry; can be repeated
     #[argh(option)]
     entry: Vec<SocketAddr>,
 
@@ -32,14 +32,14 @@
     #[argh(switch)]
     json: bool,
 
-    /// the platform's address, to find the entries in its list
+    /// the platform's IP address and port, to look up the entries there
     #[argh(option)]
     platform: Option<SocketAddr>,
 }
 
 impl StatusCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        for entry in entries(self.entry, self.platform).await? {
+        for entry in entry_addresses(self.entry, self.platform).await? {
             let client = JsonClient::open(entry, TIMEOUT);
             let (_, body) = client.call(Method::GET, "/v1/fleet", Vec::new()).await?;
             let fleet: Value =
@@ -53,8 +53,8 @@
     }
 }
 
-/// The admin addresses to ask: those named, or those that the platform lists.
-pub(super) async fn entries(
+/// The admin addresses of the entries: those in `named` and those that the platform lists.
+pub(super) async fn entry_addresses(
     named: Vec<SocketAddr>,
     platform: Option<SocketAddr>,
 ) -> Result<Vec<SocketAddr>, OperatorError> {
--- a/src/operator/operator_command.rs
+++ b/src/operator/operator_command.rs
@@ -2,12 +2,12 @@
 
 use super::{
     OperatorError,
-    USAGE,
+    USAGE_EXIT_CODE,
     apply::{ApplyCommand, CheckCommand},
     block_on,
     explain::ExplainCommand,
     fleet::StatusCommand,
-    parse,
+    parse_command_line,
     shared_settings::{GetCommand, ListCommand},
     steps::StepsCommand, //
 };
@@ -32,7 +32,7 @@
     Steps(StepsCommand),
 }
 
-/// Print the hash under which a caller's key is kept in a team's settings.
+/// Print the hash of a caller's key, as it stands in a team's settings.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "key-hash")]
 struct KeyHashCommand {
@@ -58,9 +58,9 @@
     List(ListCommand),
 }
 
-/// Runs the program; returns its exit code.
+/// Runs `redwing`; returns its exit code.
 pub fn operator_main() -> ExitCode {
-    let command: OperatorCommand = match parse() {
+    let command: OperatorCommand = match parse_command_line() {
         Ok(command) => command,
         Err(code) => return code,
     };
@@ -70,7 +70,7 @@
             Err(error) => {
                 eprintln!("error: {error}");
                 match error.is_usage() {
-                    true => ExitCode::from(USAGE),
+                    true => ExitCode::from(USAGE_EXIT_CODE),
                     false => ExitCode::FAILURE,
                 }
             }
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -1,4 +1,4 @@
-//! What entries and agents have in common.
+//! The settings that entries and agents share.
 
 use super::Reader;
 use crate::{
@@ -7,7 +7,7 @@
 };
 use std::net::SocketAddr;
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogFormat {
     Json,
@@ -15,45 +15,45 @@
     Text,
 }
 
-/// The bounds of a graceful stop.
+/// The time limits of a graceful stop.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSettings {
-    /// After this the stop is forced, and what it cut is counted.
-    pub bound: Millis,
-    /// How long a leaving process still takes requests that were under way
-    /// to it before others learned that it leaves.
-    pub leave: Millis,
+    /// After this long the stop is forced, and the requests that it cuts are counted.
+    pub timeout: Millis,
+    /// How long a stopping process still accepts requests, because others may have sent them
+    /// before they learned of the stop.
+    pub close_delay: Millis,
 }
 
-/// The settings of every process.
+/// The settings that every entry and every agent has.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct CommonSettings {
     pub admin: SocketAddr,
     pub data_centre: String,
     pub drain: DrainSettings,
     pub instance: String,
-    /// The deployment's secret: a process that doesn't know it gets no link.
+    /// The secret of the deployment. A process that doesn't know it can't open a link.
     pub key: String,
     pub links: SocketAddr,
     pub log: LogFormat,
-    /// A filter such as `info` or `info,decision=off`.
+    /// A log filter such as `info` or `info,decision=off`.
     pub log_level: String,
     pub platform: SocketAddr,
 }
 
-/// Where a process listens when its settings leave the port to the system.
+/// The default listening address, at which the system chooses the port.
 pub(super) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// An IP address and port.
+/// Reads the IP address and port at `key`.
 pub(super) fn address(reader: &Reader<'_>, key: &str, default: Option<SocketAddr>) -> SocketAddr {
     let Some(default) = default else {
         let text = reader.text(key, None);
         return text.parse().unwrap_or_else(|_| {
             if !text.is_empty() {
                 let found = format!("`{text}`");
-                reader.contradiction(key, "an IP address and a port", &found);
+                reader.reject(key, "an IP address and a port", &found);
             }
             any_port()
         });
@@ -61,26 +61,26 @@
     let text = reader.text(key, Some(&default.to_string()));
     text.parse().unwrap_or_else(|_| {
         let found = format!("`{text}`");
-        reader.contradiction(key, "an IP address and a port", &found);
+        reader.reject(key, "an IP address and a port", &found);
         default
     })
 }
 
-/// The policies by which a process decides.
+/// Reads the policy by which a process routes, queues and retries.
 pub(super) fn policy(reader: &Reader<'_>) -> Policy {
     let words = [("baseline", Policy::Baseline), ("current", Policy::Current)];
     let policy = reader.choice("policy", &words, Some(Policy::Current));
     policy.unwrap_or_default()
 }
 
-impl Common {
-    /// What this process shows on a link as proof of knowing the key.
+impl CommonSettings {
+    /// The hash that a process sends on a new link to prove that it knows the key.
     pub fn link_key(&self) -> String {
         let key = blake3::derive_key("redwingpond link key v1", self.key.as_bytes());
         blake3::Hash::from_bytes(key).to_string()
     }
 
-    /// Reads the keys that all processes share.
+    /// Reads the shared settings from the root of the document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let drain = reader.section("drain");
         let listen = reader.section("listen");
@@ -89,8 +89,8 @@
             admin: address(&listen, "admin", Some(any_port())),
             data_centre: reader.text("data_centre", None),
             drain: DrainSettings {
-                bound: Millis(drain.number("bound_ms", 100..=3_600_000, Some(60_000))),
-                leave: Millis(drain.number("leave_ms", 0..=60_000, Some(2_000))),
+                timeout: Millis(drain.number("bound_ms", 100..=3_600_000, Some(60_000))),
+                close_delay: Millis(drain.number("leave_ms", 0..=60_000, Some(2_000))),
             },
             instance: reader.text("instance", None),
             key: reader.text("key", None),
@@ -105,9 +105,9 @@
             log_level: log.text("level", Some("info")),
             platform: address(reader, "platform", None),
         };
-        if common.drain.leave > common.drain.bound {
-            let found = common.drain.leave.0.to_string();
-            drain.contradiction("leave_ms", "no more than `bound_ms`", &found);
+        if common.drain.close_delay > common.drain.timeout {
+            let found = common.drain.close_delay.0.to_string();
+            drain.reject("leave_ms", "no more than `bound_ms`", &found);
         }
         drain.finish();
         log.finish();
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings: a process's own in a YAML file, and the shared ones under paths.
+//! Settings: each process has its own in a YAML file; the shared settings of all entries are
+//! YAML documents in the platform's table.
 
 mod agent_settings;
 mod common;
@@ -13,13 +14,13 @@
 
 pub use self::{
     agent_settings::{AgentSettings, Backend, BackendKind},
-    common::{Common, DrainSettings, LogFormat},
+    common::{CommonSettings, DrainSettings, LogFormat},
     entry_settings::EntrySettings,
     fault::{Fault, SettingsError},
     file::{load, read},
     pool_settings::PoolSettings,
     reader::Reader,
-    shared::{POOLS, ROOT, Shared, TEAMS},
-    site_settings::{GatewaySettings, RunnerSettings, SiteCommon, UsageSettings},
+    shared::{POOLS_PREFIX, SETTINGS_PREFIX, SharedSettings, TEAMS_PREFIX},
+    site_settings::{GatewaySettings, RunnerSettings, SiteSettings, UsageSettings},
     team_settings::{Caller, ClassSettings, RolloutSettings, TeamSettings, key_hash}, //
 };
--- a/src/settings/team_settings.rs
+++ b/src/settings/team_settings.rs
@@ -1,4 +1,4 @@
-//! A team's subtree.
+//! The shared settings of a team.
 
 use super::Reader;
 use crate::base::{
@@ -10,81 +10,83 @@
 /// A traffic class of a team.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// The deadline of calls that name none.
+    /// The deadline of calls that set none themselves.
     pub deadline: Millis,
-    /// Only the callers that list this class may use it.
+    /// Whether only callers whose settings list this class may use it.
     pub internal: bool,
-    /// Calls in flight at one entry at most.
-    pub limit: u32,
+    /// The maximum number of calls in flight at one entry.
+    pub max_in_flight: u32,
     pub pool: String,
     pub priority: Priority,
 }
 
-/// A caller with a credential.
+/// A caller that has a key.
 #[derive(Clone, Debug)]
 pub struct Caller {
+    /// The internal classes that the caller may use.
     pub classes: Vec<String>,
-    /// The hash of the caller's key, see [`key_hash`]; the key is kept nowhere.
+    /// The hash of the caller's key, see [`key_hash`]. The key itself is not stored.
     pub key: String,
 }
 
-/// How a team's rollouts are made.
+/// How a team's rollouts are run.
 #[derive(Clone, Debug)]
 pub struct RolloutSettings {
+    /// The pool of engines that generate the samples.
     pub pool: String,
-    /// Samples of the team that run at once at most.
-    pub samples: u32,
-    /// The pool of the scoring service.
+    /// The maximum number of samples that each of the team's trainers has running at once.
+    pub max_samples: u32,
+    /// The pool of the service that scores the samples.
     pub scorer: String,
 }
 
-/// The shared settings under `teams/NAME`.
+/// The settings at `teams/NAME`.
 #[derive(Clone, Debug)]
 pub struct TeamSettings {
     pub callers: BTreeMap<String, Caller>,
     pub classes: BTreeMap<String, ClassSettings>,
-    /// Calls in flight at one entry at most, over all classes.
-    pub limit: u32,
-    /// The share of successful calls that may be retried, in percent.
+    /// The maximum number of calls in flight at one entry, over all classes.
+    pub max_in_flight: u32,
+    /// The size of the retry budget: the number of retries in percent of the successful calls.
     pub retry_share: u64,
     pub rollout: Option<RolloutSettings>,
 }
 
-/// The hash under which a caller's key is kept in settings.
+/// The hash of a caller's key, as it stands in the settings.
 pub fn key_hash(key: &str) -> String {
     let hash = blake3::derive_key("redwingpond caller key v1", key.as_bytes());
     blake3::Hash::from_bytes(hash).to_string()
 }
 
-/// The word that settings use for each priority of a class.
+/// The words for the priorities that a class can have.
 const PRIORITIES: [(&str, Priority); 2] = [
     ("background", Priority::Background),
     ("live", Priority::Live),
 ];
 
 impl TeamSettings {
-    /// Reads the document's root.
+    /// Reads the settings from the root of their document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let classes: BTreeMap<String, ClassSettings> = reader
-            .entries("classes")
+            .sections("classes")
             .into_iter()
             .map(|(name, section)| (name, class(&section)))
             .collect();
         let callers = reader
-            .entries("callers")
+            .sections("callers")
             .into_iter()
             .map(|(name, section)| (name, caller(&section, &classes)))
             .collect();
         Self {
             callers,
             classes,
-            limit: reader.number("limit", 1..=1_000_000, Some(10_000)) as u32,
+            max_in_flight: reader.number("limit", 1..=1_000_000, Some(10_000)) as u32,
             retry_share: reader.number("retry_share", 0..=100, Some(10)),
             rollout: rollout(reader),
         }
     }
 
-    /// Whether the holder of `key` may call the internal class `class`.
+    /// Whether the caller with `key` may use the internal class `class`.
     pub fn may_call(&self, key: &str, class: &str) -> bool {
         let hash = key_hash(key);
         self.callers
@@ -102,12 +104,12 @@
     let hash = caller.key.len() == 64 && hex;
     if !caller.key.is_empty() && !hash {
         let expected = "the 64 hexadecimal digits that `redwing key hash` prints";
-        section.contradiction("key", expected, "something else");
+        section.reject("key", expected, "something else");
     }
     for name in &caller.classes {
         if !classes.contains_key(name) {
             let expected = "a class of this team";
-            section.contradiction("classes", expected, &format!("`{name}`"));
+            section.reject("classes", expected, &format!("`{name}`"));
         }
     }
     section.finish();
@@ -118,7 +120,7 @@
     let settings = ClassSettings {
         deadline: Millis(section.number("deadline_ms", 1..=3_600_000, Some(10_000))),
         internal: section.value("internal", "true or false", Some(false)),
-        limit: section.number("limit", 1..=1_000_000, Some(1_000)) as u32,
+        max_in_flight: section.number("limit", 1..=1_000_000, Some(1_000)) as u32,
         pool: section.text("pool", None),
         priority: section
             .choice("priority", &PRIORITIES, Some(Priority::Live))
@@ -135,7 +137,7 @@
     let section = reader.section("rollout");
     let settings = RolloutSettings {
         pool: section.text("pool", None),
-        samples: section.number("samples", 1..=1_000_000, Some(1_024)) as u32,
+        max_samples: section.number("samples", 1..=1_000_000, Some(1_024)) as u32,
         scorer: section.text("scorer", None),
     };
     section.finish();
