--- a/tests/integration/access.rs
+++ b/tests/integration/access.rs
@@ -29,7 +29,7 @@
 /// Each key lets its own workspace in, and no other; without a key, or with one that
 /// nobody holds, only open routes answer.
 #[test]
-fn keys_let_their_workspaces_in() {
+fn each_key_admits_only_its_workspace() {
     struct Test {
         closed: Result<Option<&'static str>, Denial>,
         credential: Credential,
@@ -80,8 +80,8 @@
         },
     ] {
         let name = |open: bool| {
-            let judged = authenticate(Some(&all), open, test.credential);
-            judged.map(|workspace| workspace.map(|workspace| workspace.name.clone()))
+            let result = authenticate(Some(&all), open, test.credential);
+            result.map(|workspace| workspace.map(|workspace| workspace.name.clone()))
         };
         let closed = test.closed.map(|name| name.map(str::to_owned));
         assert_eq!(name(false), closed, "{:?}", test.credential);
@@ -92,15 +92,15 @@
     }
     // A configuration without a single workspace lets nobody in.
     let none = Workspaces::default();
-    let judged = authenticate(Some(&none), false, key("f-1"));
-    assert_eq!(judged, Err(Denial::Unknown));
+    let result = authenticate(Some(&none), false, key("f-1"));
+    assert_eq!(result, Err(Denial::Unknown));
 }
 
 /// A key that was taken away must stop working on a gateway that hears of nothing: its
 /// configuration is good for less than the time that the operators allow, counted from
 /// when the store was asked.
 #[test]
-fn a_configuration_is_good_for_a_bounded_time() {
+fn a_configuration_is_fresh_for_a_limited_time() {
     struct Test {
         confirmed: &'static [u64],
         fresh_until: Option<u64>,
@@ -126,8 +126,8 @@
         },
     ] {
         let mut freshness = Freshness::new(Some(Millis(5_000)));
-        for asked in test.confirmed {
-            freshness.confirm(Millis(*asked));
+        for confirmed_at in test.confirmed {
+            freshness.confirm(Millis(*confirmed_at));
         }
         let until = test.fresh_until.unwrap_or(0);
         assert_eq!(
@@ -142,7 +142,7 @@
 
 /// What turns a caller away has to be asked for after the caller came.
 #[test]
-fn a_confirmation_counts_from_its_question() {
+fn a_confirmation_counts_from_its_request() {
     let mut freshness = Freshness::new(Some(Millis(5_000)));
     assert!(!freshness.is_confirmed_since(Millis(0)));
     freshness.confirm(Millis(100));
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -18,7 +18,7 @@
     },
 };
 
-const ALONE: Place = Place { count: 1, rank: 0 };
+const ONLY_RUNNER: Place = Place { count: 1, rank: 0 };
 
 fn offer(bundle: u16) -> Offer {
     Offer {
@@ -48,7 +48,7 @@
     }
 }
 
-fn usual_taker(place: Place, room: u32) -> Runner {
+fn usual_runner(place: Place, room: u32) -> Runner {
     Runner {
         place,
         room,
@@ -68,14 +68,14 @@
 
 impl Choice {
     fn run(&self) {
-        let taken = choose(&self.offers, usual_taker(self.place, self.room));
+        let taken = choose(&self.offers, usual_runner(self.place, self.room));
         assert_eq!(taken.map(|offer| offer.bundle), self.takes, "{}", self.name);
     }
 }
 
 /// Which of the bundles that nobody runs a runner takes.
 #[test]
-fn a_runner_takes_the_group_that_helps_most() {
+fn a_runner_takes_the_best_unheld_bundle() {
     let foreign = Offer {
         home: false,
         ..offer(1)
@@ -84,7 +84,7 @@
         Choice {
             name: "the first in order",
             offers: vec![offer(2), offer(1)],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(1),
         },
@@ -104,14 +104,14 @@
                     ..offer(9)
                 },
             ],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(9),
         },
         Choice {
             name: "nothing without room",
             offers: vec![offer(0)],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 0,
             takes: None,
         },
@@ -121,14 +121,14 @@
                 loaded: false,
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
         Choice {
             name: "another model's bundle only after a while",
             offers: vec![foreign],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
@@ -138,7 +138,7 @@
                 age: Millis(500),
                 ..foreign
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(1),
         },
@@ -157,7 +157,7 @@
                 holder: held(1.2, 3_000),
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
@@ -167,7 +167,7 @@
                 holder: held(3.5, 800),
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(0),
         },
@@ -180,7 +180,7 @@
                 },
                 offer(5),
             ],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(5),
         },
@@ -190,7 +190,7 @@
                 holder: held(3.5, 800),
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 3,
             takes: None,
         },
@@ -209,7 +209,7 @@
         let place = Place { count: 5, rank };
         let mut offers: Vec<Offer> = (0..24).map(offer).collect();
         let mut room = 12;
-        while let Some(chosen) = choose(&offers, usual_taker(place, room)).copied() {
+        while let Some(chosen) = choose(&offers, usual_runner(place, room)).copied() {
             offers.retain(|other| other.bundle != chosen.bundle);
             room -= chosen.remaining.min(room);
             taken.push(chosen.bundle);
@@ -223,7 +223,7 @@
 
 /// While no claim can be written, each bundle has exactly one runner.
 #[test]
-fn each_group_has_one_runner_by_the_rule() {
+fn each_bundle_is_assigned_to_one_runner() {
     for bundle in 0..24 {
         let runners = (0..5).filter(|rank| {
             let place = Place {
@@ -238,14 +238,14 @@
         holder: held(1.0, 0),
         ..offer(0)
     };
-    assert!(!is_assigned(&claimed, ALONE));
+    assert!(!is_assigned(&claimed, ONLY_RUNNER));
 }
 
 /// The store goes away as it answers a claim. The runner that made it hears of it
 /// from the feed only; all others know whose the bundle is, and the rule gives it
 /// to another: the holder runs it.
 #[test]
-fn a_claim_known_from_the_feed_is_run_in_an_outage() {
+fn a_claim_known_only_from_the_feed_is_run_in_an_outage() {
     let other = Place { count: 3, rank: 1 };
     let known = Offer {
         claimed: true,
@@ -263,7 +263,7 @@
 /// An engine that takes four times as long as usual gets a quarter of its
 /// slots; an unknown or a merely full one gets all.
 #[test]
-fn a_slow_engine_takes_less() {
+fn a_straggler_uses_fewer_slots() {
     for (pace, usual, slots) in [
         (0.0, 0.0, 12),
         (0.0, 30.0, 12),
@@ -276,16 +276,16 @@
 }
 
 /// A situation of an engine, and whether it takes new weights.
-struct Loading {
+struct LoadCase {
     name: &'static str,
-    now: Situation,
+    situation: Situation,
     decision: LoadDecision,
 }
 
-impl Loading {
+impl LoadCase {
     fn run(&self) {
         assert_eq!(
-            version_plan::decide(&self.now),
+            version_plan::decide(&self.situation),
             self.decision,
             "{}",
             self.name
@@ -293,7 +293,7 @@
     }
 }
 
-const CALM: Situation = Situation {
+const IDLE_ENGINE: Situation = Situation {
     outage: None,
     held: 4,
     home: true,
@@ -314,36 +314,39 @@
 /// A load that nothing waits for gives way to the loads of models that have fewer
 /// engines ready, and to those whose turn it is.
 #[test]
-fn loads_give_way() {
+fn loads_without_waiting_work_give_way() {
     for test in [
-        Loading {
+        LoadCase {
             name: "half are ready, and another model's engine loads",
-            now: Situation {
+            situation: Situation {
                 loading: 1,
                 ready: 3,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "half are ready, and nobody loads",
-            now: Situation { ready: 3, ..CALM },
+            situation: Situation {
+                ready: 3,
+                ..IDLE_ENGINE
+            },
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "too few are ready, and another loads",
-            now: Situation {
+            situation: Situation {
                 loading: 1,
                 ready: 2,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "another's turn",
-            now: Situation {
+            situation: Situation {
                 is_turn: false,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
@@ -354,64 +357,70 @@
 
 /// When an engine takes weights that no work needs yet.
 #[test]
-fn weights_are_taken_when_they_cost_least() {
+fn engines_load_weights_early_while_idle() {
     for test in [
-        Loading {
+        LoadCase {
             name: "the newest is held",
-            now: Situation { held: 5, ..CALM },
+            situation: Situation {
+                held: 5,
+                ..IDLE_ENGINE
+            },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "nothing waits",
-            now: CALM,
+            situation: IDLE_ENGINE,
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "work waits that the held version serves",
-            now: Situation {
+            situation: Situation {
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "the step may be on its way",
-            now: Situation {
+            situation: Situation {
                 named_for: Millis(100),
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "another model's engine",
-            now: Situation {
+            situation: Situation {
                 home: false,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "two load already",
-            now: Situation { loading: 2, ..CALM },
+            situation: Situation {
+                loading: 2,
+                ..IDLE_ENGINE
+            },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "nine of 46 may load at once",
-            now: Situation {
+            situation: Situation {
                 loading: 8,
                 models: 3,
                 runners: 46,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "nine of 46 load already",
-            now: Situation {
+            situation: Situation {
                 loading: 9,
                 models: 3,
                 runners: 46,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
@@ -426,10 +435,10 @@
 /// Now they follow one another, and those with an earlier place leave the later
 /// ones nothing to do.
 #[test]
-fn other_models_engines_help_one_after_another() {
+fn other_models_engines_load_one_after_another() {
     let helpers = |waited: u64| {
         let helps = |rank: &usize| {
-            let now = Situation {
+            let situation = Situation {
                 home: false,
                 needed: 5,
                 needed_for: Millis(waited),
@@ -439,9 +448,9 @@
                 },
                 runners: 44,
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             };
-            version_plan::decide(&now) != LoadDecision::Wait
+            version_plan::decide(&situation) != LoadDecision::Wait
         };
         (0..18).filter(helps).count()
     };
@@ -453,10 +462,10 @@
 /// engines take the version of the first before they work on it, so that the
 /// second finds them ready; the other half works on the first meanwhile.
 #[test]
-fn half_of_the_engines_are_ready_for_a_step_that_is_near() {
-    let loads = |named: u64, soon: bool| -> Vec<usize> {
+fn half_of_the_engines_load_early_for_a_near_step() {
+    let loads = |named: u64, next_near: bool| -> Vec<usize> {
         let takes = |rank: &usize| {
-            let now = Situation {
+            let situation = Situation {
                 held: named - 1,
                 models: 3,
                 named,
@@ -467,11 +476,11 @@
                     rank: *rank,
                 },
                 runners: 44,
-                next_near: soon,
+                next_near,
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             };
-            version_plan::decide(&now) != LoadDecision::Wait
+            version_plan::decide(&situation) != LoadDecision::Wait
         };
         (0..6).filter(takes).collect()
     };
@@ -479,10 +488,10 @@
     assert_eq!(loads(6, true), [0, 2, 4]);
     assert_eq!(loads(7, true), [1, 3, 5]);
     let alone = Situation {
-        place: ALONE,
+        place: ONLY_RUNNER,
         next_near: true,
         waiting: true,
-        ..CALM
+        ..IDLE_ENGINE
     };
     assert_eq!(
         version_plan::decide(&alone),
@@ -493,16 +502,16 @@
 
 /// An engine's life as the store announces it, and as a refusal told it.
 #[test]
-fn an_engines_present_life_is_known() {
+fn an_engines_current_incarnation_is_known() {
     struct Test {
         name: &'static str,
         announced: Option<&'static str>,
-        met: bool,
+        mismatch: bool,
         confirmed: bool,
-        present: Option<&'static str>,
+        current_id: Option<&'static str>,
     }
 
-    let met = Mismatch {
+    let mismatch = Mismatch {
         at: Millis(0),
         expected: "a".to_owned(),
         found: "b".to_owned(),
@@ -510,15 +519,15 @@
     let base = Test {
         name: "",
         announced: Some("a"),
-        met: true,
+        mismatch: true,
         confirmed: true,
-        present: Some("b"),
+        current_id: Some("b"),
     };
     for test in [
         Test {
             name: "only announced",
-            met: false,
-            present: Some("a"),
+            mismatch: false,
+            current_id: Some("a"),
             ..base
         },
         Test {
@@ -533,7 +542,7 @@
         Test {
             name: "a server of another service may have the address",
             confirmed: false,
-            present: Some("a"),
+            current_id: Some("a"),
             ..base
         },
         Test {
@@ -544,71 +553,71 @@
         Test {
             name: "a third life is announced",
             announced: Some("c"),
-            present: Some("c"),
+            current_id: Some("c"),
             ..base
         },
     ] {
-        let met = test.met.then_some(&met);
-        let found = current(test.announced, met, test.confirmed);
-        assert_eq!(found, test.present, "{}", test.name);
+        let mismatch = test.mismatch.then_some(&mismatch);
+        let found = current(test.announced, mismatch, test.confirmed);
+        assert_eq!(found, test.current_id, "{}", test.name);
     }
-    assert!(!is_caught_up(None, &met) && !is_caught_up(Some("a"), &met));
-    assert!(is_caught_up(Some("b"), &met) && is_caught_up(Some("c"), &met));
+    assert!(!is_caught_up(None, &mismatch) && !is_caught_up(Some("a"), &mismatch));
+    assert!(is_caught_up(Some("b"), &mismatch) && is_caught_up(Some("c"), &mismatch));
 }
 
 /// The store is away, and no heartbeat tells who loads: idle engines take the
 /// named weights in waves by their place, so that the next step finds them.
 #[test]
-fn weights_are_taken_in_waves_without_the_store() {
-    let away = |millis: u64, rank: usize| Situation {
+fn weights_are_loaded_in_waves_during_an_outage() {
+    let in_outage = |millis: u64, rank: usize| Situation {
         outage: Some(Millis(millis)),
         loading: 9,
         named_for: Millis(20_000),
         place: Place { count: 5, rank },
-        ..CALM
+        ..IDLE_ENGINE
     };
     for test in [
-        Loading {
+        LoadCase {
             name: "a moment without the store",
-            now: away(200, 0),
+            situation: in_outage(200, 0),
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "the first wave, whatever old heartbeats say",
-            now: away(500, 0),
+            situation: in_outage(500, 0),
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "the third wave waits for two loads",
-            now: away(2_400, 2),
+            situation: in_outage(2_400, 2),
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "the third wave",
-            now: away(2_500, 2),
+            situation: in_outage(2_500, 2),
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "a version that the returning store has told",
-            now: Situation {
+            situation: Situation {
                 named_for: Millis(10),
-                ..away(7_000, 0)
+                ..in_outage(7_000, 0)
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "work waits for this engine",
-            now: Situation {
+            situation: Situation {
                 waiting: true,
-                ..away(9_000, 0)
+                ..in_outage(9_000, 0)
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "another model's engine",
-            now: Situation {
+            situation: Situation {
                 home: false,
-                ..away(9_000, 0)
+                ..in_outage(9_000, 0)
             },
             decision: LoadDecision::Wait,
         },
@@ -619,36 +628,36 @@
 
 /// When an engine takes weights that work at hand needs.
 #[test]
-fn needed_weights_are_taken_soon() {
+fn needed_weights_are_loaded_soon() {
     for test in [
-        Loading {
+        LoadCase {
             name: "too old for the work at hand",
-            now: Situation {
+            situation: Situation {
                 named_for: Millis(0),
                 needed: 5,
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "too old, but two load already",
-            now: Situation {
+            situation: Situation {
                 loading: 2,
                 named_for: Millis(900),
                 needed: 5,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "too old, and who loads may be gone",
-            now: Situation {
+            situation: Situation {
                 loading: 2,
                 named_for: Millis(1_900),
                 needed_for: Millis(1_900),
                 needed: 5,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
@@ -671,12 +680,12 @@
 };
 
 /// Deals `count` runners out that have no model yet.
-fn deal(demands: &[Demand], count: usize) -> Vec<usize> {
+fn assign(demands: &[Demand], count: usize) -> Vec<usize> {
     assign_models(demands, &vec![NEW; count])
 }
 
 #[test]
-fn runners_are_dealt_by_demand() {
+fn runners_are_assigned_by_demand() {
     struct Test {
         count: usize,
         works: &'static [f64],
@@ -711,9 +720,14 @@
         },
     ] {
         let demands: Vec<Demand> = test.works.iter().map(|work| demand("m", *work)).collect();
-        let dealt = deal(&demands, test.count);
+        let assigned = assign(&demands, test.count);
         let shares: Vec<usize> = (0..test.works.len())
-            .map(|model| dealt.iter().filter(|dealt| **dealt == model).count())
+            .map(|model| {
+                assigned
+                    .iter()
+                    .filter(|assigned| **assigned == model)
+                    .count()
+            })
             .collect();
         assert_eq!(shares, test.shares, "{:?}", test.works);
     }
@@ -776,11 +790,16 @@
             });
             models.push(((*name).to_owned(), asked.collect()));
         }
-        let wanted = demands(models);
-        let dealt = deal(&wanted, 44);
+        let model_demands = demands(models);
+        let assigned = assign(&model_demands, 44);
         let of = |name: &&str| {
-            let model = wanted.iter().position(|demand| demand.model == *name);
-            dealt.iter().filter(|dealt| Some(**dealt) == model).count()
+            let model = model_demands
+                .iter()
+                .position(|demand| demand.model == *name);
+            assigned
+                .iter()
+                .filter(|assigned| Some(**assigned) == model)
+                .count()
         };
         let shares: Vec<usize> = names[..test.shares.len()].iter().map(of).collect();
         assert_eq!(shares, test.shares, "{}", test.name);
@@ -791,12 +810,12 @@
     /// Every runner has a model, whatever is asked for. One runner more moves at
     /// most one of the others, and demands that change by a twentieth move none.
     #[test]
-    fn dealing_is_whole_and_steady(
+    fn assignments_are_complete_and_stable(
         works in proptest::collection::vec(10.0_f64..1_000.0, 1..5),
         count in 1_usize..60,
     ) {
         let demands: Vec<Demand> = works.iter().map(|work| demand("m", *work)).collect();
-        let before = deal(&demands, count);
+        let before = assign(&demands, count);
         prop_assert_eq!(before.len(), count);
         let keeps = |home: &usize| Member { home: Some(*home), ..NEW };
         let mut members: Vec<Member> = before.iter().map(keeps).collect();
@@ -812,13 +831,13 @@
     /// However runners stand, the models' shares are right within a runner or so
     /// after a few turns, and then nobody moves.
     #[test]
-    fn homes_come_to_rest(
+    fn assignments_settle(
         works in proptest::collection::vec(10.0_f64..1_000.0, 1..5),
-        stand in proptest::collection::vec((proptest::option::of(0_usize..6), any::<bool>()), 1..40),
+        runners in proptest::collection::vec((proptest::option::of(0_usize..6), any::<bool>()), 1..40),
     ) {
         let demands: Vec<Demand> = works.iter().map(|work| demand("m", *work)).collect();
         let member = |(home, slower): &(Option<usize>, bool)| Member { home: *home, slower: *slower };
-        let members: Vec<Member> = stand.iter().map(member).collect();
+        let members: Vec<Member> = runners.iter().map(member).collect();
         let first = assign_models(&demands, &members);
         let again: Vec<Member> = members
             .iter()
@@ -849,16 +868,19 @@
         ("b".to_owned(), asked(68, 68 * 1_480)),
         ("c".to_owned(), asked(72, 72 * 1_450)),
     ];
-    let wanted = demands(models);
-    let names: Vec<&str> = wanted.iter().map(|demand| demand.model.as_str()).collect();
+    let model_demands = demands(models);
+    let names: Vec<&str> = model_demands
+        .iter()
+        .map(|demand| demand.model.as_str())
+        .collect();
     assert_eq!(names, ["b", "c", "a"]);
     let new = |slower| Member { home: None, slower };
     let mut members = vec![new(false); 6];
     members.extend([new(true); 3]);
-    let dealt = assign_models(&wanted, &members);
-    let usual = |model: usize| dealt[..6].iter().filter(|home| **home == model).count();
-    assert_eq!([usual(0), usual(1), usual(2)], [3, 3, 0], "{dealt:?}");
-    assert!(dealt[6..].iter().filter(|home| **home == 2).count() >= 2);
+    let assigned = assign_models(&model_demands, &members);
+    let usual = |model: usize| assigned[..6].iter().filter(|home| **home == model).count();
+    assert_eq!([usual(0), usual(1), usual(2)], [3, 3, 0], "{assigned:?}");
+    assert!(assigned[6..].iter().filter(|home| **home == 2).count() >= 2);
 }
 
 /// A trainer's steps ask for a tenth more or less each time, an engine is lost,
@@ -867,22 +889,22 @@
 #[test]
 fn runners_keep_their_models() {
     let works = |a: f64, b: f64, c: f64| [demand("a", a), demand("b", b), demand("c", c)];
-    let stand: Vec<Member> = deal(&works(54.0, 100.0, 104.0), 9)
+    let runners: Vec<Member> = assign(&works(54.0, 100.0, 104.0), 9)
         .into_iter()
         .map(|home| Member {
             home: Some(home),
             ..NEW
         })
         .collect();
-    let before: Vec<usize> = stand.iter().filter_map(|member| member.home).collect();
+    let before: Vec<usize> = runners.iter().filter_map(|member| member.home).collect();
     for (a, b, c) in [
         (60.0, 95.0, 100.0),
         (50.0, 110.0, 98.0),
         (54.0, 92.0, 112.0),
     ] {
-        assert_eq!(assign_models(&works(a, b, c), &stand), before);
+        assert_eq!(assign_models(&works(a, b, c), &runners), before);
     }
-    let mut fewer = stand;
+    let mut fewer = runners;
     fewer.remove(4);
     let after = assign_models(&works(54.0, 100.0, 104.0), &fewer);
     let kept = fewer.iter().zip(&after);
@@ -1071,7 +1093,7 @@
 
 /// A batch is given up before it is removed, and never removed while it is open.
 #[test]
-fn batches_grow_old_in_order() {
+fn batches_are_given_up_before_they_are_removed() {
     struct Test {
         age: u64,
         over: bool,
@@ -1124,14 +1146,14 @@
     let slower = Runner {
         slower: true,
         yields: true,
-        ..usual_taker(ALONE, 16)
+        ..usual_runner(ONLY_RUNNER, 16)
     };
     let mut offers: Vec<Offer> = (0..15).map(offer).collect();
     assert!(choose(&offers, slower).is_none(), "a new bundle");
     for rank in 0..2 {
         let mut room = 16;
         let place = Place { count: 2, rank };
-        while let Some(chosen) = choose(&offers, usual_taker(place, room)).copied() {
+        while let Some(chosen) = choose(&offers, usual_runner(place, room)).copied() {
             assert!(chosen.order < 8, "{}", chosen.order);
             offers.retain(|other| other.bundle != chosen.bundle);
             room -= chosen.remaining;
@@ -1180,13 +1202,13 @@
             slower: true,
         };
         let offers = [Offer { holder, ..offer(0) }];
-        let taker = Runner {
+        let runner = Runner {
             slower: test.slower,
             yields: test.slower,
-            ..usual_taker(ALONE, 16)
+            ..usual_runner(ONLY_RUNNER, 16)
         };
         assert_eq!(
-            choose(&offers, taker).is_some(),
+            choose(&offers, runner).is_some(),
             test.joins,
             "{}",
             test.name
@@ -1197,7 +1219,7 @@
 /// An engine's pace by the gaps of its runs: known within a second, undisturbed
 /// by one long pause, and followed within three when the engine turns slow.
 #[test]
-fn an_engines_pace_is_known_from_runs_under_way() {
+fn an_engines_pace_is_known_from_running_streams() {
     let mut pace = Pace::default();
     let mut play = |from: u64, gap: f64, count: u32| {
         (0..count).for_each(|_| pace.note(gap));
@@ -1245,56 +1267,56 @@
 /// as ever. A lost answer is asked for again within 0.3 s instead of 1.5 s; a slow
 /// one is waited for after the first that was given up too soon.
 #[test]
-fn lost_answers_are_told_from_slow_ones() {
-    let mut patience = AdaptiveTimeout::default();
+fn lost_answers_are_distinguished_from_slow_ones() {
+    let mut adaptive = AdaptiveTimeout::default();
     for call in 0..100 {
-        patience.note(Millis(call * 20), Millis(9));
+        adaptive.note(Millis(call * 20), Millis(9));
     }
     let mut now = Millis(2_000);
     for _ in 0..10 {
-        let wait = patience.timeout(now);
+        let wait = adaptive.timeout(now);
         assert!(wait <= Millis(300), "{wait} for a lost answer");
         now = now + wait;
-        patience.note_timeout();
+        adaptive.note_timeout();
         for _ in 0..2 {
             now = now + Millis(100);
-            patience.note(now, Millis(9));
+            adaptive.note(now, Millis(9));
         }
     }
 
     let mut given_up = 0;
     for _ in 0..20 {
-        let wait = patience.timeout(now);
+        let wait = adaptive.timeout(now);
         now = now + Millis(wait.0.min(540));
         if wait < Millis(540) {
             given_up += 1;
-            patience.note_timeout();
+            adaptive.note_timeout();
         } else {
-            patience.note(now, Millis(540));
+            adaptive.note(now, Millis(540));
         }
     }
     assert!(given_up <= 2, "{given_up} of 20 slow answers given up");
-    assert!(patience.timeout(now + Millis(20_000)) <= Millis(300));
+    assert!(adaptive.timeout(now + Millis(20_000)) <= Millis(300));
 }
 
 /// A claim, its holder's last heartbeat, and whether the holder still works.
-struct Holding {
+struct HolderCase {
     name: &'static str,
-    beat: Option<LastHeartbeat>,
+    heartbeat: Option<LastHeartbeat>,
     now: u64,
-    works: bool,
+    working: bool,
 }
 
 /// A claim is there, seen at 1,000 ms at revision 50, by life 20 of its holder. Whether
 /// others take its bundle over is decided by what the holder wrote last.
 #[test]
 fn a_claims_holder_is_known_to_work() {
-    let sign = ClaimWrite {
+    let claim = ClaimWrite {
         at: Millis(1_000),
         revision: 50,
         token: 20,
     };
-    let beat = |at: u64, revision: u64, token: u64, working: bool| {
+    let heartbeat = |at: u64, revision: u64, token: u64, working: bool| {
         Some(LastHeartbeat {
             at: Millis(at),
             revision,
@@ -1303,118 +1325,118 @@
         })
     };
     let cases = [
-        Holding {
+        HolderCase {
             name: "no heartbeat yet",
-            beat: None,
+            heartbeat: None,
             now: 1_100,
-            works: true,
+            working: true,
         },
-        Holding {
+        HolderCase {
             name: "no heartbeat for long",
-            beat: None,
+            heartbeat: None,
             now: 3_300,
-            works: false,
+            working: false,
         },
-        Holding {
+        HolderCase {
             name: "the heartbeat of its start",
-            beat: beat(900, 20, 20, false),
+            heartbeat: heartbeat(900, 20, 20, false),
             now: 1_100,
-            works: true,
+            working: true,
         },
-        Holding {
+        HolderCase {
             name: "the heartbeat of its start, and silence since",
-            beat: beat(900, 20, 20, false),
+            heartbeat: heartbeat(900, 20, 20, false),
             now: 3_300,
-            works: false,
+            working: false,
         },
-        Holding {
+        HolderCase {
             name: "its engine has failed since",
-            beat: beat(1_050, 51, 20, false),
+            heartbeat: heartbeat(1_050, 51, 20, false),
             now: 1_100,
-            works: false,
+            working: false,
         },
-        Holding {
+        HolderCase {
             name: "heartbeats go on",
-            beat: beat(9_000, 90, 20, true),
+            heartbeat: heartbeat(9_000, 90, 20, true),
             now: 9_500,
-            works: true,
+            working: true,
         },
-        Holding {
+        HolderCase {
             name: "heartbeats have ended",
-            beat: beat(9_000, 90, 20, true),
+            heartbeat: heartbeat(9_000, 90, 20, true),
             now: 11_400,
-            works: false,
+            working: false,
         },
-        Holding {
+        HolderCase {
             name: "its next life",
-            beat: beat(1_050, 51, 51, true),
+            heartbeat: heartbeat(1_050, 51, 51, true),
             now: 1_100,
-            works: false,
+            working: false,
         },
-        Holding {
+        HolderCase {
             name: "a late claim of the life before",
-            beat: beat(900, 40, 40, true),
+            heartbeat: heartbeat(900, 40, 40, true),
             now: 1_100,
-            works: false,
+            working: false,
         },
-        Holding {
+        HolderCase {
             name: "the heartbeat of the life before",
-            beat: beat(900, 15, 10, true),
+            heartbeat: heartbeat(900, 15, 10, true),
             now: 1_100,
-            works: true,
+            working: true,
         },
-        Holding {
+        HolderCase {
             name: "an outage has hidden all heartbeats",
-            beat: beat(8_000, 20, 20, false),
+            heartbeat: heartbeat(8_000, 20, 20, false),
             now: 8_100,
-            works: true,
+            working: true,
         },
     ];
     for case in cases {
-        let found = is_working(sign, case.beat, Millis(case.now));
-        assert_eq!(found, case.works, "{}", case.name);
+        let found = is_working(claim, case.heartbeat, Millis(case.now));
+        assert_eq!(found, case.working, "{}", case.name);
     }
 }
 
 /// Steps of one model, and the mode of each.
-struct Order {
+struct ModeCase {
     name: &'static str,
     /// When each step is due and its waiting work, in s of one slot.
     steps: Vec<(u64, u64)>,
-    places: u32,
-    turns: Vec<StepMode>,
+    slots: u32,
+    modes: Vec<StepMode>,
 }
 
 /// It is second 10, and a slot takes 1 ms for a token. A step that can be whole in
 /// time begins with its longest texts; one that can't is worked off by groups; what
 /// is late makes way.
 #[test]
-fn a_steps_order_follows_what_can_be_in_time() {
+fn a_steps_mode_depends_on_what_can_be_in_time() {
     use StepMode::{ByGroup, Late, Whole};
     for test in [
-        Order {
+        ModeCase {
             name: "enough engines",
             steps: vec![(17, 150)],
-            places: 90,
-            turns: vec![Whole],
+            slots: 90,
+            modes: vec![Whole],
         },
-        Order {
+        ModeCase {
             name: "a third of them is left",
             steps: vec![(17, 190)],
-            places: 30,
-            turns: vec![ByGroup],
+            slots: 30,
+            modes: vec![ByGroup],
         },
-        Order {
+        ModeCase {
             name: "the step before takes its time first",
             steps: vec![(14, 60), (17, 130)],
-            places: 30,
-            turns: vec![Whole, ByGroup],
+            slots: 30,
+            modes: vec![Whole, ByGroup],
         },
-        Order {
+        ModeCase {
             name: "a late step waits for the others",
             steps: vec![(10, 90), (17, 120)],
-            places: 30,
-            turns: vec![Late, Whole],
+            slots: 30,
+            modes: vec![Late, Whole],
         },
     ] {
         let steps: Vec<OpenStep> = test
@@ -1427,11 +1449,11 @@
             })
             .collect();
         let supply = Supply {
-            slots: test.places,
+            slots: test.slots,
             token_ms: 1.0,
         };
         let found = step_modes(&steps, supply, Millis(10_000));
-        assert_eq!(found, test.turns, "{}", test.name);
+        assert_eq!(found, test.modes, "{}", test.name);
         let unknown = Supply {
             token_ms: 0.0,
             ..supply
@@ -1458,13 +1480,13 @@
         position: 4,
         ..offer(4)
     };
-    let beyond = Offer {
+    let surplus = Offer {
         surplus: true,
         due: Millis(3_000),
         ..offer(5)
     };
     let offers = [
-        beyond,
+        surplus,
         late,
         by_group(3),
         by_group(2),
@@ -1473,7 +1495,7 @@
     ];
     let taken = |offers: &[Offer], rank: usize| {
         let place = Place { count: 2, rank };
-        choose(offers, usual_taker(place, 1)).map(|offer| offer.bundle)
+        choose(offers, usual_runner(place, 1)).map(|offer| offer.bundle)
     };
     assert_eq!(taken(&offers, 0), Some(0));
     assert_eq!(taken(&offers, 1), Some(1));
@@ -1483,7 +1505,7 @@
 
 /// What a slot takes for an expected token, by runs whose estimates are off by half.
 #[test]
-fn a_places_rate_is_learned_from_its_runs() {
+fn a_slots_rate_is_learned_from_its_runs() {
     let mut rate = Rate::default();
     assert!(rate.token_ms() <= 0.0, "unknown at first");
     for run in 0..200 {
@@ -1503,40 +1525,40 @@
 /// The groups beyond what trainers wait for go with the others while there is room for
 /// all, and last once there is not.
 #[test]
-fn groups_beyond_go_last_when_work_is_scarce_of_engines() {
+fn surplus_groups_go_last_when_engines_are_scarce() {
     struct Test {
-        beyond: u64,
-        places: u32,
+        surplus: u64,
+        slots: u32,
         ample: bool,
     }
 
     for test in [
         Test {
-            beyond: 10,
-            places: 80,
+            surplus: 10,
+            slots: 80,
             ample: true,
         },
         Test {
-            beyond: 200,
-            places: 80,
+            surplus: 200,
+            slots: 80,
             ample: false,
         },
         Test {
-            beyond: 10,
-            places: 30,
+            surplus: 10,
+            slots: 30,
             ample: false,
         },
     ] {
         let step = OpenStep {
-            surplus: test.beyond * 1_000,
+            surplus: test.surplus * 1_000,
             due: Millis(7_500),
             needed: 150_000,
         };
         let supply = Supply {
-            slots: test.places,
+            slots: test.slots,
             token_ms: 1.0,
         };
         let ample = is_ample(&[step], supply, Millis(0));
-        assert_eq!(ample, test.ample, "{} {}", test.beyond, test.places);
+        assert_eq!(ample, test.ample, "{} {}", test.surplus, test.slots);
     }
 }
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -119,20 +119,20 @@
 /// as groups that are left over from an earlier step do. Without a number it waits for
 /// all.
 #[test]
-fn groups_beyond_those_waited_for_are_known() {
+fn groups_that_a_trainer_does_not_wait_for_are_surplus() {
     struct Test {
         needed: u16,
-        beyond: [bool; 3],
+        surplus: [bool; 3],
     }
 
     for test in [
         Test {
             needed: 2,
-            beyond: [false, false, true],
+            surplus: [false, false, true],
         },
         Test {
             needed: 0,
-            beyond: [false; 3],
+            surplus: [false; 3],
         },
     ] {
         let items = vec![item(1, "c", 0), item(2, "a", 0), item(3, "b", 0)];
@@ -142,8 +142,8 @@
         };
         let (head, _) = Head::of(&submission, Millis(0));
         let bundles = head.bundles.iter();
-        let beyond: Vec<bool> = bundles.map(|bundle| head.is_surplus(bundle)).collect();
-        assert_eq!(beyond, test.beyond, "{}", test.needed);
+        let surplus: Vec<bool> = bundles.map(|bundle| head.is_surplus(bundle)).collect();
+        assert_eq!(surplus, test.surplus, "{}", test.needed);
     }
 }
 
@@ -156,7 +156,7 @@
 /// groups are dealt out in bundles of four, so that no engine runs one group
 /// in three turns while others are idle; each item is in one bundle.
 #[test]
-fn large_groups_are_dealt_out() {
+fn large_groups_are_split_into_bundles() {
     let group = |number: usize| format!("g{}", number / 16);
     let items = (0..256).map(|number| item(number, &group(number), 0));
     let (head, _) = Head::of(&submission(items.collect()), Millis(0));
@@ -198,7 +198,7 @@
 
 /// What others are told of a table is each row's last change, and all of them or none.
 #[test]
-fn a_view_tells_others_what_changed() {
+fn a_view_returns_the_rows_changed_since_a_revision() {
     struct Test {
         after: u64,
         told: Option<&'static [(&'static str, u64)]>,
@@ -362,7 +362,7 @@
 
     /// Whatever a listing or a feed brings late, a row never goes back.
     #[test]
-    fn a_view_never_goes_back(
+    fn a_view_never_returns_to_an_older_row(
         feeds in proptest::collection::vec((0_u8..4, 1_u64..60, any::<bool>()), 0..60),
         listings in proptest::collection::vec((0_usize..60, 0_u64..60), 0..4),
     ) {
@@ -428,7 +428,7 @@
 /// then stays in use until it has had time to announce itself again; at any other time it is
 /// removed at once.
 #[test]
-fn lapsed_servers_have_time_to_come_back() {
+fn lapsed_servers_have_time_to_announce_themselves_again() {
     let ids = |directory: &Directory| {
         let mut ids: Vec<String> = directory
             .serving("s")
@@ -460,7 +460,7 @@
 }
 
 /// The id of the server found at the tests' address.
-fn meant(directory: &Directory) -> Option<&str> {
+fn found_id(directory: &Directory) -> Option<&str> {
     let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
     found.map(|server| server.incarnation.id.as_str())
 }
@@ -468,34 +468,34 @@
 /// An address is reused by another server while the previous one is still announced: the
 /// server that accepts requests must be found, not the draining one.
 #[test]
-fn an_address_means_the_server_that_works() {
+fn the_working_server_at_an_address_is_found() {
     let mut directory = Directory::default();
     directory.put(server("old", true));
     directory.put(server("new", false));
-    assert_eq!(meant(&directory), Some("new"));
+    assert_eq!(found_id(&directory), Some("new"));
 }
 
 /// A restarted runner reads the announcements in the order of their ids, so the draining
 /// server can come last. It must not be found in place of the other.
 #[test]
-fn a_leaving_server_listed_last_is_not_meant() {
+fn a_draining_server_listed_last_is_not_found() {
     let mut directory = Directory::default();
     directory.put(server("new", false));
     directory.put(server("old", true));
-    assert_eq!(meant(&directory), Some("new"));
+    assert_eq!(found_id(&directory), Some("new"));
 }
 
 /// An engine crashes and restarts, and its previous incarnation stays announced for some
 /// seconds, with updates. Runners chose one of the two at random, and requests to the previous
 /// incarnation were refused.
 #[test]
-fn the_newest_incarnation_at_an_address_counts() {
+fn the_newest_incarnation_at_an_address_is_found() {
     let mut directory = Directory::default();
     for incarnation in 0..20 {
         let id = format!("life-{incarnation}");
         directory.put(server(&id, false));
         directory.put(server("life-0", false));
-        assert_eq!(meant(&directory), Some(id.as_str()));
+        assert_eq!(found_id(&directory), Some(id.as_str()));
     }
 }
 
@@ -509,7 +509,7 @@
         service: "other".to_owned(),
         ..server("stranger", false)
     });
-    assert_eq!(meant(&directory), Some("engine"));
+    assert_eq!(found_id(&directory), Some("engine"));
 }
 
 /// A server restarts under the same id and announces itself again: its new incarnation is
--- a/tests/integration/messages.rs
+++ b/tests/integration/messages.rs
@@ -187,7 +187,7 @@
 /// size would be asked for, and the process would die. The announcement comes
 /// first, the body never. The decoder refuses it before any allocation.
 #[test]
-fn an_announced_length_allocates_nothing() {
+fn an_announced_length_causes_no_allocation() {
     for length in [0, MAX_FRAME as u32 + 1, u32::MAX] {
         let mut buffer = BytesMut::from(&length.to_le_bytes()[..]);
         let before = buffer.capacity();
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_message_over_the_limit_is_not_sent_and_spoils_nothing() {
+fn a_message_over_the_limit_leaves_the_buffer_unchanged() {
     let mut buffer = BytesMut::from(&b"before"[..]);
     let message = Frame::Message(FromAgent::Data {
         slot: Slot(1),
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -20,26 +20,26 @@
 };
 
 const TICK: u64 = 20;
-const DAY: u64 = 34_000;
-const DUE: u64 = 7_500;
+const LOAD_TIME: u64 = 34_000;
+const DUE_TIME: u64 = 7_500;
 /// What is read later than this after its due time is late.
-const READ_WITHIN: u64 = 700;
-const GIVE_UP: u64 = 12_000;
-const EVERY: u64 = 4_000;
-const TRAIN: u64 = 500;
-const READ_EVERY: u64 = 500;
+const READ_SLACK: u64 = 700;
+const GIVE_UP_TIME: u64 = 12_000;
+const STEP_INTERVAL: u64 = 4_000;
+const TRAIN_TIME: u64 = 500;
+const READ_INTERVAL: u64 = 500;
 const SLOTS: i32 = 6;
-const EVENT: u64 = 41;
+const EVENT_TIME: u64 = 41;
 /// From a claim to a text's first event, and from its last one to its result.
-const AROUND: u64 = 130;
+const RUN_OVERHEAD: u64 = 130;
 
 /// Random numbers that are the same in every run.
-struct Draw {
+struct Random {
     count: u64,
     seed: u64,
 }
 
-impl Draw {
+impl Random {
     /// Between 0 and 1.
     fn uniform(&mut self) -> f64 {
         self.count += 1;
@@ -48,7 +48,7 @@
     }
 
     /// With the mean 1; half of the values are within a factor of about `spread`.
-    fn around_one(&mut self, spread: f64) -> f64 {
+    fn log_normal(&mut self, spread: f64) -> f64 {
         let (a, b) = (self.uniform(), self.uniform());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         (spread * normal - spread * spread / 2.0).exp()
@@ -56,10 +56,10 @@
 
     fn item(&mut self) -> Item {
         let tail = if self.uniform() < 0.104 { 5.0 } else { 1.0 };
-        let events = (16.4 * tail * self.around_one(0.84)).clamp(1.0, 118.0);
+        let events = (16.4 * tail * self.log_normal(0.84)).clamp(1.0, 118.0);
         Item {
             events: events as u64,
-            expected: ((events * 48.0 * self.around_one(0.5)) as u64).max(1),
+            expected: ((events * 48.0 * self.log_normal(0.5)) as u64).max(1),
         }
     }
 }
@@ -73,11 +73,11 @@
 #[derive(Clone)]
 struct Group {
     /// Whether it was left over from an earlier step.
-    again: bool,
+    left_over: bool,
     items: Vec<Item>,
-    left: usize,
+    unfinished: usize,
     /// When it became whole.
-    whole: Option<u64>,
+    complete: Option<u64>,
 }
 
 struct Bundle {
@@ -102,7 +102,7 @@
 }
 
 /// How offers are lined up.
-type Rule = fn(&mut [Offer], Supply, Millis);
+type OrderRule = fn(&mut [Offer], Supply, Millis);
 
 /// A load: a step's groups and their items, and the engines.
 #[derive(Clone, Copy)]
@@ -119,15 +119,15 @@
 
     /// The worth of all groups that trainers wait for, by eight seeds: 1 in time, 0.375
     /// until the step is given up, 0 for what never comes.
-    fn worth(self, rule: Rule) -> f64 {
+    fn value(self, rule: OrderRule) -> f64 {
         let seeds = 8;
-        let worth = (0..seeds).map(|seed| Replay::new(self, seed).run(rule));
-        worth.sum::<f64>() / f64::from(seeds as u32)
+        let values = (0..seeds).map(|seed| Replay::new(self, seed).run(rule));
+        values.sum::<f64>() / f64::from(seeds as u32)
     }
 }
 
 struct Replay {
-    draw: Draw,
+    random: Random,
     /// Free places by engine; below 0 while items wait for one.
     free: Vec<i32>,
     left_over: Vec<Group>,
@@ -143,42 +143,42 @@
 impl Replay {
     fn new(load: Load, seed: u64) -> Self {
         Self {
-            draw: Draw { count: 0, seed },
+            random: Random { count: 0, seed },
             free: vec![SLOTS; load.engines],
             left_over: Vec::new(),
             load,
-            may_ask: vec![0, EVERY],
+            may_ask: vec![0, STEP_INTERVAL],
             runs: Vec::new(),
             steps: Vec::new(),
             trained: (0, 0),
         }
     }
 
-    fn run(mut self, rule: Rule) -> f64 {
-        for now in (0..DAY + GIVE_UP).step_by(TICK as usize) {
+    fn run(mut self, rule: OrderRule) -> f64 {
+        for now in (0..LOAD_TIME + GIVE_UP_TIME).step_by(TICK as usize) {
             self.end_runs(now);
-            if now % READ_EVERY == 0 {
+            if now % READ_INTERVAL == 0 {
                 self.read(now);
             }
             let due = self.may_ask.get(self.steps.len());
-            if due.is_some_and(|at| *at <= now) && now <= DAY {
+            if due.is_some_and(|at| *at <= now) && now <= LOAD_TIME {
                 self.ask(now);
             }
             self.begin(now, rule);
         }
-        self.judge()
+        self.total_value()
     }
 
     fn ask(&mut self, now: u64) {
-        let again = self.left_over.len().min(self.load.needed() / 2);
-        let mut groups: Vec<Group> = self.left_over.drain(..again).collect();
+        let reused = self.left_over.len().min(self.load.needed() / 2);
+        let mut groups: Vec<Group> = self.left_over.drain(..reused).collect();
         while groups.len() < self.load.groups {
-            let items = (0..self.load.size).map(|_| self.draw.item());
+            let items = (0..self.load.size).map(|_| self.random.item());
             groups.push(Group {
-                again: false,
+                left_over: false,
                 items: items.collect(),
-                left: self.load.size,
-                whole: None,
+                unfinished: self.load.size,
+                complete: None,
             });
         }
         let mut bundles = Vec::new();
@@ -216,9 +216,9 @@
         for run in ended {
             self.free[run.engine] += 1;
             let group = &mut self.steps[run.step].groups[run.group];
-            group.left -= 1;
-            if group.left == 0 {
-                group.whole = Some(now);
+            group.unfinished -= 1;
+            if group.unfinished == 0 {
+                group.complete = Some(now);
             }
         }
     }
@@ -231,20 +231,20 @@
             if open.ended.is_some() {
                 continue;
             }
-            let whole = |group: &&Group| group.whole.is_some();
-            let enough = open.groups.iter().filter(whole).count() >= self.load.needed();
-            let again = open
+            let complete = |group: &&Group| group.complete.is_some();
+            let enough = open.groups.iter().filter(complete).count() >= self.load.needed();
+            let left_over_complete = open
                 .groups
                 .iter()
-                .all(|group| !group.again || whole(&group));
-            if (enough && again) || now >= open.asked + GIVE_UP {
+                .all(|group| !group.left_over || complete(&group));
+            if (enough && left_over_complete) || now >= open.asked + GIVE_UP_TIME {
                 self.end(step, now);
             }
         }
         while let Some(ended) = self.steps.get(self.trained.1).and_then(|step| step.ended) {
-            let trained = ended.max(self.trained.0) + TRAIN;
+            let trained = ended.max(self.trained.0) + TRAIN_TIME;
             self.trained = (trained, self.trained.1 + 1);
-            let next = EVERY * (self.trained.1 as u64 + 1);
+            let next = STEP_INTERVAL * (self.trained.1 as u64 + 1);
             self.may_ask.push(trained.max(next));
         }
     }
@@ -254,20 +254,20 @@
         let gone = self.runs.extract_if(.., |run| run.step == step);
         gone.for_each(|run| self.free[run.engine] += 1);
         let groups = self.steps[step].groups.iter();
-        let left = groups.filter(|group| group.whole.is_none());
-        let again = left.map(|group| Group {
-            again: true,
-            left: group.items.len(),
+        let incomplete = groups.filter(|group| group.complete.is_none());
+        let left_over = incomplete.map(|group| Group {
+            left_over: true,
+            unfinished: group.items.len(),
             ..group.clone()
         });
-        self.left_over.extend(again);
+        self.left_over.extend(left_over);
     }
 
     /// Engines with free places take bundles, one each at a time.
-    fn begin(&mut self, now: u64, rule: Rule) {
+    fn begin(&mut self, now: u64, rule: OrderRule) {
         let supply = Supply {
             slots: self.load.engines as u32 * SLOTS.unsigned_abs(),
-            token_ms: EVENT as f64 / 48.0,
+            token_ms: EVENT_TIME as f64 / 48.0,
         };
         loop {
             let Some(engine) = (0..self.free.len()).max_by_key(|engine| self.free[*engine]) else {
@@ -275,7 +275,7 @@
             };
             let mut offers = self.offers(now);
             rule(&mut offers, supply, Millis(now));
-            let taker = Runner {
+            let runner = Runner {
                 place: Place {
                     count: self.load.engines,
                     rank: engine,
@@ -284,7 +284,7 @@
                 slower: false,
                 yields: false,
             };
-            let Some(chosen) = choose(&offers, taker).copied() else {
+            let Some(chosen) = choose(&offers, runner).copied() else {
                 return;
             };
             self.take(now, engine, chosen);
@@ -306,7 +306,7 @@
                 engine,
                 group: bundle.group,
                 step: offer.batch,
-                until: now + AROUND + waits + EVENT * events,
+                until: now + RUN_OVERHEAD + waits + EVENT_TIME * events,
             });
         }
     }
@@ -324,7 +324,7 @@
                     age: Millis(now - step.asked),
                     batch,
                     surplus: bundle.group >= self.load.needed(),
-                    due: Millis(step.asked + DUE),
+                    due: Millis(step.asked + DUE_TIME),
                     bundle: number as u16,
                     claimed: false,
                     holder: Holder::Nobody,
@@ -341,24 +341,28 @@
         offers
     }
 
-    fn judge(&self) -> f64 {
-        let asked = DAY.div_ceil(EVERY) as usize;
+    fn total_value(&self) -> f64 {
+        let asked = LOAD_TIME.div_ceil(STEP_INTERVAL) as usize;
         let needed = self.load.needed();
-        let worth = |step: &OpenStep| {
-            let mut whole: Vec<u64> = step.groups.iter().filter_map(|group| group.whole).collect();
-            whole.sort_unstable();
-            let read = whole.iter().take(needed).map(|at| {
-                let at = at + READ_EVERY / 2 - step.asked;
+        let value = |step: &OpenStep| {
+            let mut complete: Vec<u64> = step
+                .groups
+                .iter()
+                .filter_map(|group| group.complete)
+                .collect();
+            complete.sort_unstable();
+            let read = complete.iter().take(needed).map(|at| {
+                let at = at + READ_INTERVAL / 2 - step.asked;
                 match at {
-                    _ if at <= DUE + READ_WITHIN => 1.0,
-                    _ if at <= GIVE_UP => 0.375,
+                    _ if at <= DUE_TIME + READ_SLACK => 1.0,
+                    _ if at <= GIVE_UP_TIME => 0.375,
                     _ => 0.0,
                 }
             });
             read.sum::<f64>()
         };
         let steps = self.steps.iter().take(asked);
-        steps.map(worth).sum::<f64>() / (asked * needed) as f64
+        steps.map(value).sum::<f64>() / (asked * needed) as f64
     }
 }
 
@@ -385,8 +389,8 @@
 /// The step with the least time to spare first.
 fn least_slack(offers: &mut [Offer], supply: Supply, _: Millis) {
     rank_steps(offers, |offers, batch| {
-        let of_step = |offer: &&Offer| offer.batch == batch;
-        let due = offers.iter().find(of_step).map_or(0, |offer| offer.due.0);
+        let in_step = |offer: &&Offer| offer.batch == batch;
+        let due = offers.iter().find(in_step).map_or(0, |offer| offer.due.0);
         let work = work_of(offers, batch) as f64 * supply.token_ms;
         due.saturating_sub((work / f64::from(supply.slots)) as u64)
     });
@@ -404,8 +408,8 @@
 }
 
 fn work_of(offers: &[Offer], batch: usize) -> u64 {
-    let of_step = offers.iter().filter(|offer| offer.batch == batch);
-    of_step.map(|offer| offer.work).sum()
+    let in_step = offers.iter().filter(|offer| offer.batch == batch);
+    in_step.map(|offer| offer.work).sum()
 }
 
 /// Trainers wait for every step, and all steps are late, once work outgrows engines
@@ -414,36 +418,36 @@
 /// by group where a step can't be whole in time, keeps most groups in time.
 #[test]
 fn groups_are_in_time_when_work_outgrows_the_engines() {
-    let springs = Load {
+    let small_groups = Load {
         engines: 0,
         groups: 25,
         size: 8,
     };
-    let ticking = Load {
+    let large_groups = Load {
         engines: 0,
         groups: 13,
         size: 16,
     };
-    let rules: [(&str, Rule); 5] = [
+    let rules: [(&str, OrderRule); 5] = [
         ("longest first", longest_first),
         ("shortest step", shortest_step),
         ("least slack", least_slack),
         ("needed first", needed_first),
         ("product", product),
     ];
-    let mut gain = Vec::new();
-    for load in [springs, ticking] {
+    let mut gains = Vec::new();
+    for load in [small_groups, large_groups] {
         for engines in [8, 7, 6, 5, 4] {
             let load = Load { engines, ..load };
-            let worths = rules.map(|(name, rule)| (name, load.worth(rule)));
-            println!("{} groups, {engines} engines: {worths:.3?}", load.groups);
-            let [(_, before), .., (_, product)] = worths;
-            let best = worths.iter().map(|(_, worth)| *worth).fold(0.0, f64::max);
-            assert!(product >= best - 0.06, "{engines} engines: {worths:?}");
-            assert!(product >= before - 0.005, "{engines} engines: {worths:?}");
-            gain.push(product - before);
+            let values = rules.map(|(name, rule)| (name, load.value(rule)));
+            println!("{} groups, {engines} engines: {values:.3?}", load.groups);
+            let [(_, before), .., (_, product)] = values;
+            let best = values.iter().map(|(_, value)| *value).fold(0.0, f64::max);
+            assert!(product >= best - 0.06, "{engines} engines: {values:?}");
+            assert!(product >= before - 0.005, "{engines} engines: {values:?}");
+            gains.push(product - before);
         }
     }
-    let mean = gain.iter().sum::<f64>() / gain.len() as f64;
+    let mean = gains.iter().sum::<f64>() / gains.len() as f64;
     assert!(mean > 0.12, "{mean}");
 }
--- a/tests/integration/platform_wire.rs
+++ b/tests/integration/platform_wire.rs
@@ -27,7 +27,7 @@
 /// Events are cut out of a stream however its bytes arrive; a torn one at the
 /// end is left out.
 #[test]
-fn events_are_whole_or_left_out() {
+fn only_complete_events_are_read() {
     let stream = "x-weight-versions: 3\nid: 0\ndata: a\n\nid: 1\ndata: b\ndata: c\n\nid: 2\ndat";
     for step in 1..stream.len() {
         let mut reader = EventReader::default();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn calls_are_told_apart() {
+fn calls_are_classified() {
     struct Test {
         call: Ingress,
         method: Method,
@@ -119,7 +119,7 @@
 /// Headers that concern one connection, and those that the gateway sets, don't
 /// go on; neither do those that the caller names as such.
 #[test]
-fn only_end_to_end_headers_go_on() {
+fn only_end_to_end_headers_are_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("host", "h"),
@@ -143,7 +143,7 @@
     /// Whatever a caller shows as its key, or claims to be, reaches no server: not
     /// under names in any case, doubled, empty, long or of any bytes.
     #[test]
-    fn no_key_goes_on(
+    fn no_key_is_forwarded(
         key in proptest::collection::vec(33_u8..=255, 0..300),
         claimed in "[a-z0-9]{8,40}",
         upper in proptest::collection::vec(any::<bool>(), 16),
@@ -206,7 +206,7 @@
 
 /// Each workspace has ids of its own, and nobody can name another's batch.
 #[test]
-fn batches_have_names_by_workspace() {
+fn batches_are_stored_under_names_by_workspace() {
     let foam = stored_name(Some("foam"), "b1").unwrap();
     assert_ne!(stored_name(Some("springs"), "b1"), Some(foam.clone()));
     assert_eq!(stored_name(None, "b1"), Some("b1".to_owned()));
@@ -259,28 +259,28 @@
 }
 
 #[test]
-fn what_is_not_understood_is_told() {
+fn errors_name_what_is_wrong() {
     struct Test {
         from: &'static str,
         to: &'static str,
-        told: &'static str,
+        message: &'static str,
     }
 
     for test in [
         Test {
             from: "\"safe\"",
             to: "\"other\"",
-            told: "route `a` has the unknown type `other`",
+            message: "route `a` has the unknown type `other`",
         },
         Test {
             from: "\"version\":7,",
             to: "",
-            told: "missing field `version`",
+            message: "missing field `version`",
         },
     ] {
         let text = CONFIG.replace(test.from, test.to);
         let error = read_config(text.as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(test.told), "{error}");
+        assert!(error.contains(test.message), "{error}");
     }
     assert!(read_server("s", b"{}").is_err());
     let error = read_submission("b", "h", "/c/b", br#"{"items":[]}"#).unwrap_err();
@@ -302,7 +302,7 @@
 }
 
 /// An announcement that holds, as text.
-const ENTRY: &str = r#"{"service":"x","address":"10.0.0.1:80","zone":"n","version":"v1",
+const ANNOUNCEMENT: &str = r#"{"service":"x","address":"10.0.0.1:80","zone":"n","version":"v1",
     "batchSlots":12,"state":"ready","coldRemainingMs":0,"stage":"both",
     "models":[{"name":"m","version":3,"adapters":[]}],"sequence":4,"born":1764720000123}"#;
 
@@ -310,13 +310,13 @@
 /// announcements. Calls went to whatever such an entry seemed to name: any state
 /// but one counted as ready. An entry that is not whole names no server.
 #[test]
-fn an_entry_by_another_writer_names_no_server() {
+fn a_malformed_announcement_names_no_server() {
     struct Test {
         from: &'static str,
         to: &'static str,
     }
 
-    assert!(read_server("i-1", ENTRY.as_bytes()).is_ok());
+    assert!(read_server("i-1", ANNOUNCEMENT.as_bytes()).is_ok());
     for test in [
         Test {
             from: r#""ready""#,
@@ -380,8 +380,8 @@
         },
         Test { from: "{", to: "[" },
     ] {
-        let entry = ENTRY.replacen(test.from, test.to, 1);
-        assert_ne!(entry, ENTRY, "{}", test.from);
+        let entry = ANNOUNCEMENT.replacen(test.from, test.to, 1);
+        assert_ne!(entry, ANNOUNCEMENT, "{}", test.from);
         let server = read_server("i-1", entry.as_bytes());
         assert!(server.is_err(), "{} for {}", test.to, test.from);
     }
@@ -392,13 +392,13 @@
     /// Bytes that are cut short or changed never stop the reader, and what it
     /// takes for a server has an address and a state of the two that there are.
     #[test]
-    fn no_entry_stops_the_reader(
-        at in 0..ENTRY.len(),
+    fn no_announcement_stops_the_reader(
+        at in 0..ANNOUNCEMENT.len(),
         byte in any::<u8>(),
         cut in any::<bool>(),
         noise in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
-        let mut entry = ENTRY.as_bytes().to_vec();
+        let mut entry = ANNOUNCEMENT.as_bytes().to_vec();
         match cut {
             true => entry.truncate(at),
             false => entry[at] = byte,
@@ -413,7 +413,7 @@
 
     /// A field of any other type makes the entry name no server.
     #[test]
-    fn a_field_of_another_type_is_found(
+    fn a_field_of_another_type_is_rejected(
         field in proptest::sample::select(vec![
             "service", "address", "zone", "version", "batchSlots", "state", "coldRemainingMs",
             "models", "sequence", "born",
@@ -423,7 +423,7 @@
             serde_json::json!([1]), serde_json::json!(-1.5),
         ]),
     ) {
-        let mut entry: serde_json::Value = serde_json::from_str(ENTRY).unwrap();
+        let mut entry: serde_json::Value = serde_json::from_str(ANNOUNCEMENT).unwrap();
         let is_number = field == "coldRemainingMs" && value.is_number();
         entry[field] = value;
         let server = read_server("i-1", entry.to_string().as_bytes());
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -8,17 +8,17 @@
 
 /// What happened to a request.
 #[derive(Clone, Copy)]
-enum News {
+enum RequestEvent {
     Answered,
     /// The server with this number ended under it.
-    Ended(u64),
+    Crashed(u64),
     /// The crash of the server with this number counts no more.
     Forgotten(u64),
 }
 
 struct Test {
-    news: &'static [News],
-    verdict: QuarantineState,
+    events: &'static [RequestEvent],
+    state: QuarantineState,
 }
 
 fn request(body: &str) -> Fingerprint {
@@ -33,43 +33,43 @@
 }
 
 /// A server that starts again under its id is another one.
-fn life(number: u64) -> ServerIncarnation {
+fn incarnation(number: u64) -> ServerIncarnation {
     ServerIncarnation::new("server", Millis(number))
 }
 
 #[test]
-fn three_servers_bar_a_request_until_it_is_answered() {
-    use News::{Answered, Ended, Forgotten};
+fn three_crashes_bar_a_request_until_it_is_answered() {
+    use RequestEvent::{Answered, Crashed, Forgotten};
     for (number, test) in [
         Test {
-            news: &[],
-            verdict: QuarantineState::Clear,
+            events: &[],
+            state: QuarantineState::Clear,
         },
         Test {
-            news: &[Ended(1)],
-            verdict: QuarantineState::Watched,
+            events: &[Crashed(1)],
+            state: QuarantineState::Watched,
         },
         Test {
-            news: &[Ended(1), Ended(2)],
-            verdict: QuarantineState::Suspect,
+            events: &[Crashed(1), Crashed(2)],
+            state: QuarantineState::Suspect,
         },
         Test {
-            news: &[Ended(1), Ended(2), Ended(3)],
-            verdict: QuarantineState::Barred,
+            events: &[Crashed(1), Crashed(2), Crashed(3)],
+            state: QuarantineState::Barred,
         },
         // Two instances that saw one crash.
         Test {
-            news: &[Ended(1), Ended(1), Ended(1)],
-            verdict: QuarantineState::Watched,
+            events: &[Crashed(1), Crashed(1), Crashed(1)],
+            state: QuarantineState::Watched,
         },
         // Many callers ask the same: an answer to one speaks for all.
         Test {
-            news: &[Ended(1), Ended(2), Answered, Ended(3), Ended(4)],
-            verdict: QuarantineState::Suspect,
+            events: &[Crashed(1), Crashed(2), Answered, Crashed(3), Crashed(4)],
+            state: QuarantineState::Suspect,
         },
         Test {
-            news: &[Ended(1), Ended(2), Ended(3), Forgotten(1)],
-            verdict: QuarantineState::Suspect,
+            events: &[Crashed(1), Crashed(2), Crashed(3), Forgotten(1)],
+            state: QuarantineState::Suspect,
         },
     ]
     .into_iter()
@@ -77,19 +77,19 @@
     {
         let mut quarantine = Quarantine::default();
         let asked = request("a");
-        for news in test.news {
-            match news {
+        for event in test.events {
+            match event {
                 Answered => {
                     quarantine.clear(asked, Millis(0));
                 }
-                Ended(server) => {
-                    quarantine.note_crash(asked, life(*server), Millis(0));
+                Crashed(server) => {
+                    quarantine.note_crash(asked, incarnation(*server), Millis(0));
                 }
-                Forgotten(server) => quarantine.forget(asked, &life(*server)),
+                Forgotten(server) => quarantine.forget(asked, &incarnation(*server)),
             }
         }
         let now = Millis(100);
-        assert_eq!(quarantine.state(asked, now), test.verdict, "case {number}");
+        assert_eq!(quarantine.state(asked, now), test.state, "case {number}");
         assert_eq!(quarantine.state(request("b"), now), QuarantineState::Clear);
     }
 }
@@ -101,22 +101,22 @@
     let mut quarantine = Quarantine::default();
     let asked = request("a");
     for server in 0..3 {
-        quarantine.note_crash(asked, life(server), Millis(server));
+        quarantine.note_crash(asked, incarnation(server), Millis(server));
     }
-    for (now, verdict) in [
+    for (now, state) in [
         (Millis(5_001), QuarantineState::Barred),
         (Millis(5_002), QuarantineState::Trial),
     ] {
-        assert_eq!(quarantine.state(asked, now), verdict);
+        assert_eq!(quarantine.state(asked, now), state);
     }
-    quarantine.note_crash(asked, life(3), Millis(6_000));
-    for (now, verdict) in [
+    quarantine.note_crash(asked, incarnation(3), Millis(6_000));
+    for (now, state) in [
         (Millis(605_999), QuarantineState::Barred),
         (Millis(606_000), QuarantineState::Trial),
     ] {
-        assert_eq!(quarantine.state(asked, now), verdict);
+        assert_eq!(quarantine.state(asked, now), state);
     }
-    quarantine.note_crash(asked, life(4), Millis(607_000));
+    quarantine.note_crash(asked, incarnation(4), Millis(607_000));
     assert_eq!(quarantine.state(asked, RETENTION), QuarantineState::Barred);
 }
 
@@ -143,11 +143,11 @@
 fn crashes_expire() {
     let mut quarantine = Quarantine::default();
     let asked = request("a");
-    quarantine.note_crash(asked, life(1), Millis(0));
-    quarantine.note_crash(asked, life(2), Millis(5));
+    quarantine.note_crash(asked, incarnation(1), Millis(0));
+    quarantine.note_crash(asked, incarnation(2), Millis(5));
     assert!(quarantine.expired(RETENTION, 10).is_empty());
     let old = quarantine.expired(RETENTION + Millis(1), 10);
-    assert_eq!(old, [(asked, life(1))]);
+    assert_eq!(old, [(asked, incarnation(1))]);
     let old = quarantine.expired(RETENTION + Millis(6), 1);
     assert_eq!(old.len(), 1);
 }
@@ -155,7 +155,7 @@
 /// The same asked again under another id is one request; any other content, host or
 /// credential makes another.
 #[test]
-fn a_fingerprint_names_what_was_asked() {
+fn a_fingerprint_identifies_a_requests_content() {
     let asked = Asked {
         body: b"body",
         credential: b"key",
--- a/tests/integration/reach.rs
+++ b/tests/integration/reach.rs
@@ -57,15 +57,15 @@
     .into_iter()
     .enumerate()
     {
-        let reach = Reachability::default();
+        let peer = Reachability::default();
         let mut probes = 0;
         for call in test.calls {
             match call {
-                Answered => reach.record_answer(),
-                Missed => probes += usize::from(reach.record_miss()),
+                Answered => peer.record_answer(),
+                Missed => probes += usize::from(peer.record_miss()),
             }
         }
-        let seen = (reach.is_unreachable(), probes, reach.recoveries());
+        let seen = (peer.is_unreachable(), probes, peer.recoveries());
         assert_eq!(
             seen,
             (test.unreachable, test.probes, test.recoveries),
@@ -78,31 +78,31 @@
 /// before the call began to wait. A call that began after the recovery is not woken by it.
 #[tokio::test]
 async fn a_recovery_wakes_calls_from_before() {
-    let reach = Reachability::default();
+    let peer = Reachability::default();
     let soon = Duration::from_millis(20);
-    let before = reach.recoveries();
+    let before = peer.recoveries();
     assert!(
-        tokio::time::timeout(soon, reach.wait_recovery_after(before))
+        tokio::time::timeout(soon, peer.wait_recovery_after(before))
             .await
             .is_err()
     );
-    reach.record_miss();
-    reach.record_miss();
+    peer.record_miss();
+    peer.record_miss();
     assert!(
-        tokio::time::timeout(soon, reach.wait_reachable())
+        tokio::time::timeout(soon, peer.wait_reachable())
             .await
             .is_err()
     );
-    let (told, ()) = tokio::join!(
-        tokio::time::timeout(soon, reach.wait_recovery_after(before)),
-        async { reach.record_answer() }
+    let (woken, ()) = tokio::join!(
+        tokio::time::timeout(soon, peer.wait_recovery_after(before)),
+        async { peer.record_answer() }
     );
-    told.unwrap();
-    reach.wait_reachable().await;
-    reach.wait_recovery_after(before).await;
-    let after = reach.recoveries();
+    woken.unwrap();
+    peer.wait_reachable().await;
+    peer.wait_recovery_after(before).await;
+    let after = peer.recoveries();
     assert!(
-        tokio::time::timeout(soon, reach.wait_recovery_after(after))
+        tokio::time::timeout(soon, peer.wait_recovery_after(after))
             .await
             .is_err()
     );
--- a/tests/integration/settings_faults.rs
+++ b/tests/integration/settings_faults.rs
@@ -5,23 +5,23 @@
 
 struct Test {
     text: &'static str,
-    told: &'static [&'static str],
+    errors: &'static [&'static str],
 }
 
 impl Test {
     fn run<T>(self, read_root: impl Fn(&Reader<'_>) -> T) {
-        let told = match read("file.yaml", self.text, read_root) {
+        let errors = match read("file.yaml", self.text, read_root) {
             Ok(_) => String::new(),
             Err(error) => error.to_string(),
         };
-        for line in self.told {
-            assert!(told.contains(line), "{line} is not told in:\n{told}");
+        for line in self.errors {
+            assert!(errors.contains(line), "{line} is not told in:\n{errors}");
         }
-        assert_eq!(told.is_empty(), self.told.is_empty(), "{told}");
+        assert_eq!(errors.is_empty(), self.errors.is_empty(), "{errors}");
     }
 }
 
-const ENTRY: &str = "
+const ENTRY_SETTINGS: &str = "
 instance: entry-1
 data_centre: hall
 key: secret
@@ -29,16 +29,16 @@
 ";
 
 #[test]
-fn a_small_file_is_enough() {
+fn the_required_settings_are_enough() {
     Test {
-        text: ENTRY,
-        told: &[],
+        text: ENTRY_SETTINGS,
+        errors: &[],
     }
     .run(EntrySettings::read);
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_their_places() {
+fn all_faults_are_reported_at_once_with_their_positions() {
     Test {
         text: "
 instance: ''
@@ -50,7 +50,7 @@
 policy: fastest
 colour: red
 ",
-        told: &[
+        errors: &[
             "file.yaml:2:1: `key`: expected a text, found nothing",
             "file.yaml:2:11: `instance`: expected a text that is not empty",
             "file.yaml:4:11: `platform`: expected an IP address and a port, found `nowhere`",
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn what_is_no_mapping() {
+fn a_file_that_is_no_mapping_is_rejected() {
     for text in ["- a", "just a text", "a: [1"] {
         assert!(read("file.yaml", text, EntrySettings::read).is_err());
     }
 }
 
 #[test]
-fn an_agent_of_a_service_checks_no_fence() {
+fn an_agent_of_a_service_cannot_check_fences() {
     Test {
         text: "
 instance: agent-1
@@ -82,7 +82,7 @@
 platform: 127.0.0.1:7000
 backend: {address: 127.0.0.1:1, kind: service, pool: p, checks_fence: true, capacity: 0}
 ",
-        told: &[
+        errors: &[
             "`backend.checks_fence`: expected false",
             "`backend.capacity`: expected a number from 1 to 100000, found 0",
         ],
@@ -99,7 +99,7 @@
 classes:
   stock-lookup: {pool: bale-ledger, internal: maybe}
 ",
-        told: &[
+        errors: &[
             "`callers.stock.classes`: expected a class of this team, found `stok-lookup`",
             "`callers.stock.key`: expected the 64 hexadecimal digits",
             "`classes.stock-lookup.internal`: expected true or false, found `maybe`",
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_missing_file_is_told() {
+fn a_missing_file_is_reported() {
     let error = EntrySettings::load(std::path::Path::new("no/such/file.yaml"));
     assert!(matches!(error, Err(SettingsError::Read { .. })));
 }
@@ -125,7 +125,7 @@
 
     #[test]
     fn damaged_settings_never_panic(at in any::<prop::sample::Index>(), with in "[\\[\\]{}:,\\-#&*!|>'\"%@` \n\ta-z0-9]{0,4}") {
-        let mut text = ENTRY.to_owned();
+        let mut text = ENTRY_SETTINGS.to_owned();
         let at = at.index(text.len());
         text.replace_range(at..at, &with);
         let _ = read("file.yaml", &text, EntrySettings::read);
--- a/tests/integration/use_counts.rs
+++ b/tests/integration/use_counts.rs
@@ -17,7 +17,7 @@
 /// Requests count in the window in which they began; once that is closed, in the oldest
 /// open one, so that none is lost and no closed window changes.
 #[test]
-fn requests_count_in_their_window() {
+fn requests_are_counted_in_their_window() {
     let mut tally = Tally::new(WINDOWS, Millis(10_000));
     for (began, workspace) in [(10_000, "a"), (14_999, "a"), (15_000, "b"), (12_000, "b")] {
         tally.note(workspace, Millis(began));
@@ -44,7 +44,7 @@
 /// A window is summed up once all gateways have closed it, or late enough that those
 /// that are gone won't.
 #[test]
-fn windows_wait_for_their_gateways() {
+fn windows_are_summed_once_all_gateways_closed_them() {
     struct Test {
         after: u64,
         missing: usize,
@@ -90,7 +90,7 @@
 
 /// A third of the clocks is set wrong: true time stays where the others are.
 #[test]
-fn wrong_clocks_move_nothing() {
+fn wrong_clocks_dont_move_the_median() {
     assert_eq!(median(&mut []), None);
     assert_eq!(median(&mut [7]), Some(7));
     let mut offsets = [1_000, 1_002, 3_000, 1_001, -9_000, 3_001, 1_003];
@@ -98,30 +98,30 @@
 }
 
 /// How long a lease lasts in the model, and how long a send may take.
-const LEASE: Millis = Millis(3_000);
-const SEND: Millis = Millis(800);
-const SLACK: Millis = Millis(400);
+const LEASE_DURATION: Millis = Millis(3_000);
+const MAX_SEND_TIME: Millis = Millis(800);
+const SEND_SLACK: Millis = Millis(400);
 
 /// When the model grows calm, and when it ends.
-const CALM: u64 = 50_000;
-const ENDS: u64 = 70_000;
+const FAULTS_END: u64 = 50_000;
+const MODEL_END: u64 = 70_000;
 
 /// The longest that a contender stands still.
-const FROZEN_MOST: u64 = 9_000;
+const MAX_FREEZE: u64 = 9_000;
 
 /// One contender for the lease, which asks the store over and over.
 struct Contender {
-    asks: Option<Ask>,
+    call: Option<StoreCall>,
     /// Until when it stands still.
-    frozen: u64,
+    frozen_until: u64,
     held: Option<HeldLease>,
-    me: Claimant,
+    claimant: Claimant,
     next: u64,
     watch: LeaseWatch,
 }
 
 /// A call that is under way.
-enum Ask {
+enum StoreCall {
     /// Its answer comes at this time, with what the store held when it asked.
     Read { at: u64, row: (u64, Option<Lease>) },
     /// It is done at `done`; its answer comes at `at`, unless it is lost.
@@ -145,10 +145,10 @@
 
 /// A send that reached the platform.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct ReportSend {
     at: u64,
     fence: Fence,
-    who: usize,
+    contender: usize,
 }
 
 /// What goes wrong in one step of a contender.
@@ -164,10 +164,10 @@
 }
 
 fn luck() -> impl Strategy<Value = Luck> {
-    let freeze = prop_oneof![30 => Just(None), 1 => (500..FROZEN_MOST).prop_map(Some)];
+    let freeze = prop_oneof![30 => Just(None), 1 => (500..MAX_FREEZE).prop_map(Some)];
     let answer = prop_oneof![8 => 2_u64..20, 1 => 200_u64..2_500];
     let lost = prop_oneof![9 => Just(false), 1 => Just(true)];
-    (answer, freeze, lost, 1..SEND.0).prop_map(|(answer, freeze, lost, travel)| Luck {
+    (answer, freeze, lost, 1..MAX_SEND_TIME.0).prop_map(|(answer, freeze, lost, travel)| Luck {
         answer,
         freeze,
         lost,
@@ -178,10 +178,10 @@
 impl Contender {
     fn new(number: usize) -> Self {
         Self {
-            asks: None,
-            frozen: 0,
+            call: None,
+            frozen_until: 0,
             held: None,
-            me: Claimant {
+            claimant: Claimant {
                 address: String::new(),
                 holder: format!("gateway-{number}"),
                 incarnation: Incarnation(1),
@@ -192,14 +192,14 @@
     }
 
     /// One step at `now`: takes an answer, asks anew, or sends if it may.
-    fn step(&mut self, now: u64, row: &mut Row, luck: Luck) -> Option<Sent> {
-        if let Some(Ask::Write {
+    fn step(&mut self, now: u64, row: &mut Row, luck: Luck) -> Option<ReportSend> {
+        if let Some(StoreCall::Write {
             done: Some(done),
             expect,
             lease,
             outcome,
             ..
-        }) = &mut self.asks
+        }) = &mut self.call
             && *done <= now
             && outcome.is_none()
         {
@@ -210,16 +210,16 @@
                 row.lease = Some(lease.clone());
             }
         }
-        if now < self.frozen || now < self.next {
+        if now < self.frozen_until || now < self.next {
             return None;
         }
         self.next = now + 50;
         if let Some(freeze) = luck.freeze {
-            self.frozen = now + freeze;
+            self.frozen_until = now + freeze;
         }
-        match self.asks.take() {
-            Some(Ask::Read { at, row }) if at <= now => self.read(now, row, luck),
-            Some(Ask::Write {
+        match self.call.take() {
+            Some(StoreCall::Read { at, row }) if at <= now => self.read(now, row, luck),
+            Some(StoreCall::Write {
                 asked,
                 at,
                 lease,
@@ -237,31 +237,34 @@
                 Some(false) if !lost => self.held = None,
                 _ => {}
             },
-            Some(ask) => self.asks = Some(ask),
+            Some(call) => self.call = Some(call),
             None => {
                 let row = (row.revision, row.lease.clone());
-                self.asks = Some(Ask::Read {
+                self.call = Some(StoreCall::Read {
                     at: now + luck.answer,
                     row,
                 });
             }
         }
         let held = self.held?;
-        let allowed = held.allows(Millis(now), SEND + SLACK, LEASE);
-        allowed.then_some(Sent {
+        let allowed = held.allows(Millis(now), MAX_SEND_TIME + SEND_SLACK, LEASE_DURATION);
+        allowed.then_some(ReportSend {
             at: now + luck.travel,
             fence: held.epoch,
-            who: 0,
+            contender: 0,
         })
     }
 
     fn read(&mut self, now: u64, (revision, lease): (u64, Option<Lease>), luck: Luck) {
         self.watch.observe(Millis(now), lease.clone());
-        if !lease.is_some_and(|lease| self.me.holds(&lease)) {
+        if !lease.is_some_and(|lease| self.claimant.holds(&lease)) {
             self.held = None;
         }
-        if let LeaseAction::Write(lease) = self.watch.decide(Millis(now), &self.me, LEASE) {
-            self.asks = Some(Ask::Write {
+        if let LeaseAction::Write(lease) =
+            self.watch
+                .decide(Millis(now), &self.claimant, LEASE_DURATION)
+        {
+            self.call = Some(StoreCall::Write {
                 asked: now,
                 at: now + luck.answer,
                 done: Some(now + luck.answer / 2),
@@ -282,40 +285,40 @@
     /// holders, and no holder that comes back within a lease; and somebody acts again
     /// soon after.
     #[test]
-    fn holders_never_act_beside_each_other(
+    fn two_holders_never_report_at_once(
         contenders in 2_usize..4,
         script in proptest::collection::vec(luck(), 64..256),
     ) {
         let mut row = Row::default();
         let mut all: Vec<Contender> = (0..contenders).map(Contender::new).collect();
-        let mut sent: Vec<Sent> = Vec::new();
-        let mut turn = 0;
-        for now in (0..ENDS).step_by(10) {
-            for (who, contender) in all.iter_mut().enumerate() {
-                let luck = match now < CALM {
-                    true => script[turn % script.len()],
+        let mut sent: Vec<ReportSend> = Vec::new();
+        let mut draws = 0;
+        for now in (0..MODEL_END).step_by(10) {
+            for (index, contender) in all.iter_mut().enumerate() {
+                let luck = match now < FAULTS_END {
+                    true => script[draws % script.len()],
                     false => Luck { answer: 5, freeze: None, lost: false, travel: 1 },
                 };
-                turn += 1;
-                sent.extend(contender.step(now, &mut row, luck).map(|sent| Sent { who, ..sent }));
+                draws += 1;
+                sent.extend(contender.step(now, &mut row, luck).map(|send| ReportSend { contender: index, ..send }));
             }
         }
         sent.sort_by_key(|sent| sent.at);
         let mut highest = 0;
         let mut owners: BTreeMap<Fence, usize> = BTreeMap::new();
         let mut last: BTreeMap<usize, u64> = BTreeMap::new();
-        for (number, call) in sent.iter().enumerate() {
-            prop_assert!(call.fence >= highest, "{call:?} after {highest}");
-            highest = call.fence;
-            prop_assert_eq!(*owners.entry(call.fence).or_insert(call.who), call.who);
-            let others = number > 0 && sent[number - 1].who != call.who;
-            if let Some(before) = last.get(&call.who).filter(|_| others) {
-                prop_assert!(call.at - before >= LEASE.0, "{call:?} back after {before}");
+        for (number, send) in sent.iter().enumerate() {
+            prop_assert!(send.fence >= highest, "{send:?} after {highest}");
+            highest = send.fence;
+            prop_assert_eq!(*owners.entry(send.fence).or_insert(send.contender), send.contender);
+            let is_handover = number > 0 && sent[number - 1].contender != send.contender;
+            if let Some(before) = last.get(&send.contender).filter(|_| is_handover) {
+                prop_assert!(send.at - before >= LEASE_DURATION.0, "{send:?} back after {before}");
             }
-            last.insert(call.who, call.at);
+            last.insert(send.contender, send.at);
         }
         // Once all is calm somebody takes over within two leases.
-        let soon = CALM + FROZEN_MOST + 2 * LEASE.0;
-        prop_assert!(sent.iter().any(|call| (CALM..soon).contains(&call.at)));
+        let takeover_limit = FAULTS_END + MAX_FREEZE + 2 * LEASE_DURATION.0;
+        prop_assert!(sent.iter().any(|send| (FAULTS_END..takeover_limit).contains(&send.at)));
     }
 }
