--- a/tests/integration.rs
+++ b/tests/integration.rs
@@ -1,4 +1,5 @@
-//! Integration tests of the product alone: decoders and settings.
+//! Integration tests of redwingpond without its stand-ins: codecs, settings, and the
+//! decisions of gateways and runners.
 
 mod integration {
     mod access;
--- a/tests/integration/access.rs
+++ b/tests/integration/access.rs
@@ -1,4 +1,5 @@
-//! Who is let in, and by how old a configuration.
+//! Which callers are admitted, and how old the configuration may be by which they are
+//! checked.
 
 use redwingpond::{
     base::Millis,
@@ -9,10 +10,12 @@
     routing::{Credential, KeyDigest, Workspace, Workspaces}, //
 };
 
+/// The credential of a caller that sends `text` as its key.
 fn key(text: &str) -> Credential {
     Credential::Key(KeyDigest::of(text.as_bytes()))
 }
 
+/// The workspace `foam` with two keys, and `springs` with one.
 fn workspaces() -> Workspaces {
     let mut all = Workspaces::default();
     for (name, keys) in [("foam", &["f-1", "f-2"][..]), ("springs", &["s-1"])] {
@@ -26,13 +29,15 @@
     all
 }
 
-/// Each key lets its own workspace in, and no other; without a key, or with one that
-/// nobody holds, only open routes answer.
+/// Each key admits its own workspace and no other. Without a key, or with an unknown or
+/// malformed one, only routes that allow anonymous callers answer.
 #[test]
 fn each_key_admits_only_its_workspace() {
     struct Test {
+        /// The outcome on a route that requires a key.
         closed: Result<Option<&'static str>, Denial>,
         credential: Credential,
+        /// The workspace on a route that allows anonymous callers.
         open: Option<&'static str>,
     }
 
@@ -87,21 +92,22 @@
         assert_eq!(name(false), closed, "{:?}", test.credential);
         let open = Ok(test.open.map(str::to_owned));
         assert_eq!(name(true), open, "{:?}", test.credential);
-        // Where no workspaces are configured nobody needs a key.
+        // Without configured workspaces, no caller needs a key.
         assert_eq!(authenticate(None, false, test.credential), Ok(None));
     }
-    // A configuration without a single workspace lets nobody in.
+    // A configuration with an empty list of workspaces admits nobody.
     let none = Workspaces::default();
     let result = authenticate(Some(&none), false, key("f-1"));
     assert_eq!(result, Err(Denial::Unknown));
 }
 
-/// A key that was taken away must stop working on a gateway that hears of nothing: its
-/// configuration is good for less than the time that the operators allow, counted from
-/// when the store was asked.
+/// A revoked key must stop working on a gateway that gets no news of it. Its
+/// configuration is fresh for less than the time that the operators allow, counted from
+/// when the confirming request was sent.
 #[test]
 fn a_configuration_is_fresh_for_a_limited_time() {
     struct Test {
+        /// When the confirming requests were sent.
         confirmed: &'static [u64],
         fresh_until: Option<u64>,
     }
@@ -119,7 +125,7 @@
             confirmed: &[10_000, 12_000],
             fresh_until: Some(16_500),
         },
-        // Answers may overtake each other.
+        // Answers may arrive out of order.
         Test {
             confirmed: &[12_000, 10_000],
             fresh_until: Some(16_500),
@@ -140,7 +146,8 @@
     assert!(Freshness::new(None).is_fresh(Millis(1_000_000)));
 }
 
-/// What turns a caller away has to be asked for after the caller came.
+/// A caller is refused only by a configuration that was requested from the store after
+/// the caller's request arrived.
 #[test]
 fn a_confirmation_counts_from_its_request() {
     let mut freshness = Freshness::new(Some(Millis(5_000)));
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -1,5 +1,5 @@
-//! The pure decisions of gateways and runners, as tables of cases and as
-//! replays of the load they answer.
+//! The decisions of gateways and runners, which are functions without side effects:
+//! tables of cases, and small simulations of the loads that they are made for.
 
 use proptest::prelude::*;
 use redwingpond::{
@@ -18,8 +18,10 @@
     },
 };
 
+/// The place of a runner that is alone in its group.
 const ONLY_RUNNER: Place = Place { count: 1, rank: 0 };
 
+/// An unclaimed bundle of a new batch, with four items, that the runner may take.
 fn offer(bundle: u16) -> Offer {
     Offer {
         age: Millis(0),
@@ -39,6 +41,8 @@
     }
 }
 
+/// A bundle that another runner has held for `since` ms. Its engine takes `pace` times
+/// as long for an event as this runner's.
 fn held(pace: f64, since: u64) -> Holder {
     Holder::Held {
         joinable: true,
@@ -48,6 +52,7 @@
     }
 }
 
+/// A runner whose engine is of the usual kind and has `room` for further items.
 fn usual_runner(place: Place, room: u32) -> Runner {
     Runner {
         place,
@@ -57,7 +62,7 @@
     }
 }
 
-/// Offers to a runner, and the bundle that it takes.
+/// The offers to a runner, and the bundle that it takes.
 struct Choice {
     name: &'static str,
     offers: Vec<Offer>,
@@ -73,7 +78,8 @@
     }
 }
 
-/// Which of the bundles that nobody runs a runner takes.
+/// A runner takes one of the bundles that nobody holds: it must be able to run it, and
+/// prefers its own share, what is due first, and its home model.
 #[test]
 fn a_runner_takes_the_best_unheld_bundle() {
     let foreign = Offer {
@@ -89,7 +95,7 @@
             takes: Some(1),
         },
         Choice {
-            name: "each runner its own of a new batch",
+            name: "its own share of a new batch",
             offers: vec![offer(0), offer(1), offer(2)],
             place: Place { count: 3, rank: 2 },
             room: 12,
@@ -116,7 +122,7 @@
             takes: None,
         },
         Choice {
-            name: "nothing its engine is too old for",
+            name: "nothing that needs newer weights than the engine has",
             offers: vec![Offer {
                 loaded: false,
                 ..offer(0)
@@ -126,14 +132,14 @@
             takes: None,
         },
         Choice {
-            name: "another model's bundle only after a while",
+            name: "no new bundle of another model",
             offers: vec![foreign],
             place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
         Choice {
-            name: "another model's bundle that nobody took",
+            name: "a bundle of another model that nobody took for 500 ms",
             offers: vec![Offer {
                 age: Millis(500),
                 ..foreign
@@ -147,12 +153,13 @@
     }
 }
 
-/// Which of the bundles that another runner holds a runner joins.
+/// A runner joins a bundle of another runner only if that one is much slower and this
+/// one has room for all of the bundle.
 #[test]
 fn a_runner_joins_only_slow_holders() {
     for test in [
         Choice {
-            name: "no holder of the usual pace is joined",
+            name: "a holder of the usual pace is not joined",
             offers: vec![Offer {
                 holder: held(1.2, 3_000),
                 ..offer(0)
@@ -172,7 +179,7 @@
             takes: Some(0),
         },
         Choice {
-            name: "an unclaimed bundle before a slow holder's",
+            name: "an unclaimed bundle goes before a slow holder's",
             offers: vec![
                 Offer {
                     holder: held(3.5, 800),
@@ -185,7 +192,7 @@
             takes: Some(5),
         },
         Choice {
-            name: "a slow holder's bundle only whole",
+            name: "without room for all of its items, a slow holder's bundle is not joined",
             offers: vec![Offer {
                 holder: held(3.5, 800),
                 ..offer(0)
@@ -199,9 +206,9 @@
     }
 }
 
-/// A step of 24 bundles arrives at five runners at the same moment. Each takes
-/// three before it sees what the others took: no two take the same, so no
-/// claim is lost.
+/// A step of 24 bundles arrives at five runners at the same moment. Each takes three
+/// before it sees the claims of the others. No two take the same bundle, so no claim is
+/// lost to another.
 #[test]
 fn a_new_batch_is_taken_without_collisions() {
     let mut taken = Vec::new();
@@ -221,7 +228,8 @@
     assert_eq!((all, taken.len()), (15, 15));
 }
 
-/// While no claim can be written, each bundle has exactly one runner.
+/// While the store is unreachable and no claim can be written, each unclaimed bundle is
+/// assigned to exactly one runner.
 #[test]
 fn each_bundle_is_assigned_to_one_runner() {
     for bundle in 0..24 {
@@ -241,9 +249,9 @@
     assert!(!is_assigned(&claimed, ONLY_RUNNER));
 }
 
-/// The store goes away as it answers a claim. The runner that made it hears of it
-/// from the feed only; all others know whose the bundle is, and the rule gives it
-/// to another: the holder runs it.
+/// The store becomes unreachable while it answers a claim, and the claiming runner
+/// learns of its claim from the feed only. All others know that it holds the bundle, so
+/// it must run it even if its place assigns the bundle to another runner.
 #[test]
 fn a_claim_known_only_from_the_feed_is_run_in_an_outage() {
     let other = Place { count: 3, rank: 1 };
@@ -260,8 +268,8 @@
     assert!(!is_assigned(&unloaded, other));
 }
 
-/// An engine that takes four times as long as usual gets a quarter of its
-/// slots; an unknown or a merely full one gets all.
+/// An engine that takes four times as long as usual uses a quarter of its slots. One of
+/// unknown pace, or one that is only slower because it is full, uses all.
 #[test]
 fn a_straggler_uses_fewer_slots() {
     for (pace, usual, slots) in [
@@ -275,7 +283,7 @@
     assert_eq!(usable_slots(2, 120.0, 30.0), 1);
 }
 
-/// A situation of an engine, and whether it takes new weights.
+/// The situation of an engine, and whether it loads new weights.
 struct LoadCase {
     name: &'static str,
     situation: Situation,
@@ -293,6 +301,8 @@
     }
 }
 
+/// An idle engine of the model's own runners that holds version 4, 2 s after version 5
+/// was named. No other engine loads or has version 5.
 const IDLE_ENGINE: Situation = Situation {
     outage: None,
     held: 4,
@@ -311,13 +321,13 @@
     waiting: false,
 };
 
-/// A load that nothing waits for gives way to the loads of models that have fewer
-/// engines ready, and to those whose turn it is.
+/// A load that no work waits for gives way to the loads of models with fewer engines
+/// ready, and to the runners whose turn it is.
 #[test]
 fn loads_without_waiting_work_give_way() {
     for test in [
         LoadCase {
-            name: "half are ready, and another model's engine loads",
+            name: "half of the engines are ready, and another engine loads",
             situation: Situation {
                 loading: 1,
                 ready: 3,
@@ -326,7 +336,7 @@
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "half are ready, and nobody loads",
+            name: "half of the engines are ready, and none loads",
             situation: Situation {
                 ready: 3,
                 ..IDLE_ENGINE
@@ -334,7 +344,7 @@
             decision: LoadDecision::Load(5),
         },
         LoadCase {
-            name: "too few are ready, and another loads",
+            name: "less than half are ready, and another engine loads",
             situation: Situation {
                 loading: 1,
                 ready: 2,
@@ -343,7 +353,7 @@
             decision: LoadDecision::Load(5),
         },
         LoadCase {
-            name: "another's turn",
+            name: "it is another runner's turn",
             situation: Situation {
                 is_turn: false,
                 ..IDLE_ENGINE
@@ -355,12 +365,12 @@
     }
 }
 
-/// When an engine takes weights that no work needs yet.
+/// When an engine loads weights that no work needs yet.
 #[test]
 fn engines_load_weights_early_while_idle() {
     for test in [
         LoadCase {
-            name: "the newest is held",
+            name: "the engine holds the newest version",
             situation: Situation {
                 held: 5,
                 ..IDLE_ENGINE
@@ -368,12 +378,12 @@
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "nothing waits",
+            name: "no work waits",
             situation: IDLE_ENGINE,
             decision: LoadDecision::Load(5),
         },
         LoadCase {
-            name: "work waits that the held version serves",
+            name: "work waits that the held version may run",
             situation: Situation {
                 waiting: true,
                 ..IDLE_ENGINE
@@ -381,7 +391,7 @@
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "the step may be on its way",
+            name: "the version was just named, and its step may follow",
             situation: Situation {
                 named_for: Millis(100),
                 ..IDLE_ENGINE
@@ -397,7 +407,7 @@
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "two load already",
+            name: "two engines load already",
             situation: Situation {
                 loading: 2,
                 ..IDLE_ENGINE
@@ -405,7 +415,7 @@
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "nine of 46 may load at once",
+            name: "eight of 46 load, and nine may",
             situation: Situation {
                 loading: 8,
                 models: 3,
@@ -415,7 +425,7 @@
             decision: LoadDecision::Load(5),
         },
         LoadCase {
-            name: "nine of 46 load already",
+            name: "nine of 46 engines load already",
             situation: Situation {
                 loading: 9,
                 models: 3,
@@ -429,11 +439,11 @@
     }
 }
 
-/// One bundle of a model waits for a slot, and other models' engines are idle.
-/// All of them loaded its weights at the same moment, three seconds after its
-/// batch came, and were away from their own models' next steps for two seconds.
-/// Now they follow one another, and those with an earlier place leave the later
-/// ones nothing to do.
+/// One bundle of a model waits for a slot while the engines of other models are idle.
+/// All of them loaded the model's weights at the same moment, three seconds after the
+/// batch arrived, and were unavailable to the next steps of their own models for two
+/// seconds. They must load one after another, so that the first ones leave no work to
+/// the others.
 #[test]
 fn other_models_engines_load_one_after_another() {
     let helpers = |waited: u64| {
@@ -458,9 +468,9 @@
     assert_eq!(counts, [0, 1, 2, 5]);
 }
 
-/// A trainer that fell behind asks for two steps within two seconds. Half of its
-/// engines take the version of the first before they work on it, so that the
-/// second finds them ready; the other half works on the first meanwhile.
+/// A trainer that is behind asks for two steps within two seconds. Half of its engines
+/// load the version of the first step before they work on it, so that they are ready
+/// for the second; the other half works on the first step meanwhile.
 #[test]
 fn half_of_the_engines_load_early_for_a_near_step() {
     let loads = |named: u64, next_near: bool| -> Vec<usize> {
@@ -496,18 +506,21 @@
     assert_eq!(
         version_plan::decide(&alone),
         LoadDecision::Wait,
-        "nobody else would work"
+        "no other engine would work on the first step"
     );
 }
 
-/// An engine's life as the store announces it, and as a refusal told it.
+/// An engine's incarnation as the store announces it, and as a refusal named it.
 #[test]
 fn an_engines_current_incarnation_is_known() {
     struct Test {
         name: &'static str,
         announced: Option<&'static str>,
+        /// Whether a refusal of a request to `a` named `b`.
         mismatch: bool,
+        /// Whether a report from there has shown a model of the runner's service.
         confirmed: bool,
+        /// The incarnation that gets requests.
         current_id: Option<&'static str>,
     }
 
@@ -525,33 +538,33 @@
     };
     for test in [
         Test {
-            name: "only announced",
+            name: "an announcement without a mismatch",
             mismatch: false,
             current_id: Some("a"),
             ..base
         },
         Test {
-            name: "the life before is still announced",
+            name: "the previous incarnation is still announced",
             ..base
         },
         Test {
-            name: "the life before lapsed",
+            name: "the announcement of the previous incarnation expired",
             announced: None,
             ..base
         },
         Test {
-            name: "a server of another service may have the address",
+            name: "a server of another service may now have the address",
             confirmed: false,
             current_id: Some("a"),
             ..base
         },
         Test {
-            name: "the store has caught up",
+            name: "the store announces the new incarnation",
             announced: Some("b"),
             ..base
         },
         Test {
-            name: "a third life is announced",
+            name: "a third incarnation is announced",
             announced: Some("c"),
             current_id: Some("c"),
             ..base
@@ -565,8 +578,9 @@
     assert!(is_caught_up(Some("b"), &mismatch) && is_caught_up(Some("c"), &mismatch));
 }
 
-/// The store is away, and no heartbeat tells who loads: idle engines take the
-/// named weights in waves by their place, so that the next step finds them.
+/// While the store is unreachable, no heartbeat shows which engines load. Idle engines
+/// load the named weights in waves by their place, so that they are ready for the next
+/// step.
 #[test]
 fn weights_are_loaded_in_waves_during_an_outage() {
     let in_outage = |millis: u64, rank: usize| Situation {
@@ -578,12 +592,12 @@
     };
     for test in [
         LoadCase {
-            name: "a moment without the store",
+            name: "the store has only just become unreachable",
             situation: in_outage(200, 0),
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "the first wave, whatever old heartbeats say",
+            name: "the first wave, whatever old heartbeats say of other loads",
             situation: in_outage(500, 0),
             decision: LoadDecision::Load(5),
         },
@@ -598,7 +612,7 @@
             decision: LoadDecision::Load(5),
         },
         LoadCase {
-            name: "a version that the returning store has told",
+            name: "a version that was named only as the store returned",
             situation: Situation {
                 named_for: Millis(10),
                 ..in_outage(7_000, 0)
@@ -626,12 +640,12 @@
     }
 }
 
-/// When an engine takes weights that work at hand needs.
+/// When an engine loads weights that waiting work needs.
 #[test]
 fn needed_weights_are_loaded_soon() {
     for test in [
         LoadCase {
-            name: "too old for the work at hand",
+            name: "the held version is too old",
             situation: Situation {
                 named_for: Millis(0),
                 needed: 5,
@@ -641,7 +655,7 @@
             decision: LoadDecision::Load(5),
         },
         LoadCase {
-            name: "too old, but two load already",
+            name: "too old, but two engines load already",
             situation: Situation {
                 loading: 2,
                 named_for: Millis(900),
@@ -651,7 +665,7 @@
             decision: LoadDecision::Wait,
         },
         LoadCase {
-            name: "too old, and who loads may be gone",
+            name: "too old for so long that the loading engines may have crashed",
             situation: Situation {
                 loading: 2,
                 named_for: Millis(1_900),
@@ -679,11 +693,13 @@
     slower: false,
 };
 
-/// Deals `count` runners out that have no model yet.
+/// Assigns `count` runners that have no home model yet.
 fn assign(demands: &[Demand], count: usize) -> Vec<usize> {
     assign_models(demands, &vec![NEW; count])
 }
 
+/// Each model gets runners in proportion to its demand, and at least one while there
+/// are enough.
 #[test]
 fn runners_are_assigned_by_demand() {
     struct Test {
@@ -733,15 +749,16 @@
     }
 }
 
-/// Three trainers ask for as many items each, but one model's texts are short.
-/// Dealt by items, the models with long texts got a third of the runners each,
-/// and their steps fell behind while the first model's engines were idle. One
-/// odd step moves few runners, and a trainer without estimates makes all count
-/// by items.
+/// Three trainers ask for about as many items each, but one model's texts are short.
+/// When runners were assigned by items, the models with long texts got a third of the
+/// runners each, and their steps fell behind while the first model's engines were idle.
+/// One unusual step must move few runners only. If any trainer gives no estimates, all
+/// demand counts by items.
 #[test]
 fn long_texts_get_more_runners() {
     struct Test {
         name: &'static str,
+        /// Model, step, items and expected tokens.
         batches: &'static [(&'static str, u64, usize, u64)],
         shares: &'static [usize],
     }
@@ -762,7 +779,7 @@
             shares: &[14, 15, 15],
         },
         Test {
-            name: "one odd step among four, an old one forgotten",
+            name: "one unusual step among the newest four, and an older one that does not count",
             batches: &[
                 ("a", 1, 10, 900_000),
                 ("a", 2, 10, 100_000),
@@ -774,7 +791,7 @@
             shares: &[12, 32],
         },
         Test {
-            name: "a model without batches keeps one",
+            name: "a model without batches has one runner",
             batches: &[("a", 1, 10, 50_000)],
             shares: &[43, 1],
         },
@@ -807,8 +824,8 @@
 }
 
 proptest! {
-    /// Every runner has a model, whatever is asked for. One runner more moves at
-    /// most one of the others, and demands that change by a twentieth move none.
+    /// Every runner gets a model, whatever the demand, and repeating the assignment
+    /// changes nothing. One more runner moves at most one of the others.
     #[test]
     fn assignments_are_complete_and_stable(
         works in proptest::collection::vec(10.0_f64..1_000.0, 1..5),
@@ -828,8 +845,8 @@
         prop_assert!(moved <= 1, "{moved} of {count} moved");
     }
 
-    /// However runners stand, the models' shares are right within a runner or so
-    /// after a few turns, and then nobody moves.
+    /// From any earlier home models, one assignment is enough: repeating it changes
+    /// nothing, and no model is left without a runner while there are enough.
     #[test]
     fn assignments_settle(
         works in proptest::collection::vec(10.0_f64..1_000.0, 1..5),
@@ -851,9 +868,10 @@
     }
 }
 
-/// Three trainers share six usual engines and three of the slower kind. One has
-/// short texts, and its steps had time to spare at usual engines, while the other
-/// two waited for texts of 9.5 s at slower ones: these get the usual engines.
+/// Three trainers share six usual engines and three of the slower kind. One trainer has
+/// short texts, and its steps were early on usual engines, while the other two waited
+/// for texts that took 9.5 s on slower ones. The models with the long texts must get
+/// the usual engines.
 #[test]
 fn the_longest_texts_get_the_fastest_engines() {
     let asked = |items, tokens| {
@@ -883,9 +901,9 @@
     assert!(assigned[6..].iter().filter(|home| **home == 2).count() >= 2);
 }
 
-/// A trainer's steps ask for a tenth more or less each time, an engine is lost,
-/// another is slow for a moment. Runners were dealt out anew each time, and an
-/// engine served three models in ten seconds: now at most one moves.
+/// Demand changes by a tenth with each step, or an engine is lost. Runners were
+/// reassigned each time, and an engine served three models within ten seconds. None may
+/// move for the demand, and at most one for the lost engine.
 #[test]
 fn runners_keep_their_models() {
     let works = |a: f64, b: f64, c: f64| [demand("a", a), demand("b", b), demand("c", c)];
@@ -912,8 +930,9 @@
     assert!(moved.count() <= 1, "{after:?}");
 }
 
-/// Nine engines become idle at the same moment and could all take the next
-/// weights: by turns, two at most begin before they see each other's loads.
+/// Nine engines become idle at the same moment, and each could load the next weights.
+/// Because of the turns, two at most begin before they see each other's loads. Every
+/// engine gets a turn.
 #[test]
 fn idle_engines_load_by_turns() {
     for (count, most) in [(9, 1), (46, 4), (1, 1)] {
@@ -922,10 +941,11 @@
             assert!((0..count).filter(turn).count() <= most, "{count}");
         }
         let each = |rank| (0..4_000).any(|now| is_load_turn(Millis(now), Place { count, rank }));
-        assert!((0..count).all(each), "{count}: someone has no turn");
+        assert!((0..count).all(each), "{count}: an engine has no turn");
     }
 }
 
+/// An idle server in the caller's data centre.
 fn candidate() -> Candidate {
     Candidate {
         connected: true,
@@ -939,6 +959,7 @@
     }
 }
 
+/// A call goes to the server that is expected to answer first.
 #[test]
 fn a_call_goes_where_it_is_answered_first() {
     struct Test {
@@ -951,7 +972,7 @@
         Test {
             candidates: Vec::new(),
             chosen: None,
-            name: "nowhere",
+            name: "no server",
         },
         Test {
             candidates: vec![
@@ -962,7 +983,7 @@
                 candidate(),
             ],
             chosen: Some(1),
-            name: "the nearer of two alike",
+            name: "the nearer of two equal servers",
         },
         Test {
             candidates: vec![
@@ -973,7 +994,7 @@
                 candidate(),
             ],
             chosen: Some(1),
-            name: "one that is connected of two alike",
+            name: "the connected one of two equal servers",
         },
         Test {
             candidates: vec![
@@ -987,7 +1008,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "a free one further away before a full one",
+            name: "a free server in another data centre before a full one",
         },
         Test {
             candidates: vec![
@@ -1001,7 +1022,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "a fast one with work before a slow one",
+            name: "a fast server with calls in flight before a slow one",
         },
         Test {
             candidates: vec![
@@ -1015,7 +1036,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "a busy one before one that failed",
+            name: "a busy server before one whose circuit breaker is open",
         },
         Test {
             candidates: vec![
@@ -1029,7 +1050,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "any other before one that was tried",
+            name: "any other server before one that this call was sent to",
         },
     ] {
         let chosen = server_choice::choose(&test.candidates, 0);
@@ -1037,11 +1058,10 @@
     }
 }
 
-/// Callers that see four equal servers don't all choose the same one.
-/// The estimates of a service's equal servers differ by chance by up to 25 ms: a
-/// caller stays with the few servers that it is connected to. At 4 ms for a
-/// connection it opened one for every second call. A server that has become
-/// slow is left all the same.
+/// The latency estimates of a service's equal servers differ by chance by up to 25 ms.
+/// A caller stays with the few servers that it is connected to, and leaves them if they
+/// become slow. When a new connection counted as 4 ms, a caller opened one for every
+/// second call.
 #[test]
 fn a_caller_stays_with_the_servers_that_it_knows() {
     let servers = |slow: f64| -> Vec<Candidate> {
@@ -1067,11 +1087,12 @@
     assert_eq!(
         opened(0.0),
         0,
-        "connections opened to servers that are no faster"
+        "connections opened to servers that are not faster"
     );
     assert_eq!(opened(100.0), 200, "calls that left the slow servers");
 }
 
+/// Callers that see four equal servers don't all choose the same one.
 #[test]
 fn equal_servers_share_the_calls() {
     let candidates = vec![candidate(); 4];
@@ -1084,6 +1105,8 @@
     assert_eq!(counts, [100; 4]);
 }
 
+/// A call that is not answered is sent to a second server after a multiple of the
+/// typical duration, and earlier if its deadline is near.
 #[test]
 fn a_second_server_is_asked_in_time() {
     for (typical, left, wait) in [(25.0, 1_500, 100), (80.0, 2_000, 210), (80.0, 300, 100)] {
@@ -1091,7 +1114,7 @@
     }
 }
 
-/// A batch is given up before it is removed, and never removed while it is open.
+/// An unfinished batch is given up when it is too old. It is removed only after that.
 #[test]
 fn batches_are_given_up_before_they_are_removed() {
     struct Test {
@@ -1137,10 +1160,10 @@
     }
 }
 
-/// A step's bundles, longest first, before two usual engines and one of the
-/// slower kind with 16 slots each. Its longest texts ran at the slower engine,
-/// 9.5 s instead of 7.5 s: now the usual ones take what they have room for, and
-/// the slower one takes the shortest of the rest, a moment later.
+/// A step's bundles are offered to two usual engines and one of the slower kind, with
+/// 16 slots each. When the slower engine ran the longest texts, they took 9.5 s instead
+/// of 7.5 s. The usual engines must take the longest texts that they have room for. The
+/// slower one waits a moment and then takes the shortest of the rest.
 #[test]
 fn long_texts_run_at_the_faster_engines() {
     let slower = Runner {
@@ -1149,7 +1172,10 @@
         ..usual_runner(ONLY_RUNNER, 16)
     };
     let mut offers: Vec<Offer> = (0..15).map(offer).collect();
-    assert!(choose(&offers, slower).is_none(), "a new bundle");
+    assert!(
+        choose(&offers, slower).is_none(),
+        "a slower engine took a new bundle"
+    );
     for rank in 0..2 {
         let mut room = 16;
         let place = Place { count: 2, rank };
@@ -1165,7 +1191,8 @@
     assert_eq!(choose(&offers, slower).map(|offer| offer.order), Some(14));
 }
 
-/// Which runner joins a bundle whose holder's engine is of the slower kind.
+/// A runner with a faster engine joins a bundle whose holder's engine is of the slower
+/// kind, after some time. A runner whose engine is as slow does not.
 #[test]
 fn a_slower_engines_long_texts_are_joined() {
     struct Test {
@@ -1177,7 +1204,7 @@
 
     for test in [
         Test {
-            name: "a faster runner, once the short texts are whole",
+            name: "a faster runner, once the short texts are complete",
             since: 1_600,
             slower: false,
             joins: true,
@@ -1189,7 +1216,7 @@
             joins: false,
         },
         Test {
-            name: "a runner as slow",
+            name: "a runner with a slower engine too",
             since: 1_600,
             slower: true,
             joins: false,
@@ -1216,8 +1243,9 @@
     }
 }
 
-/// An engine's pace by the gaps of its runs: known within a second, undisturbed
-/// by one long pause, and followed within three when the engine turns slow.
+/// An engine's pace is measured by the gaps between the events of its runs. It is known
+/// within a second, not changed by a single long pause, and follows within three
+/// seconds when the engine becomes slow.
 #[test]
 fn an_engines_pace_is_known_from_running_streams() {
     let mut pace = Pace::default();
@@ -1226,7 +1254,10 @@
         pace.update(Millis(from))
     };
     assert!((play(500, 40.0, 50) - 40.0).abs() < 0.1);
-    assert!((play(1_000, 40.0, 4) - 40.0).abs() < 0.1, "too few gaps");
+    assert!(
+        (play(1_000, 40.0, 4) - 40.0).abs() < 0.1,
+        "a window with too few gaps counts"
+    );
     let mut known = 0.0;
     for window in 3..9 {
         known = play(window * 500, 160.0, 50);
@@ -1241,11 +1272,12 @@
     let known = pace.update(Millis(1_000));
     assert!(
         !is_slower(known, 40.0, false),
-        "{known} after a load of weights"
+        "{known} after a pause for loading weights"
     );
 }
 
-/// What counts as slower, with a margin between the ways there and back.
+/// An engine counts as slower from one threshold on and as usual again below a lower
+/// one. The usual pace is that of the faster engines.
 #[test]
 fn engines_of_a_slower_kind_are_known() {
     for (pace, known, before, slower) in [
@@ -1263,9 +1295,10 @@
     assert!(usual_pace(Vec::new()).abs() < 0.1);
 }
 
-/// The store loses a third of its answers, then takes sixty times as long, then is
-/// as ever. A lost answer is asked for again within 0.3 s instead of 1.5 s; a slow
-/// one is waited for after the first that was given up too soon.
+/// The store loses a third of its answers, then takes sixty times as long for each,
+/// then works normally again. A lost answer must be asked for again within 0.3 s, where
+/// a fixed timeout took 1.5 s. A slow answer must be waited for after the first ones
+/// that timed out.
 #[test]
 fn lost_answers_are_distinguished_from_slow_ones() {
     let mut adaptive = AdaptiveTimeout::default();
@@ -1275,7 +1308,7 @@
     let mut now = Millis(2_000);
     for _ in 0..10 {
         let wait = adaptive.timeout(now);
-        assert!(wait <= Millis(300), "{wait} for a lost answer");
+        assert!(wait <= Millis(300), "waited {wait} for a lost answer");
         now = now + wait;
         adaptive.note_timeout();
         for _ in 0..2 {
@@ -1284,22 +1317,22 @@
         }
     }
 
-    let mut given_up = 0;
+    let mut timed_out = 0;
     for _ in 0..20 {
         let wait = adaptive.timeout(now);
         now = now + Millis(wait.0.min(540));
         if wait < Millis(540) {
-            given_up += 1;
+            timed_out += 1;
             adaptive.note_timeout();
         } else {
             adaptive.note(now, Millis(540));
         }
     }
-    assert!(given_up <= 2, "{given_up} of 20 slow answers given up");
+    assert!(timed_out <= 2, "{timed_out} of 20 slow answers timed out");
     assert!(adaptive.timeout(now + Millis(20_000)) <= Millis(300));
 }
 
-/// A claim, its holder's last heartbeat, and whether the holder still works.
+/// A claim's holder by its last heartbeat, and whether it still works.
 struct HolderCase {
     name: &'static str,
     heartbeat: Option<LastHeartbeat>,
@@ -1307,8 +1340,9 @@
     working: bool,
 }
 
-/// A claim is there, seen at 1,000 ms at revision 50, by life 20 of its holder. Whether
-/// others take its bundle over is decided by what the holder wrote last.
+/// A claim was seen at 1,000 ms at revision 50, written by the holder's incarnation
+/// with token 20. Whether other runners take its bundle over depends on what the holder
+/// wrote last.
 #[test]
 fn a_claims_holder_is_known_to_work() {
     let claim = ClaimWrite {
@@ -1332,61 +1366,61 @@
             working: true,
         },
         HolderCase {
-            name: "no heartbeat for long",
+            name: "no heartbeat for 2.3 s",
             heartbeat: None,
             now: 3_300,
             working: false,
         },
         HolderCase {
-            name: "the heartbeat of its start",
+            name: "only the heartbeat of its start, older than the claim",
             heartbeat: heartbeat(900, 20, 20, false),
             now: 1_100,
             working: true,
         },
         HolderCase {
-            name: "the heartbeat of its start, and silence since",
+            name: "only the heartbeat of its start, and silence since the claim",
             heartbeat: heartbeat(900, 20, 20, false),
             now: 3_300,
             working: false,
         },
         HolderCase {
-            name: "its engine has failed since",
+            name: "a newer heartbeat says that it does not work",
             heartbeat: heartbeat(1_050, 51, 20, false),
             now: 1_100,
             working: false,
         },
         HolderCase {
-            name: "heartbeats go on",
+            name: "its heartbeats continue",
             heartbeat: heartbeat(9_000, 90, 20, true),
             now: 9_500,
             working: true,
         },
         HolderCase {
-            name: "heartbeats have ended",
+            name: "its heartbeats have stopped",
             heartbeat: heartbeat(9_000, 90, 20, true),
             now: 11_400,
             working: false,
         },
         HolderCase {
-            name: "its next life",
+            name: "a heartbeat of its next incarnation",
             heartbeat: heartbeat(1_050, 51, 51, true),
             now: 1_100,
             working: false,
         },
         HolderCase {
-            name: "a late claim of the life before",
+            name: "a late claim of the previous incarnation",
             heartbeat: heartbeat(900, 40, 40, true),
             now: 1_100,
             working: false,
         },
         HolderCase {
-            name: "the heartbeat of the life before",
+            name: "the heartbeat of the previous incarnation",
             heartbeat: heartbeat(900, 15, 10, true),
             now: 1_100,
             working: true,
         },
         HolderCase {
-            name: "an outage has hidden all heartbeats",
+            name: "heartbeat times are reset after an outage",
             heartbeat: heartbeat(8_000, 20, 20, false),
             now: 8_100,
             working: true,
@@ -1398,18 +1432,18 @@
     }
 }
 
-/// Steps of one model, and the mode of each.
+/// The open steps of one model, and the expected mode of each.
 struct ModeCase {
     name: &'static str,
-    /// When each step is due and its waiting work, in s of one slot.
+    /// When each step is due, in s, and its waiting work in s of one slot.
     steps: Vec<(u64, u64)>,
     slots: u32,
     modes: Vec<StepMode>,
 }
 
-/// It is second 10, and a slot takes 1 ms for a token. A step that can be whole in
-/// time begins with its longest texts; one that can't is worked off by groups; what
-/// is late makes way.
+/// It is second 10, and a slot takes 1 ms per token. A step that can be complete in
+/// time starts with its longest texts. One that can't is run group by group. One that
+/// is late gives way.
 #[test]
 fn a_steps_mode_depends_on_what_can_be_in_time() {
     use StepMode::{ByGroup, Late, Whole};
@@ -1421,19 +1455,19 @@
             modes: vec![Whole],
         },
         ModeCase {
-            name: "a third of them is left",
+            name: "only a third of the engines is left",
             steps: vec![(17, 190)],
             slots: 30,
             modes: vec![ByGroup],
         },
         ModeCase {
-            name: "the step before takes its time first",
+            name: "the earlier step uses up the engines first",
             steps: vec![(14, 60), (17, 130)],
             slots: 30,
             modes: vec![Whole, ByGroup],
         },
         ModeCase {
-            name: "a late step waits for the others",
+            name: "a late step gives way to the next",
             steps: vec![(10, 90), (17, 120)],
             slots: 30,
             modes: vec![Late, Whole],
@@ -1462,17 +1496,18 @@
     }
 }
 
-/// Two runners free a slot each while a step is worked off by groups. They take the
-/// next bundles in line, each its own; what its trainer waits for goes before the
-/// groups beyond, and late steps before those but after all else.
+/// Two runners get a free slot each while a step is run group by group. They take the
+/// next bundles in the order of the groups, each a different one. Late steps come after
+/// steps that may be in time, and surplus groups, which no trainer waits for, come
+/// last.
 #[test]
 fn a_late_steps_groups_are_taken_one_after_another() {
-    let by_group = |line: u16| Offer {
+    let by_group = |position: u16| Offer {
         mode: StepMode::ByGroup,
-        // The longest texts stand at the end of the line.
-        order: 100 - line,
-        position: usize::from(line),
-        ..offer(line)
+        // The longest texts are in the last groups.
+        order: 100 - position,
+        position: usize::from(position),
+        ..offer(position)
     };
     let late = Offer {
         due: Millis(3_000),
@@ -1503,11 +1538,12 @@
     assert_eq!(taken(&offers[..1], 0), Some(5));
 }
 
-/// What a slot takes for an expected token, by runs whose estimates are off by half.
+/// The time of a slot per expected token is learned from runs whose estimates are off
+/// by half. Without estimates, an item counts as one token.
 #[test]
 fn a_slots_rate_is_learned_from_its_runs() {
     let mut rate = Rate::default();
-    assert!(rate.token_ms() <= 0.0, "unknown at first");
+    assert!(rate.token_ms() <= 0.0, "known without any run");
     for run in 0..200 {
         let expected = if run % 2 == 0 { 300 } else { 900 };
         rate.note(expected, 480.0);
@@ -1522,8 +1558,8 @@
     assert!((699.0..701.0).contains(&unestimated.token_ms()));
 }
 
-/// The groups beyond what trainers wait for go with the others while there is room for
-/// all, and last once there is not.
+/// Surplus groups, which no trainer waits for, go together with the others while the
+/// engines have capacity for all of them, and last otherwise.
 #[test]
 fn surplus_groups_go_last_when_engines_are_scarce() {
     struct Test {
--- a/tests/integration/duties.rs
+++ b/tests/integration/duties.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of a program's duties.
+//! Start and stop of a program's duties, the threads that it is made of.
 
 use redwingpond::{
     base::Millis,
@@ -9,10 +9,9 @@
     time::Duration, //
 };
 
-/// A program is stopped while its duties are still starting, as on an instance
-/// that is replaced at once. Every duty ends: one that came up after the others
-/// had ended once waited for good, and the program was killed at the end of its
-/// grace.
+/// A program is stopped while its duties are still starting, as on an instance that is
+/// replaced at once. Every duty must end. A duty that started after the others had
+/// ended waited forever, and the program was killed at the end of its grace period.
 #[test]
 fn a_stop_at_the_start_ends_every_duty() {
     let (sender, ended) = mpsc::channel();
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -1,4 +1,5 @@
-//! What lies in the store, and what a follower makes of it.
+//! The rows that are kept in the store: how batches and results are encoded, and how a
+//! follower applies changes and listings.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -25,6 +26,7 @@
 };
 use std::collections::BTreeMap;
 
+/// An item of `group` with a body of `size` bytes; `number` is its expected length.
 fn item(number: usize, group: &str, size: usize) -> Item {
     Item {
         body: Bytes::from(vec![7; size]),
@@ -37,6 +39,7 @@
     }
 }
 
+/// A submission of `items`, otherwise with default values.
 fn submission(items: Vec<Item>) -> Submission {
     Submission {
         host: "h".to_owned(),
@@ -52,8 +55,8 @@
     }
 }
 
-/// A batch of any size is written in transactions that the store takes, the
-/// head last, and every item is found in the chunk that the head names.
+/// A batch of any size is written in transactions within the store's limits, the head
+/// last. Each item is in the chunk that the head names.
 #[test]
 fn batches_of_any_size_fit_the_store() {
     struct Test {
@@ -101,7 +104,7 @@
     }
 }
 
-/// The bundles with the longest items begin first.
+/// Bundles are ordered by their longest item, the longest first.
 #[test]
 fn long_bundles_begin_first() {
     let items = vec![
@@ -115,9 +118,9 @@
     assert_eq!(head.bundle_order(), [1, 0, 2]);
 }
 
-/// A trainer waits for two of three groups: those that stand first in its submission,
-/// as groups that are left over from an earlier step do. Without a number it waits for
-/// all.
+/// A trainer waits for two of three groups: the first ones of its submission, where
+/// groups left over from an earlier step stand. The others are surplus. Without a
+/// number it waits for all.
 #[test]
 fn groups_that_a_trainer_does_not_wait_for_are_surplus() {
     struct Test {
@@ -147,14 +150,15 @@
     }
 }
 
+/// The items of each bundle.
 fn bundles(head: &Head) -> Vec<Vec<u16>> {
     let bundles = head.bundles.iter();
     bundles.map(|bundle| bundle.items.clone()).collect()
 }
 
-/// A step of 16 groups of 16 items comes to 15 engines with 6 slots each. Its
-/// groups are dealt out in bundles of four, so that no engine runs one group
-/// in three turns while others are idle; each item is in one bundle.
+/// A step of 16 groups of 16 items arrives at 15 engines with 6 slots each. Groups are
+/// split into bundles of four items, so that no engine runs a whole group in three
+/// rounds while others are idle. Each item is in one bundle.
 #[test]
 fn large_groups_are_split_into_bundles() {
     let group = |number: usize| format!("g{}", number / 16);
@@ -166,7 +170,7 @@
     all.sort_unstable();
     assert_eq!(all, (0..256).collect::<Vec<u16>>());
 
-    // Five items make two bundles of about the same size.
+    // Five items make two bundles of nearly equal size.
     let items = (0..5).map(|number| item(number, "g", 0)).collect();
     let (head, _) = Head::of(&submission(items), Millis(0));
     let sizes: Vec<usize> = head
@@ -177,6 +181,7 @@
     assert_eq!(sizes, [3, 2]);
 }
 
+/// A finished sample with a text of `size` bytes.
 fn sample(number: usize, size: usize) -> Sample {
     Sample {
         id: format!("item-{number}"),
@@ -187,6 +192,7 @@
     }
 }
 
+/// A row as the feed reports it; without a value it was removed.
 fn row(key: &str, revision: u64, value: Option<&'static str>) -> Row {
     Row {
         part: String::new(),
@@ -196,7 +202,8 @@
     }
 }
 
-/// What others are told of a table is each row's last change, and all of them or none.
+/// A view that passes changes on to others returns the last change of each row after a
+/// revision, or `None` if it does not know all of them.
 #[test]
 fn a_view_returns_the_rows_changed_since_a_revision() {
     struct Test {
@@ -263,7 +270,9 @@
     }
 }
 
-/// The names of removed rows grew with all rows that were ever written.
+/// A view keeps removed rows only for a while: their number grew with all rows ever
+/// written. A late change must not restore a removed row as long as the view remembers
+/// it.
 #[test]
 fn removed_rows_are_forgotten() {
     let mut view = TableView::default();
@@ -277,21 +286,17 @@
     view.prune();
     assert!(
         view.apply_changes(vec![row("a", 1, Some("1"))]).is_empty(),
-        "a late feed brings it back"
+        "a late change restored a removed row"
     );
     assert_eq!(view.rows_since(2).map(|rows| rows.len()), Some(1));
     view.prune();
-    assert_eq!(
-        view.rows_since(2),
-        None,
-        "told as if nothing had been removed"
-    );
+    assert_eq!(view.rows_since(2), None, "a forgotten removal was left out");
     assert_eq!(view.rows_since(3).map(|rows| rows.len()), Some(0));
     assert_eq!(view.apply_changes(vec![row("a", 9, Some("9"))]).len(), 1);
 }
 
-/// A part takes 200 transactions a second. With the heartbeats of 347 runners in one, those
-/// that started last were turned away for as long as the others went on.
+/// A part accepts 200 transactions a second. When 347 runners wrote their heartbeats to
+/// one part, those that started last were refused for as long as the others ran.
 #[test]
 fn heartbeats_of_a_fleet_fit_the_store() {
     for runners in [347, 694, 3_300] {
@@ -301,19 +306,19 @@
             assert!(is_heartbeat_part(&part));
             *parts.entry(part).or_default() += 1;
         }
-        // One a second each, and another one where something changes.
+        // Each runner writes one a second, and another when its state changes.
         let most = parts.values().max().copied().unwrap_or_default() * 2;
         assert!(
             most <= 200,
-            "{runners} runners: {most} a second in one part"
+            "{runners} runners: {most} writes a second in one part"
         );
     }
     assert!(!is_heartbeat_part(&batch_part("heartbeats")));
 }
 
 proptest! {
-    /// Results that are listed in any portions are read back in their order
-    /// from any position, the large ones too, each whole or not at all.
+    /// Results that are appended in any portions are read back in order from any
+    /// position, large ones included, each completely or not at all.
     #[test]
     fn results_are_read_as_they_were_listed(
         sizes in proptest::collection::vec(0_usize..120_000, 1..12),
@@ -353,14 +358,15 @@
         prop_assert_eq!(&page.samples[..], &expected[..read]);
         prop_assert!(read > 0 || expected.is_empty());
 
-        // An answer of the store may end within a result.
+        // A listing may end within a result.
         let rows = listed.into_iter().take(cut).collect();
         let page = read_page(from, &Listing { rows, ..Listing::default() });
         let read = page.samples.len();
         prop_assert_eq!(&page.samples[..], &expected[..read]);
     }
 
-    /// Whatever a listing or a feed brings late, a row never goes back.
+    /// Changes and listings may arrive late, but a row never returns to an older
+    /// revision.
     #[test]
     fn a_view_never_returns_to_an_older_row(
         feeds in proptest::collection::vec((0_u8..4, 1_u64..60, any::<bool>()), 0..60),
@@ -373,7 +379,7 @@
                 let empty = Listing { revision: *revision, ..Listing::default() };
                 for change in view.apply_listing(None, empty) {
                     let Change::Removed { key, .. } = change else {
-                        panic!("an empty listing put a row");
+                        panic!("an empty listing added a row");
                     };
                     prop_assert!(newest[&key] <= *revision);
                     newest.insert(key, *revision);
@@ -397,6 +403,7 @@
     }
 }
 
+/// Each key of the work table is parsed back from its text; other texts are no keys.
 #[test]
 fn work_keys_are_read_as_written() {
     for key in [
@@ -412,6 +419,7 @@
     }
 }
 
+/// A server of the service `s` at the address that all servers of these tests share.
 fn server(id: &str, draining: bool) -> Server {
     Server {
         address: "127.0.0.1:1".parse().unwrap(),
@@ -459,7 +467,7 @@
     assert_eq!(ids(&directory), ["a"]);
 }
 
-/// The id of the server found at the tests' address.
+/// The id of the server that is found at the address of these tests.
 fn found_id(directory: &Directory) -> Option<&str> {
     let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
     found.map(|server| server.incarnation.id.as_str())
--- a/tests/integration/messages.rs
+++ b/tests/integration/messages.rs
@@ -1,3 +1,5 @@
+//! The codec of the messages between entries and agents.
+
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use redwingpond::{
@@ -24,6 +26,7 @@
     [" ab", "", " é"].into_iter().collect()
 }
 
+/// A message of each kind that an agent receives.
 fn to_agent() -> Vec<ToAgent> {
     let slot = Slot(9);
     let start = |work| {
@@ -88,6 +91,7 @@
     ]
 }
 
+/// A message of each kind that an agent sends.
 fn from_agent() -> Vec<FromAgent> {
     let slot = Slot(9);
     let mut account = Account::new(request(), "t", "c");
@@ -151,7 +155,8 @@
     }
 }
 
-/// Encodes all, then decodes from a stream that arrives in parts of `part` bytes.
+/// Encodes all messages, then decodes them from a stream that arrives in chunks of
+/// `part` bytes.
 fn round_trip<T>(messages: Vec<T>, part: usize)
 where
     T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug,
@@ -183,9 +188,9 @@
     }
 }
 
-/// A peer announces a message of 4 GB and sends nothing more: memory of that
-/// size would be asked for, and the process would die. The announcement comes
-/// first, the body never. The decoder refuses it before any allocation.
+/// A peer announces a message of 4 GB and sends nothing more. Memory of that size would
+/// be allocated and the process would die, so the decoder must refuse the length before
+/// any allocation.
 #[test]
 fn an_announced_length_causes_no_allocation() {
     for length in [0, MAX_FRAME as u32 + 1, u32::MAX] {
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -1,10 +1,11 @@
-//! Replays trainers that ask for more than the engines can do.
+//! Simulates trainers that ask for more work than the engines can do in time.
 //!
-//! A trainer with a model of its own keeps two steps under way and asks for one every
-//! 4 s, or when the step before the last is whole. It waits for 90% of a step's groups,
-//! reads twice a second, and gives a step up after 12 s. Groups that were not whole
-//! come first in a later step. Texts have 20 events in the mean and 118 at most, at
-//! 41 ms an event; estimates are off by half. The decisions are the runners' own.
+//! A trainer with a model of its own keeps two steps in progress. It asks for one every
+//! 4 s, or later if it has not yet trained on the step before the last. It needs 90% of
+//! a step's groups, reads results twice a second, and gives a step up after 12 s.
+//! Incomplete groups come first in a later step. Texts have 20 events on average and
+//! 118 at most, each of 41 ms; estimates are off by half. Bundles are chosen by the
+//! runners' own code.
 
 use redwingpond::{
     base::{Millis, stable_hash},
@@ -19,41 +20,53 @@
     BTreeSet, //
 };
 
+/// All times are in ms; this is the resolution of the simulation.
 const TICK: u64 = 20;
+/// How long trainers ask for steps.
 const LOAD_TIME: u64 = 34_000;
+/// A step's results are due this long after it was asked for.
 const DUE_TIME: u64 = 7_500;
-/// What is read later than this after its due time is late.
+/// Results that are read within this time after they are due still count as in time.
 const READ_SLACK: u64 = 700;
+/// The age at which a trainer gives a step up.
 const GIVE_UP_TIME: u64 = 12_000;
+/// The shortest time between two steps of a trainer.
 const STEP_INTERVAL: u64 = 4_000;
+/// How long a trainer trains on a step.
 const TRAIN_TIME: u64 = 500;
+/// How often a trainer reads results.
 const READ_INTERVAL: u64 = 500;
+/// The number of items that an engine runs at once.
 const SLOTS: i32 = 6;
+/// The duration of an event.
 const EVENT_TIME: u64 = 41;
-/// From a claim to a text's first event, and from its last one to its result.
+/// The time from a claim to a text's first event, plus that from its last event to its
+/// listed result.
 const RUN_OVERHEAD: u64 = 130;
 
-/// Random numbers that are the same in every run.
+/// Pseudo-random numbers that are the same for the same seed.
 struct Random {
     count: u64,
     seed: u64,
 }
 
 impl Random {
-    /// Between 0 and 1.
+    /// A number between 0 and 1, uniformly distributed.
     fn uniform(&mut self) -> f64 {
         self.count += 1;
         let hash = stable_hash(&[&self.seed.to_le_bytes(), &self.count.to_le_bytes()]);
         ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
 
-    /// With the mean 1; half of the values are within a factor of about `spread`.
+    /// A log-normal number with mean 1, where `spread` is the standard deviation of its
+    /// logarithm.
     fn log_normal(&mut self, spread: f64) -> f64 {
         let (a, b) = (self.uniform(), self.uniform());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         (spread * normal - spread * spread / 2.0).exp()
     }
 
+    /// An item with a random length, and an estimate that is off by about half.
     fn item(&mut self) -> Item {
         let tail = if self.uniform() < 0.104 { 5.0 } else { 1.0 };
         let events = (16.4 * tail * self.log_normal(0.84)).clamp(1.0, 118.0);
@@ -72,28 +85,36 @@
 
 #[derive(Clone)]
 struct Group {
-    /// Whether it was left over from an earlier step.
+    /// Whether it is left over from an earlier step.
     left_over: bool,
     items: Vec<Item>,
+    /// The number of its items without a result.
     unfinished: usize,
-    /// When it became whole.
+    /// When its last item was finished.
     complete: Option<u64>,
 }
 
+/// Up to four items of a group, which are started together.
 struct Bundle {
+    /// Whether an engine has started it.
     begun: bool,
     group: usize,
     items: Vec<usize>,
+    /// Its rank in its step by its longest expected text.
     order: u16,
 }
 
+/// A step of the simulated trainer.
 struct OpenStep {
+    /// When the trainer asked for it.
     asked: u64,
     bundles: Vec<Bundle>,
+    /// When the trainer ended it.
     ended: Option<u64>,
     groups: Vec<Group>,
 }
 
+/// An item that an engine runs.
 struct Run {
     engine: usize,
     group: usize,
@@ -101,24 +122,26 @@
     until: u64,
 }
 
-/// How offers are lined up.
+/// Sets the fields of the offers by which [`choose`] orders them.
 type OrderRule = fn(&mut [Offer], Supply, Millis);
 
-/// A load: a step's groups and their items, and the engines.
+/// The size of each step, and the number of engines.
 #[derive(Clone, Copy)]
 struct Load {
     engines: usize,
     groups: usize,
+    /// The number of items in a group.
     size: usize,
 }
 
 impl Load {
+    /// The number of groups that the trainer waits for.
     fn needed(self) -> usize {
         (self.groups * 9).div_ceil(10)
     }
 
-    /// The worth of all groups that trainers wait for, by eight seeds: 1 in time, 0.375
-    /// until the step is given up, 0 for what never comes.
+    /// The mean value of the groups that the trainer waits for, over eight seeds: 1 for
+    /// a group in time, 0.375 until its step is given up, and 0 after that.
     fn value(self, rule: OrderRule) -> f64 {
         let seeds = 8;
         let values = (0..seeds).map(|seed| Replay::new(self, seed).run(rule));
@@ -126,17 +149,21 @@
     }
 }
 
+/// The state of one simulation.
 struct Replay {
     random: Random,
-    /// Free places by engine; below 0 while items wait for one.
+    /// The free slots of each engine; negative while items wait for one.
     free: Vec<i32>,
+    /// Incomplete groups of ended steps, for a later step.
     left_over: Vec<Group>,
     load: Load,
-    /// When each coming step may be asked for.
+    /// When each step may be asked for, by its number.
     may_ask: Vec<u64>,
     runs: Vec<Run>,
+    /// All steps so far.
     steps: Vec<OpenStep>,
-    /// Until when the trainer trains, and the steps it has trained on.
+    /// When the training on the last finished step ends, and the number of steps
+    /// trained on.
     trained: (u64, usize),
 }
 
@@ -169,6 +196,8 @@
         self.total_value()
     }
 
+    /// Asks for a step: left-over groups first, then new ones, in bundles of four
+    /// items.
     fn ask(&mut self, now: u64) {
         let reused = self.left_over.len().min(self.load.needed() / 2);
         let mut groups: Vec<Group> = self.left_over.drain(..reused).collect();
@@ -211,6 +240,7 @@
         });
     }
 
+    /// Ends the runs that are finished by now.
     fn end_runs(&mut self, now: u64) {
         let ended: Vec<Run> = self.runs.extract_if(.., |run| run.until <= now).collect();
         for run in ended {
@@ -223,8 +253,8 @@
         }
     }
 
-    /// The trainer reads: it ends steps that are whole or whose time is over, trains,
-    /// and may ask for more.
+    /// The trainer reads results. It ends steps that are complete or too old, trains on
+    /// them, and may then ask for more.
     fn read(&mut self, now: u64) {
         for step in 0..self.steps.len() {
             let open = &self.steps[step];
@@ -249,6 +279,7 @@
         }
     }
 
+    /// Ends a step and keeps its incomplete groups for a later one.
     fn end(&mut self, step: usize, now: u64) {
         self.steps[step].ended = Some(now);
         let gone = self.runs.extract_if(.., |run| run.step == step);
@@ -263,7 +294,8 @@
         self.left_over.extend(left_over);
     }
 
-    /// Engines with free places take bundles, one each at a time.
+    /// Engines with free slots take bundles, one at a time, the engine with the most
+    /// free slots first.
     fn begin(&mut self, now: u64, rule: OrderRule) {
         let supply = Supply {
             slots: self.load.engines as u32 * SLOTS.unsigned_abs(),
@@ -291,6 +323,7 @@
         }
     }
 
+    /// Starts the items of the chosen bundle.
     fn take(&mut self, now: u64, engine: usize, offer: Offer) {
         let step = &mut self.steps[offer.batch];
         let bundle = &mut step.bundles[usize::from(offer.bundle)];
@@ -299,8 +332,8 @@
             let events = step.groups[bundle.group].items[*item].events;
             let free = self.free[engine] > 0;
             self.free[engine] -= 1;
-            // What finds no place waits at the engine for one; texts take some 0.8 s
-            // and the places of an engine free one after another.
+            // An item without a free slot waits at the engine. Texts take about 0.8 s,
+            // and an engine's slots become free one after another.
             let waits = if free { 0 } else { 150 };
             self.runs.push(Run {
                 engine,
@@ -311,6 +344,7 @@
         }
     }
 
+    /// The bundles of open steps that have not started.
     fn offers(&self, now: u64) -> Vec<Offer> {
         let mut offers = Vec::new();
         let open = self.steps.iter().enumerate();
@@ -341,6 +375,8 @@
         offers
     }
 
+    /// The value of all groups that the trainer waited for, relative to all of them in
+    /// time.
     fn total_value(&self) -> f64 {
         let asked = LOAD_TIME.div_ceil(STEP_INTERVAL) as usize;
         let needed = self.load.needed();
@@ -366,27 +402,28 @@
     }
 }
 
-/// The decision as runners make it.
+/// The order that runners use.
 fn product(offers: &mut [Offer], supply: Supply, now: Millis) {
     plan_start_order(offers, supply, now);
 }
 
-/// By due time, the longest texts first, whatever trainers wait for.
+/// By due time, the longest texts first, without regard to which groups the trainer
+/// waits for.
 fn longest_first(offers: &mut [Offer], _: Supply, _: Millis) {
     for offer in offers {
         offer.surplus = false;
     }
 }
 
-/// The same, but what trainers wait for first.
+/// By due time, the longest texts first, but surplus groups last.
 fn needed_first(_: &mut [Offer], _: Supply, _: Millis) {}
 
-/// The step with the least left to do first.
+/// The step with the least remaining work first.
 fn shortest_step(offers: &mut [Offer], _: Supply, _: Millis) {
     rank_steps(offers, work_of);
 }
 
-/// The step with the least time to spare first.
+/// The step with the least slack first: its due time less its remaining work.
 fn least_slack(offers: &mut [Offer], supply: Supply, _: Millis) {
     rank_steps(offers, |offers, batch| {
         let in_step = |offer: &&Offer| offer.batch == batch;
@@ -396,6 +433,7 @@
     });
 }
 
+/// Orders the steps by `rank`, in place of their due times.
 fn rank_steps(offers: &mut [Offer], rank: impl Fn(&[Offer], usize) -> u64) {
     let batches: BTreeSet<usize> = offers.iter().map(|offer| offer.batch).collect();
     let ranks: BTreeMap<usize, u64> = batches
@@ -407,15 +445,18 @@
     }
 }
 
+/// The remaining work of a step, in expected tokens.
 fn work_of(offers: &[Offer], batch: usize) -> u64 {
     let in_step = offers.iter().filter(|offer| offer.batch == batch);
     in_step.map(|offer| offer.work).sum()
 }
 
-/// Trainers wait for every step, and all steps are late, once work outgrows engines
-/// by a fifth: the steps under way share the engines, all groups of a step end
-/// together, and each step takes the time of two. What trainers wait for first, group
-/// by group where a step can't be whole in time, keeps most groups in time.
+/// When the work exceeds the capacity of the engines by a fifth, the steps in progress
+/// shared the engines, all groups of a step ended together and late, and each step took
+/// the time of two. The product's order keeps most groups in time instead: groups that
+/// a trainer waits for go first, and a step that can't be complete in time is run group
+/// by group. It must be nearly as good as the best of the other orders under every
+/// load, and clearly better on average than longest first.
 #[test]
 fn groups_are_in_time_when_work_outgrows_the_engines() {
     let small_groups = Load {
--- a/tests/integration/platform_wire.rs
+++ b/tests/integration/platform_wire.rs
@@ -1,4 +1,5 @@
-//! What the platform sends, decoded.
+//! Decoding of what the platform and callers send, and the headers that gateways and
+//! runners forward.
 
 use hyper::{
     HeaderMap,
@@ -24,8 +25,8 @@
     routing::{Credential, KeyDigest, RouteKind}, //
 };
 
-/// Events are cut out of a stream however its bytes arrive; a torn one at the
-/// end is left out.
+/// Events are read from a stream whatever the sizes of its chunks. An incomplete event
+/// at the end is left out.
 #[test]
 fn only_complete_events_are_read() {
     let stream = "x-weight-versions: 3\nid: 0\ndata: a\n\nid: 1\ndata: b\ndata: c\n\nid: 2\ndat";
@@ -47,6 +48,7 @@
     }
 }
 
+/// Calls about a batch are recognized by method and path; all others go by their route.
 #[test]
 fn calls_are_classified() {
     struct Test {
@@ -116,8 +118,8 @@
     }
 }
 
-/// Headers that concern one connection, and those that the gateway sets, don't
-/// go on; neither do those that the caller names as such.
+/// Headers that concern one connection, those that the gateway sets, and those that the
+/// caller lists in `connection` are not forwarded.
 #[test]
 fn only_end_to_end_headers_are_forwarded() {
     let mut headers = HeaderMap::new();
@@ -140,8 +142,8 @@
 }
 
 proptest! {
-    /// Whatever a caller shows as its key, or claims to be, reaches no server: not
-    /// under names in any case, doubled, empty, long or of any bytes.
+    /// A caller's key and the workspace that it claims are never forwarded to a server,
+    /// whatever their case, number, length or bytes.
     #[test]
     fn no_key_is_forwarded(
         key in proptest::collection::vec(33_u8..=255, 0..300),
@@ -174,7 +176,8 @@
     }
 }
 
-/// A trainer's items run in its workspace's name, whatever headers it gives them.
+/// A trainer's items run under the trainer's workspace, whatever headers the items
+/// have.
 #[test]
 fn an_item_runs_in_its_workspaces_name() {
     let headers = r#"{"X-Tenant":"other","x-api-key":"secret","X-Model":"m"}"#;
@@ -204,7 +207,7 @@
     }
 }
 
-/// Each workspace has ids of its own, and nobody can name another's batch.
+/// Each workspace has its own batch ids, and none can name another's batch.
 #[test]
 fn batches_are_stored_under_names_by_workspace() {
     let foam = stored_name(Some("foam"), "b1").unwrap();
@@ -214,6 +217,8 @@
     assert_ne!(stored_name(Some("springs"), &foam), Some(foam));
 }
 
+/// A configuration with routes, services, workspaces and limits, as the platform stores
+/// it.
 const CONFIG: &str = r#"{"version":7,"unknown":1,"routes":[
     {"name":"a","host":"h","pathPrefix":"/a/","routeType":"safe","timeoutMs":1500,
      "trafficSplit":[{"service":"x","weight":90},{"service":"y","weight":10}],"maxAttempts":2},
@@ -224,6 +229,7 @@
     "tenants":[{"name":"foam","apiKeys":["f-1","f-2"],"priority":3},{"name":"empty"}],
     "limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}"#;
 
+/// A configuration is decoded, and routes are found by host and longest prefix.
 #[test]
 fn a_configuration_is_decoded() {
     let config = read_config(CONFIG.as_bytes()).unwrap();
@@ -250,7 +256,8 @@
     assert!(holder("empty").is_none());
     assert!(!batch.allow_anonymous);
 
-    // A split gives each service its share, and one request always the same.
+    // A traffic split gives each service its share, and always sends the same request
+    // to the same service.
     let split = config.route("h", "/a/x").unwrap();
     let to_y = (0..10_000).filter(|n| split.service_of(&n.to_string()) == Some("y"));
     let to_y = to_y.count();
@@ -258,6 +265,7 @@
     assert_eq!(split.service_of("same"), split.service_of("same"));
 }
 
+/// An error names the field or route that is wrong.
 #[test]
 fn errors_name_what_is_wrong() {
     struct Test {
@@ -287,6 +295,7 @@
     assert!(error.to_string().contains("no items"), "{error}");
 }
 
+/// A server's announcement is decoded.
 #[test]
 fn a_server_is_decoded() {
     let entry =
@@ -301,14 +310,14 @@
     assert_eq!(server.models[0].version, 3);
 }
 
-/// An announcement that holds, as text.
+/// A valid announcement of a server, as text.
 const ANNOUNCEMENT: &str = r#"{"service":"x","address":"10.0.0.1:80","zone":"n","version":"v1",
     "batchSlots":12,"state":"ready","coldRemainingMs":0,"stage":"both",
     "models":[{"name":"m","version":3,"adapters":[]}],"sequence":4,"born":1764720000123}"#;
 
-/// An operator's script or an older program writes among the servers'
-/// announcements. Calls went to whatever such an entry seemed to name: any state
-/// but one counted as ready. An entry that is not whole names no server.
+/// An operator's script or an older program writes among the servers' announcements.
+/// Calls went to the server that such an entry seemed to name, since any state but
+/// `draining` counted as ready. A malformed entry must name no server.
 #[test]
 fn a_malformed_announcement_names_no_server() {
     struct Test {
@@ -389,8 +398,8 @@
 }
 
 proptest! {
-    /// Bytes that are cut short or changed never stop the reader, and what it
-    /// takes for a server has an address and a state of the two that there are.
+    /// Truncated or changed bytes never make the reader panic, and what it accepts has
+    /// the right id and an address.
     #[test]
     fn no_announcement_stops_the_reader(
         at in 0..ANNOUNCEMENT.len(),
@@ -411,7 +420,8 @@
         }
     }
 
-    /// A field of any other type makes the entry name no server.
+    /// A field of another type makes the announcement invalid. Only `coldRemainingMs`
+    /// may be any number.
     #[test]
     fn a_field_of_another_type_is_rejected(
         field in proptest::sample::select(vec![
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests run no more, as a table of what happened to them.
+//! Which requests are quarantined because servers crash under them.
 
 use redwingpond::{
     base::{Asked, Fingerprint, Millis},
@@ -6,21 +6,24 @@
     routing::ServerIncarnation, //
 };
 
-/// What happened to a request.
+/// Something that happened to a request.
 #[derive(Clone, Copy)]
 enum RequestEvent {
+    /// A server answered it.
     Answered,
-    /// The server with this number ended under it.
+    /// The server with this number crashed under it.
     Crashed(u64),
-    /// The crash of the server with this number counts no more.
+    /// The crash of the server with this number no longer counts.
     Forgotten(u64),
 }
 
+/// Events of a request, and the state that follows from them.
 struct Test {
     events: &'static [RequestEvent],
     state: QuarantineState,
 }
 
+/// A request that differs from others by its body only.
 fn request(body: &str) -> Fingerprint {
     Fingerprint::of(Asked {
         body: body.as_bytes(),
@@ -32,11 +35,14 @@
     })
 }
 
-/// A server that starts again under its id is another one.
+/// The incarnation of a server that has started `number` times as a different one under
+/// the same id.
 fn incarnation(number: u64) -> ServerIncarnation {
     ServerIncarnation::new("server", Millis(number))
 }
 
+/// A request is quarantined after three different servers have crashed under it, unless
+/// one has answered it in between.
 #[test]
 fn three_crashes_bar_a_request_until_it_is_answered() {
     use RequestEvent::{Answered, Crashed, Forgotten};
@@ -57,12 +63,13 @@
             events: &[Crashed(1), Crashed(2), Crashed(3)],
             state: QuarantineState::Barred,
         },
-        // Two instances that saw one crash.
+        // Three instances report the same crash.
         Test {
             events: &[Crashed(1), Crashed(1), Crashed(1)],
             state: QuarantineState::Watched,
         },
-        // Many callers ask the same: an answer to one speaks for all.
+        // Many callers send the same request: an answer to one of them clears it for
+        // all.
         Test {
             events: &[Crashed(1), Crashed(2), Answered, Crashed(3), Crashed(4)],
             state: QuarantineState::Suspect,
@@ -94,8 +101,8 @@
     }
 }
 
-/// A request in quarantine is tried twice: some seconds after its last crash, and some
-/// minutes after the one of its first trial.
+/// A quarantined request is tried twice: 5 s after its last crash, and 10 minutes after
+/// a crash in the first trial.
 #[test]
 fn quarantine_allows_two_trials() {
     let mut quarantine = Quarantine::default();
@@ -120,7 +127,7 @@
     assert_eq!(quarantine.state(asked, RETENTION), QuarantineState::Barred);
 }
 
-/// An answer is remembered for five seconds, and not for more than ten.
+/// An answer is remembered for at least five seconds and at most ten.
 #[test]
 fn answers_are_remembered_for_a_while() {
     let mut quarantine = Quarantine::default();
@@ -138,7 +145,7 @@
     assert!(!quarantine.is_answered(other, Millis(50_000)));
 }
 
-/// A crash counts for a day, and no longer.
+/// A crash counts for one day. Expired crashes are returned in limited numbers.
 #[test]
 fn crashes_expire() {
     let mut quarantine = Quarantine::default();
@@ -152,8 +159,8 @@
     assert_eq!(old.len(), 1);
 }
 
-/// The same asked again under another id is one request; any other content, host or
-/// credential makes another.
+/// A fingerprint identifies a request by its content, host and credential, and by the
+/// id that is given for it.
 #[test]
 fn a_fingerprint_identifies_a_requests_content() {
     let asked = Asked {
--- a/tests/integration/reach.rs
+++ b/tests/integration/reach.rs
@@ -10,12 +10,15 @@
     Missed,
 }
 
+/// Two missed answers in a row make a peer unreachable; an answer makes it reachable
+/// again.
 #[test]
 fn a_peer_is_unreachable_after_two_missed_answers() {
     use Call::{Answered, Missed};
     struct Test {
         unreachable: bool,
         calls: &'static [Call],
+        /// How often a prober has to be started.
         probes: usize,
         recoveries: u64,
     }
--- a/tests/integration/relay_tree.rs
+++ b/tests/integration/relay_tree.rs
@@ -1,4 +1,5 @@
-//! Who feeds whom, replayed with all instances of a fleet that start, end and come back.
+//! Simulations of the tree in which instances pass on the store's changes, while the
+//! instances of a fleet start, end and lose their parents.
 
 use redwingpond::{
     base::Millis,
@@ -9,20 +10,23 @@
     net::SocketAddr, //
 };
 
-/// The calls for changes that an instance makes by itself each second: four tables, one
-/// of which changes all the time.
+/// The calls that an instance makes each second to follow four tables by itself, one of
+/// which changes all the time.
 const CALLS_PER_INSTANCE: usize = 24;
 
-/// The reading calls a second that a store takes from all together.
+/// The reading calls that the store accepts each second from all instances.
 const MAX_STORE_READS: usize = 2_000;
 
-/// The instances of one program in one data centre.
+/// The instances of one program in one data centre, by address.
 #[derive(Default)]
 struct Group {
-    /// What each feeds, by its address.
+    /// The children that each instance serves.
     children: BTreeMap<SocketAddr, Children>,
+    /// What each instance knows of its possible parents.
     candidates: BTreeMap<SocketAddr, Parents>,
+    /// The parent of each instance that has one.
     parents: BTreeMap<SocketAddr, SocketAddr>,
+    /// The root in each slot.
     slots: [Option<SocketAddr>; ROOTS],
 }
 
@@ -37,6 +41,7 @@
         self.candidates.insert(address, Parents::default());
     }
 
+    /// Ends an instance. Its children lose their parent.
     fn end(&mut self, address: SocketAddr) {
         self.children.remove(&address);
         self.candidates.remove(&address);
@@ -48,14 +53,15 @@
         self.slots.contains(&Some(address))
     }
 
-    /// The instances that nobody feeds, roots left out.
+    /// The instances without a parent that are no roots.
     fn orphans(&self) -> Vec<SocketAddr> {
         let all = self.children.keys().copied();
         all.filter(|of| !self.is_root(*of) && !self.parents.contains_key(of))
             .collect()
     }
 
-    /// Has each that is fed ask, and each that nobody feeds look once for a feeder.
+    /// Lets each child ask its parent, and each instance without a parent look once for
+    /// one, or become a root.
     fn find_parents(&mut self, now: Millis) {
         for (address, parent) in &self.parents {
             if let Some(children) = self.children.get_mut(parent) {
@@ -82,6 +88,8 @@
         }
     }
 
+    /// Asks `parent` and then its descendants, down to `depth` further levels, to
+    /// accept `address` as a child. Returns the one that does.
     fn join(
         &mut self,
         address: SocketAddr,
@@ -103,6 +111,7 @@
         (depth > 0).then(|| self.join(address, next, now, depth - 1))?
     }
 
+    /// Makes `address` a root, if a slot is free or its root is gone.
     fn take_slot(&mut self, address: SocketAddr, now: Millis) {
         let candidates = &self.candidates[&address];
         let is_free = |slot: &Option<SocketAddr>| slot.is_none_or(|of| candidates.is_gone(of, now));
@@ -114,39 +123,45 @@
         }
     }
 
-    /// How many others each is away from the store.
+    /// The number of instances between `of` and the store.
     fn depth(&self, of: SocketAddr) -> usize {
         let mut at = of;
         let mut depth = 0;
         while let Some(parent) = self.parents.get(&at) {
             at = *parent;
             depth += 1;
-            assert!(
-                depth <= self.children.len(),
-                "they feed each other in a circle"
-            );
+            assert!(depth <= self.children.len(), "the parents form a cycle");
         }
         depth
     }
 
+    /// Checks that every instance has a parent or is a root, and that the tree is
+    /// neither too wide nor too deep.
     fn check(&self, name: &str) {
-        assert_eq!(self.orphans(), Vec::new(), "{name}: nobody feeds them");
+        assert_eq!(
+            self.orphans(),
+            Vec::new(),
+            "{name}: instances without a parent"
+        );
         let mut child_counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
         for parent in self.parents.values() {
             *child_counts.entry(*parent).or_default() += 1;
         }
         let most = child_counts.values().max().copied().unwrap_or_default();
-        assert!(most <= MAX_CHILDREN, "{name}: one feeds {most}");
+        assert!(
+            most <= MAX_CHILDREN,
+            "{name}: one instance has {most} children"
+        );
         let depth = self.children.keys().map(|of| self.depth(*of)).max();
         assert!(
             depth.unwrap_or_default() <= 4,
-            "{name}: {depth:?} from the store"
+            "{name}: {depth:?} levels below the roots"
         );
     }
 }
 
-/// A fleet of hundreds of instances asks the store so often that it turns calls away, if
-/// each asks by itself.
+/// If each instance of a fleet asked the store by itself, the store would refuse calls.
+/// Only the roots may ask it.
 #[test]
 fn few_instances_of_a_fleet_ask_the_store() {
     struct Test {
@@ -176,7 +191,7 @@
         for number in 0..test.instances / test.centres {
             group.start(number);
         }
-        // All start at the same moment; each place is taken by one of them.
+        // All start at the same moment; each slot is taken by one of them.
         for round in 0..20 {
             group.find_parents(Millis(round * 150));
         }
@@ -192,14 +207,14 @@
         let before = test.instances * CALLS_PER_INSTANCE;
         assert!(
             before > MAX_STORE_READS,
-            "{}: no load to speak of",
+            "{}: the store could serve every instance",
             test.name
         );
     }
 }
 
-/// Most of those that feed others end at the same moment, the roots among them: the
-/// others are fed again within a second.
+/// Most parents end at the same moment, all roots among them. Every instance that is
+/// left has a parent, or is a root, again after a second.
 #[test]
 fn instances_find_new_parents_when_theirs_end() {
     for keep in [0, 1, 3] {
@@ -223,11 +238,12 @@
         for round in 0..7 {
             group.find_parents(Millis(10_000 + round * 150));
         }
-        group.check(&format!("{} of {} feeders lost", lost.len(), parents.len()));
+        group.check(&format!("{} of {} parents lost", lost.len(), parents.len()));
     }
 }
 
-/// A feeder that is frozen or cut off is noticed by the age of what it tells.
+/// A parent that is frozen or partitioned is detected by the age of its answers, which
+/// may exceed the hold time of a request by 700 ms.
 #[test]
 fn old_answers_are_stale() {
     for (age, hold, stale) in [
@@ -244,8 +260,8 @@
     }
 }
 
-/// One that was left is not asked again at once, and one that does not answer is
-/// replaced only when it had the time to start again.
+/// A parent that was left is not asked again at once. One that does not answer is
+/// replaced only after the time that a restart takes.
 #[test]
 fn left_and_unreachable_parents_are_remembered() {
     let mut parents = Parents::default();
@@ -262,7 +278,7 @@
     assert!(!parents.is_gone(one, Millis(9_000)));
 }
 
-/// A child that asks no more leaves its room to another.
+/// A child that has stopped asking makes room for another.
 #[test]
 fn a_child_that_stops_asking_frees_its_place() {
     let mut children = Children::default();
--- a/tests/integration/settings_faults.rs
+++ b/tests/integration/settings_faults.rs
@@ -1,10 +1,15 @@
+//! Errors in settings files: each is reported with its position and with what was
+//! expected.
+
 use proptest::prelude::*;
 use redwingpond::settings::{
     AgentSettings, EntrySettings, Reader, SettingsError, TeamSettings, read,
 };
 
+/// A settings file and the errors that must be reported for it; none if it is valid.
 struct Test {
     text: &'static str,
+    /// Parts of the error text, one for each error.
     errors: &'static [&'static str],
 }
 
@@ -15,12 +20,16 @@
             Err(error) => error.to_string(),
         };
         for line in self.errors {
-            assert!(errors.contains(line), "{line} is not told in:\n{errors}");
+            assert!(
+                errors.contains(line),
+                "`{line}` is not reported in:\n{errors}"
+            );
         }
         assert_eq!(errors.is_empty(), self.errors.is_empty(), "{errors}");
     }
 }
 
+/// An entry's settings with the required keys only.
 const ENTRY_SETTINGS: &str = "
 instance: entry-1
 data_centre: hall
--- a/tests/integration/step_times.rs
+++ b/tests/integration/step_times.rs
@@ -1,9 +1,10 @@
-//! Where a step's time went, from logs.
+//! How `redwing steps` breaks down the duration of a step, from log lines.
 
 use redwingpond::operator::StepTimes;
 
-/// A step's logs out of order: its last result waited 1.2 s for a runner, its first
-/// engine was lost after 2 s, and the second one went on from the 40th event.
+/// The log lines of a late step, out of order. Its last result waited 1.2 s for a
+/// runner, its first engine was lost after 2 s, and the second one resumed from the
+/// 40th event.
 const LOGS: &str = r#"
  12.0 a {"timestamp":"2026-09-27T23:31:12.500000Z","message":"run ended whole","item":"i2","server":"i-b","begun":40,"events":140,"waited":100,"taken":5100}
 {"timestamp":"2026-09-27T23:31:12.600000Z","message":"results listed","batch":"b1","items":"i2","count":2,"total":3}
@@ -18,6 +19,7 @@
 {"timestamp":"tomorrow","message":"batch ended by its trainer","batch":"b2"}
 "#;
 
+/// The times of a step follow the result that its trainer read last.
 #[test]
 fn a_late_step_is_broken_down() {
     let mut times = StepTimes::default();
@@ -46,6 +48,7 @@
     assert!((row.pace - 5_000.0 / 99.0).abs() < 0.01, "{}", row.pace);
 }
 
+/// Lines that are no log lines, or incomplete, are ignored.
 #[test]
 fn logs_without_steps_have_no_rows() {
     let mut times = StepTimes::default();
--- a/tests/integration/use_counts.rs
+++ b/tests/integration/use_counts.rs
@@ -1,4 +1,4 @@
-//! What is counted and reported of each workspace's use, and by whom.
+//! Counts of each workspace's use, and the lease of the gateway that reports them.
 
 use proptest::prelude::*;
 use redwingpond::{
@@ -14,8 +14,8 @@
     length: Millis(5_000),
 };
 
-/// Requests count in the window in which they began; once that is closed, in the oldest
-/// open one, so that none is lost and no closed window changes.
+/// A request counts in the window in which it began. Once that is closed, it counts in
+/// the oldest open window, so that it is not lost and no closed window changes.
 #[test]
 fn requests_are_counted_in_their_window() {
     let mut tally = Tally::new(WINDOWS, Millis(10_000));
@@ -26,7 +26,8 @@
     let (window, part) = tally.unwritten().map(|(w, p)| (w, p.clone())).unwrap();
     assert_eq!((window, part.closed), (2, false));
     tally.close(Millis(16_800));
-    // The write of before was done: what changed since is written anew.
+    // The part of before the close is in the store, but the close has changed it: it
+    // must be written again.
     tally.set_written(window, &part);
     let (window, part) = tally.unwritten().map(|(w, p)| (w, p.clone())).unwrap();
     assert_eq!((window, part.closed), (2, true));
@@ -41,8 +42,8 @@
     assert_eq!(part.counts["c"], 1);
 }
 
-/// A window is summed up once all gateways have closed it, or late enough that those
-/// that are gone won't.
+/// A window is summed up once all gateways have closed it. If a gateway is gone, the
+/// sum is made without it after 6.5 s.
 #[test]
 fn windows_are_summed_once_all_gateways_closed_them() {
     struct Test {
@@ -88,7 +89,7 @@
     );
 }
 
-/// A third of the clocks is set wrong: true time stays where the others are.
+/// With a third of the clocks set wrong, the median offset stays that of the others.
 #[test]
 fn wrong_clocks_dont_move_the_median() {
     assert_eq!(median(&mut []), None);
@@ -97,34 +98,42 @@
     assert_eq!(median(&mut offsets), Some(1_002));
 }
 
-/// How long a lease lasts in the model, and how long a send may take.
+/// The duration of the lease in the model.
 const LEASE_DURATION: Millis = Millis(3_000);
+/// The longest time that a report is in transit.
 const MAX_SEND_TIME: Millis = Millis(800);
+/// Added to [`MAX_SEND_TIME`] when a holder checks whether it may still send.
 const SEND_SLACK: Millis = Millis(400);
 
-/// When the model grows calm, and when it ends.
+/// When the faults of the model end, in ms.
 const FAULTS_END: u64 = 50_000;
+/// When the model ends, in ms.
 const MODEL_END: u64 = 70_000;
 
-/// The longest that a contender stands still.
+/// The longest time for which a contender freezes, in ms.
 const MAX_FREEZE: u64 = 9_000;
 
-/// One contender for the lease, which asks the store over and over.
+/// A process that wants to hold the lease and send reports. All its times are in ms.
 struct Contender {
+    /// Its call to the store in progress.
     call: Option<StoreCall>,
-    /// Until when it stands still.
+    /// It does nothing before this time.
     frozen_until: u64,
     held: Option<HeldLease>,
     claimant: Claimant,
+    /// When it takes its next step.
     next: u64,
     watch: LeaseWatch,
 }
 
-/// A call that is under way.
+/// A call to the store in progress.
 enum StoreCall {
-    /// Its answer comes at this time, with what the store held when it asked.
+    /// Reads the lease; the answer arrives at `at`, with the row and revision as they
+    /// were when the call was made.
     Read { at: u64, row: (u64, Option<Lease>) },
-    /// It is done at `done`; its answer comes at `at`, unless it is lost.
+    /// Writes the lease if the row still has the revision `expect`. The write takes
+    /// effect at `done`, and the answer arrives at `at` unless it is lost. `outcome` is
+    /// whether it was written.
     Write {
         asked: u64,
         at: u64,
@@ -136,30 +145,32 @@
     },
 }
 
-/// The row of the lease, with its revision.
+/// The lease in the store, with the revision of its row.
 #[derive(Default)]
 struct Row {
     lease: Option<Lease>,
     revision: u64,
 }
 
-/// A send that reached the platform.
+/// A report that reached the platform.
 #[derive(Clone, Copy, Debug)]
 struct ReportSend {
     at: u64,
     fence: Fence,
+    /// The index of the sender.
     contender: usize,
 }
 
-/// What goes wrong in one step of a contender.
+/// The faults in one step of a contender. Its name and fields appear in the cases saved
+/// beside this file.
 #[derive(Clone, Copy, Debug)]
 struct Luck {
-    /// How long the store's answer takes.
+    /// The duration of the call to the store.
     answer: u64,
-    /// How long it stands still after this step, if it does.
+    /// How long the contender freezes after this step, if it does.
     freeze: Option<u64>,
     lost: bool,
-    /// How long a send is on its way.
+    /// How long a report is in transit.
     travel: u64,
 }
 
@@ -191,7 +202,8 @@
         }
     }
 
-    /// One step at `now`: takes an answer, asks anew, or sends if it may.
+    /// Takes one step at `now`: handles the answer to its last call or makes a new one,
+    /// and sends a report if its lease allows that.
     fn step(&mut self, now: u64, row: &mut Row, luck: Luck) -> Option<ReportSend> {
         if let Some(StoreCall::Write {
             done: Some(done),
@@ -203,7 +215,7 @@
             && *done <= now
             && outcome.is_none()
         {
-            // The store does it whether or not the contender stands still.
+            // The store carries the write out even while the contender is frozen.
             *outcome = Some(row.revision == *expect);
             if row.revision == *expect {
                 row.revision += 1;
@@ -255,6 +267,7 @@
         })
     }
 
+    /// Handles the lease as read from the store, and writes it if due.
     fn read(&mut self, now: u64, (revision, lease): (u64, Option<Lease>), luck: Luck) {
         self.watch.observe(Millis(now), lease.clone());
         if !lease.is_some_and(|lease| self.claimant.holds(&lease)) {
@@ -280,10 +293,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Contenders freeze at any moment, the store is slow and loses answers, sends are
-    /// long on their way. The platform never sees a number fall, never one of two
-    /// holders, and no holder that comes back within a lease; and somebody acts again
-    /// soon after.
+    /// Contenders freeze at any moment, the store is slow and loses answers, and
+    /// reports take long to arrive. The platform must never see a fencing number
+    /// decrease or come from two holders, nor a former holder return within the
+    /// duration of a lease. Soon after the faults end, some contender must report
+    /// again.
     #[test]
     fn two_holders_never_report_at_once(
         contenders in 2_usize..4,
@@ -317,7 +331,7 @@
             }
             last.insert(send.contender, send.at);
         }
-        // Once all is calm somebody takes over within two leases.
+        // Once the faults have ended, a contender takes over within two leases.
         let takeover_limit = FAULTS_END + MAX_FREEZE + 2 * LEASE_DURATION.0;
         prop_assert!(sent.iter().any(|send| (FAULTS_END..takeover_limit).contains(&send.at)));
     }
