--- a/standins/tests/integration/crashes.rs
+++ b/standins/tests/integration/crashes.rs
@@ -188,12 +188,11 @@
             ];
             let gateway = scene.gateways[round % 2].callers;
             let (path, body) = ("/safe/x", "fatal");
-            let asking =
-                scene
-                    .client
-                    .call(Method::POST, gateway, path, &headers, body, test.within);
+            let calls = scene
+                .client
+                .call(Method::POST, gateway, path, &headers, body, test.within);
             // The caller does not wait for the answer.
-            let _ = asking.await;
+            let _ = calls.await;
             ids.push(id);
             sleep(2 * DOWN_TIME).await;
             restart_crashed_plain(&scene, &mut incarnations);
@@ -217,18 +216,18 @@
         for plain in &scene.plain {
             plain.set_work(Millis(80));
         }
-        let dying = &scene.plain[round % 3];
+        let crashing = &scene.plain[round % 3];
         let gateway = round % 2;
-        let asking = (0..6).map(|number| {
+        let calls = (0..6).map(|number| {
             let id = format!("shared-{round}-{number}");
             let scene = &scene;
             async move { call(scene, gateway, "/safe/x", &id, "shared").await }
         });
-        let ending = async {
+        let crash = async {
             sleep(40).await;
-            dying.end();
+            crashing.end();
         };
-        let (answers, ()) = tokio::join!(futures_util::future::join_all(asking), ending);
+        let (answers, ()) = tokio::join!(futures_util::future::join_all(calls), crash);
         for status in answers {
             assert_eq!(status, Some(200), "round {round}");
         }
@@ -248,11 +247,11 @@
         for plain in &scene.plain {
             plain.end();
         }
-        let asking = (0..20).map(|number| {
+        let calls = (0..20).map(|number| {
             let (scene, id) = (&scene, format!("early-{round}-{number}"));
             async move { call(scene, 0, "/safe/x", &id, "same").await }
         });
-        futures_util::future::join_all(asking).await;
+        futures_util::future::join_all(calls).await;
         restart_crashed_plain(&scene, &mut incarnations);
         sleep(DOWN_TIME).await;
     }
--- a/standins/tests/integration/site.rs
+++ b/standins/tests/integration/site.rs
@@ -960,9 +960,9 @@
         // Varied, so that the return does not coincide with the interval of any retry.
         sleep(3_000 + 170 * round).await;
         scene.store.set_faults(StoreFaults::default());
-        let back = scene.clock.now();
+        let returned_at = scene.clock.now();
         let results = scene.read(&batch, 6, READ_TIMEOUT).await;
-        let late = scene.clock.now().since(back);
+        let late = scene.clock.now().since(returned_at);
         check_complete(&batch, &results);
         assert!(late <= MAX_READ_DELAY, "round {round}: read after {late}");
     }
--- a/standins/tests/integration/stage.rs
+++ b/standins/tests/integration/stage.rs
@@ -192,7 +192,7 @@
             let ends = stops
                 .into_iter()
                 .map(|stop| self.runtime.block_on(stop).unwrap());
-            let ends: Vec<String> = ends.map(|whole| format!("nothing cut: {whole}")).collect();
+            let ends: Vec<String> = ends.map(|uncut| format!("nothing cut: {uncut}")).collect();
             return ends.join("\n");
         }
         let id = text(case, "id", "last");
--- a/standins/tests/integration/workspaces.rs
+++ b/standins/tests/integration/workspaces.rs
@@ -290,7 +290,7 @@
         sleep(MAX_REVOCATION_TIME + 500 + 90 * round).await;
         scene.store.set_faults(StoreFaults::default());
 
-        let asking = (0..400).map(|number| {
+        let calls = (0..400).map(|number| {
             let (scene, id) = (&scene, format!("gone-{round}-{number}"));
             async move {
                 sleep(2 * number).await;
@@ -299,7 +299,7 @@
                 (status, runs_of(scene, &id))
             }
         });
-        for (status, runs) in futures_util::future::join_all(asking).await {
+        for (status, runs) in futures_util::future::join_all(calls).await {
             assert_eq!(runs, 0, "a call with a revoked key has run");
             assert!(matches!(status, Some(401 | 503)), "{status:?}");
         }
--- a/tests/integration/access.rs
+++ b/tests/integration/access.rs
@@ -84,14 +84,14 @@
             open: None,
         },
     ] {
-        let name = |open: bool| {
+        let workspace_name = |open: bool| {
             let result = authenticate(Some(&all), open, test.credential);
             result.map(|workspace| workspace.map(|workspace| workspace.name.clone()))
         };
         let closed = test.closed.map(|name| name.map(str::to_owned));
-        assert_eq!(name(false), closed, "{:?}", test.credential);
+        assert_eq!(workspace_name(false), closed, "{:?}", test.credential);
         let open = Ok(test.open.map(str::to_owned));
-        assert_eq!(name(true), open, "{:?}", test.credential);
+        assert_eq!(workspace_name(true), open, "{:?}", test.credential);
         // Without configured workspaces, no caller needs a key.
         assert_eq!(authenticate(None, false, test.credential), Ok(None));
     }
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -82,7 +82,7 @@
 /// prefers its own share, what is due first, and its home model.
 #[test]
 fn a_runner_takes_the_best_unheld_bundle() {
-    let foreign = Offer {
+    let other_model = Offer {
         home: false,
         ..offer(1)
     };
@@ -133,7 +133,7 @@
         },
         Choice {
             name: "no new bundle of another model",
-            offers: vec![foreign],
+            offers: vec![other_model],
             place: ONLY_RUNNER,
             room: 12,
             takes: None,
@@ -142,7 +142,7 @@
             name: "a bundle of another model that nobody took for 500 ms",
             offers: vec![Offer {
                 age: Millis(500),
-                ..foreign
+                ..other_model
             }],
             place: ONLY_RUNNER,
             room: 12,
@@ -446,8 +446,8 @@
 /// the others.
 #[test]
 fn other_models_engines_load_one_after_another() {
-    let helpers = |waited: u64| {
-        let helps = |rank: &usize| {
+    let loading_engines = |waited: u64| {
+        let loads = |rank: &usize| {
             let situation = Situation {
                 home: false,
                 needed: 5,
@@ -462,9 +462,9 @@
             };
             version_plan::decide(&situation) != LoadDecision::Wait
         };
-        (0..18).filter(helps).count()
+        (0..18).filter(loads).count()
     };
-    let counts = [2_900, 3_000, 3_400, 4_600].map(helpers);
+    let counts = [2_900, 3_000, 3_400, 4_600].map(loading_engines);
     assert_eq!(counts, [0, 1, 2, 5]);
 }
 
@@ -474,7 +474,7 @@
 #[test]
 fn half_of_the_engines_load_early_for_a_near_step() {
     let loads = |named: u64, next_near: bool| -> Vec<usize> {
-        let takes = |rank: &usize| {
+        let loads_early = |rank: &usize| {
             let situation = Situation {
                 held: named - 1,
                 models: 3,
@@ -492,7 +492,7 @@
             };
             version_plan::decide(&situation) != LoadDecision::Wait
         };
-        (0..6).filter(takes).collect()
+        (0..6).filter(loads_early).collect()
     };
     assert!(loads(6, false).is_empty());
     assert_eq!(loads(6, true), [0, 2, 4]);
@@ -874,7 +874,7 @@
 /// the usual engines.
 #[test]
 fn the_longest_texts_get_the_fastest_engines() {
-    let asked = |items, tokens| {
+    let batches = |items, tokens| {
         vec![BatchDemand {
             items,
             step: 1,
@@ -882,9 +882,9 @@
         }]
     };
     let models = vec![
-        ("a".to_owned(), asked(60, 60 * 900)),
-        ("b".to_owned(), asked(68, 68 * 1_480)),
-        ("c".to_owned(), asked(72, 72 * 1_450)),
+        ("a".to_owned(), batches(60, 60 * 900)),
+        ("b".to_owned(), batches(68, 68 * 1_480)),
+        ("c".to_owned(), batches(72, 72 * 1_450)),
     ];
     let model_demands = demands(models);
     let names: Vec<&str> = model_demands
@@ -892,9 +892,9 @@
         .map(|demand| demand.model.as_str())
         .collect();
     assert_eq!(names, ["b", "c", "a"]);
-    let new = |slower| Member { home: None, slower };
-    let mut members = vec![new(false); 6];
-    members.extend([new(true); 3]);
+    let new_member = |slower| Member { home: None, slower };
+    let mut members = vec![new_member(false); 6];
+    members.extend([new_member(true); 3]);
     let assigned = assign_models(&model_demands, &members);
     let usual = |model: usize| assigned[..6].iter().filter(|home| **home == model).count();
     assert_eq!([usual(0), usual(1), usual(2)], [3, 3, 0], "{assigned:?}");
@@ -940,8 +940,9 @@
             let turn = |rank: &usize| is_load_turn(Millis(now), Place { count, rank: *rank });
             assert!((0..count).filter(turn).count() <= most, "{count}");
         }
-        let each = |rank| (0..4_000).any(|now| is_load_turn(Millis(now), Place { count, rank }));
-        assert!((0..count).all(each), "{count}: an engine has no turn");
+        let has_turn =
+            |rank| (0..4_000).any(|now| is_load_turn(Millis(now), Place { count, rank }));
+        assert!((0..count).all(has_turn), "{count}: an engine has no turn");
     }
 }
 
@@ -1249,18 +1250,18 @@
 #[test]
 fn an_engines_pace_is_known_from_running_streams() {
     let mut pace = Pace::default();
-    let mut play = |from: u64, gap: f64, count: u32| {
+    let mut pace_after = |from: u64, gap: f64, count: u32| {
         (0..count).for_each(|_| pace.note(gap));
         pace.update(Millis(from))
     };
-    assert!((play(500, 40.0, 50) - 40.0).abs() < 0.1);
+    assert!((pace_after(500, 40.0, 50) - 40.0).abs() < 0.1);
     assert!(
-        (play(1_000, 40.0, 4) - 40.0).abs() < 0.1,
+        (pace_after(1_000, 40.0, 4) - 40.0).abs() < 0.1,
         "a window with too few gaps counts"
     );
     let mut known = 0.0;
     for window in 3..9 {
-        known = play(window * 500, 160.0, 50);
+        known = pace_after(window * 500, 160.0, 50);
     }
     assert!(is_straggler(known, 40.0), "{known}");
 
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -208,7 +208,7 @@
 fn a_view_returns_the_rows_changed_since_a_revision() {
     struct Test {
         after: u64,
-        told: Option<&'static [(&'static str, u64)]>,
+        changes: Option<&'static [(&'static str, u64)]>,
     }
 
     let mut view = TableView::default();
@@ -236,37 +236,37 @@
     for test in [
         Test {
             after: 0,
-            told: Some(&[("b", 5), ("c", 6)]),
+            changes: Some(&[("b", 5), ("c", 6)]),
         },
         Test {
             after: 3,
-            told: None,
+            changes: None,
         },
         Test {
             after: 4,
-            told: Some(&[("b", 5), ("c", 6), ("a", 7)]),
+            changes: Some(&[("b", 5), ("c", 6), ("a", 7)]),
         },
         Test {
             after: 6,
-            told: Some(&[("a", 7)]),
+            changes: Some(&[("a", 7)]),
         },
         Test {
             after: 7,
-            told: Some(&[]),
+            changes: Some(&[]),
         },
     ] {
         let rows = view.rows_since(test.after);
-        let told = rows.map(|rows| {
+        let found = rows.map(|rows| {
             let names = rows.into_iter().map(|row| (row.key, row.revision));
             names.collect::<Vec<(String, u64)>>()
         });
-        let expected = test.told.map(|told| {
-            let names = told
+        let expected = test.changes.map(|changes| {
+            let names = changes
                 .iter()
                 .map(|(key, revision)| ((*key).to_owned(), *revision));
             names.collect::<Vec<(String, u64)>>()
         });
-        assert_eq!(told, expected, "after {}", test.after);
+        assert_eq!(found, expected, "after {}", test.after);
     }
 }
 
--- a/tests/integration/platform_wire.rs
+++ b/tests/integration/platform_wire.rs
@@ -57,12 +57,12 @@
         path: &'static str,
     }
 
-    let about = |call| Ingress::Batch {
+    let batch_call = |call| Ingress::Batch {
         batch: "b1".to_owned(),
         call,
     };
     let results = |from| {
-        about(BatchCall::Results {
+        batch_call(BatchCall::Results {
             from,
             wait: Millis(900),
         })
@@ -84,12 +84,12 @@
             path: "/redwingpond/lots/b1?startAfter=x",
         },
         Test {
-            call: about(BatchCall::End),
+            call: batch_call(BatchCall::End),
             method: Method::DELETE,
             path: "/redwingpond/lots/b1",
         },
         Test {
-            call: about(BatchCall::ItemBody {
+            call: batch_call(BatchCall::ItemBody {
                 item: "i2".to_owned(),
             }),
             method: Method::GET,
@@ -135,8 +135,11 @@
     ] {
         headers.append(name, value.parse().unwrap());
     }
-    let on = forwarded_request_headers(&headers);
-    let mut names: Vec<&str> = on.keys().map(hyper::header::HeaderName::as_str).collect();
+    let forwarded = forwarded_request_headers(&headers);
+    let mut names: Vec<&str> = forwarded
+        .keys()
+        .map(hyper::header::HeaderName::as_str)
+        .collect();
     names.sort_unstable();
     assert_eq!(names, ["host", "x-attempt-id", "x-model"]);
 }
@@ -163,9 +166,9 @@
             headers.append(name("x-api-key"), HeaderValue::from_bytes(&key).unwrap());
             headers.append(name("x-tenant"), claimed.parse().unwrap());
         }
-        let on = forwarded_request_headers(&headers);
+        let forwarded = forwarded_request_headers(&headers);
         let sent: Vec<(&str, &[u8])> =
-            on.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
+            forwarded.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
         prop_assert_eq!(sent, vec![("x-model", &b"m"[..])]);
 
         let wanted = match (doubled, key.is_empty()) {
