--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -510,7 +510,8 @@
     );
 }
 
-/// An engine's incarnation as the store announces it, and as a refusal named it.
+/// Which incarnation of an engine gets requests, when a refusal names another one than
+/// the store announces.
 #[test]
 fn an_engines_current_incarnation_is_known() {
     struct Test {
@@ -680,6 +681,7 @@
     }
 }
 
+/// The demand for `model`, which amounts to `work`.
 fn demand(model: &str, work: f64) -> Demand {
     Demand {
         length_class: 0,
--- a/tests/integration/messages.rs
+++ b/tests/integration/messages.rs
@@ -179,6 +179,7 @@
     assert!(buffer.is_empty());
 }
 
+/// Messages are decoded as they were encoded, however the stream is split.
 #[test]
 fn every_message_survives_any_split() {
     for part in [1, 2, 7, 64, 4_096] {
@@ -204,6 +205,7 @@
     assert!(buffer.capacity() < 1_024);
 }
 
+/// A message over the size limit is not encoded, and leaves the buffer as it was.
 #[test]
 fn a_message_over_the_limit_leaves_the_buffer_unchanged() {
     let mut buffer = BytesMut::from(&b"before"[..]);
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -77,12 +77,14 @@
     }
 }
 
+/// A text to generate: its length in events, and its expected length in tokens.
 #[derive(Clone, Copy)]
 struct Item {
     events: u64,
     expected: u64,
 }
 
+/// A group of items of a step; useful to the trainer only when it is complete.
 #[derive(Clone)]
 struct Group {
     /// Whether it is left over from an earlier step.
@@ -114,7 +116,7 @@
     groups: Vec<Group>,
 }
 
-/// An item that an engine runs.
+/// An item that runs at an engine, or waits there for a slot.
 struct Run {
     engine: usize,
     group: usize,
