--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -1,5 +1,5 @@
-//! The pure decisions of gateways and runners, as tables of cases and as
-//! replays of the load they answer.
+//! The decisions of gateways and runners, which are functions without side effects:
+//! tables of cases, and small simulations of the loads that they are made for.
 
 use proptest::prelude::*;
 use redwingpond::{
@@ -18,8 +18,10 @@
     },
 };
 
-const ALONE: Place = Place { count: 1, rank: 0 };
+/// The place of a runner that is alone in its group.
+const ONLY_RUNNER: Place = Place { count: 1, rank: 0 };
 
+/// An unclaimed bundle of a new batch, with four items, that the runner may take.
 fn offer(bundle: u16) -> Offer {
     Offer {
         age: Millis(0),
@@ -39,6 +41,8 @@
     }
 }
 
+/// A bundle that another runner has held for `since` ms. Its engine takes `pace` times
+/// as long for an event as this runner's.
 fn held(pace: f64, since: u64) -> Holder {
     Holder::Held {
         joinable: true,
@@ -48,7 +52,8 @@
     }
 }
 
-fn usual_taker(place: Place, room: u32) -> Runner {
+/// A runner whose engine is of the usual kind and has `room` for further items.
+fn usual_runner(place: Place, room: u32) -> Runner {
     Runner {
         place,
         room,
@@ -57,7 +62,7 @@
     }
 }
 
-/// Offers to a runner, and the bundle that it takes.
+/// The offers to a runner, and the bundle that it takes.
 struct Choice {
     name: &'static str,
     offers: Vec<Offer>,
@@ -68,15 +73,16 @@
 
 impl Choice {
     fn run(&self) {
-        let taken = choose(&self.offers, usual_taker(self.place, self.room));
+        let taken = choose(&self.offers, usual_runner(self.place, self.room));
         assert_eq!(taken.map(|offer| offer.bundle), self.takes, "{}", self.name);
     }
 }
 
-/// Which of the bundles that nobody runs a runner takes.
+/// A runner takes one of the bundles that nobody holds: it must be able to run it, and
+/// prefers its own share, what is due first, and its home model.
 #[test]
-fn a_runner_takes_the_group_that_helps_most() {
-    let foreign = Offer {
+fn a_runner_takes_the_best_unheld_bundle() {
+    let other_model = Offer {
         home: false,
         ..offer(1)
     };
@@ -84,12 +90,12 @@
         Choice {
             name: "the first in order",
             offers: vec![offer(2), offer(1)],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(1),
         },
         Choice {
-            name: "each runner its own of a new batch",
+            name: "its own share of a new batch",
             offers: vec![offer(0), offer(1), offer(2)],
             place: Place { count: 3, rank: 2 },
             room: 12,
@@ -104,41 +110,41 @@
                     ..offer(9)
                 },
             ],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(9),
         },
         Choice {
             name: "nothing without room",
             offers: vec![offer(0)],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 0,
             takes: None,
         },
         Choice {
-            name: "nothing its engine is too old for",
+            name: "nothing that needs newer weights than the engine has",
             offers: vec![Offer {
                 loaded: false,
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
         Choice {
-            name: "another model's bundle only after a while",
-            offers: vec![foreign],
-            place: ALONE,
+            name: "no new bundle of another model",
+            offers: vec![other_model],
+            place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
         Choice {
-            name: "another model's bundle that nobody took",
+            name: "a bundle of another model that nobody took for 500 ms",
             offers: vec![Offer {
                 age: Millis(500),
-                ..foreign
+                ..other_model
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(1),
         },
@@ -147,17 +153,18 @@
     }
 }
 
-/// Which of the bundles that another runner holds a runner joins.
+/// A runner joins a bundle of another runner only if that one is much slower and this
+/// one has room for all of the bundle.
 #[test]
 fn a_runner_joins_only_slow_holders() {
     for test in [
         Choice {
-            name: "no holder of the usual pace is joined",
+            name: "a holder of the usual pace is not joined",
             offers: vec![Offer {
                 holder: held(1.2, 3_000),
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: None,
         },
@@ -167,12 +174,12 @@
                 holder: held(3.5, 800),
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(0),
         },
         Choice {
-            name: "an unclaimed bundle before a slow holder's",
+            name: "an unclaimed bundle goes before a slow holder's",
             offers: vec![
                 Offer {
                     holder: held(3.5, 800),
@@ -180,17 +187,17 @@
                 },
                 offer(5),
             ],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 12,
             takes: Some(5),
         },
         Choice {
-            name: "a slow holder's bundle only whole",
+            name: "without room for all of its items, a slow holder's bundle is not joined",
             offers: vec![Offer {
                 holder: held(3.5, 800),
                 ..offer(0)
             }],
-            place: ALONE,
+            place: ONLY_RUNNER,
             room: 3,
             takes: None,
         },
@@ -199,9 +206,9 @@
     }
 }
 
-/// A step of 24 bundles arrives at five runners at the same moment. Each takes
-/// three before it sees what the others took: no two take the same, so no
-/// claim is lost.
+/// A step of 24 bundles arrives at five runners at the same moment. Each takes three
+/// before it sees the claims of the others. No two take the same bundle, so no claim is
+/// lost to another.
 #[test]
 fn a_new_batch_is_taken_without_collisions() {
     let mut taken = Vec::new();
@@ -209,7 +216,7 @@
         let place = Place { count: 5, rank };
         let mut offers: Vec<Offer> = (0..24).map(offer).collect();
         let mut room = 12;
-        while let Some(chosen) = choose(&offers, usual_taker(place, room)).copied() {
+        while let Some(chosen) = choose(&offers, usual_runner(place, room)).copied() {
             offers.retain(|other| other.bundle != chosen.bundle);
             room -= chosen.remaining.min(room);
             taken.push(chosen.bundle);
@@ -221,9 +228,10 @@
     assert_eq!((all, taken.len()), (15, 15));
 }
 
-/// While no claim can be written, each bundle has exactly one runner.
+/// While the store is unreachable and no claim can be written, each unclaimed bundle is
+/// assigned to exactly one runner.
 #[test]
-fn each_group_has_one_runner_by_the_rule() {
+fn each_bundle_is_assigned_to_one_runner() {
     for bundle in 0..24 {
         let runners = (0..5).filter(|rank| {
             let place = Place {
@@ -238,14 +246,14 @@
         holder: held(1.0, 0),
         ..offer(0)
     };
-    assert!(!is_assigned(&claimed, ALONE));
+    assert!(!is_assigned(&claimed, ONLY_RUNNER));
 }
 
-/// The store goes away as it answers a claim. The runner that made it hears of it
-/// from the feed only; all others know whose the bundle is, and the rule gives it
-/// to another: the holder runs it.
+/// The store becomes unreachable while it answers a claim, and the claiming runner
+/// learns of its claim from the feed only. All others know that it holds the bundle, so
+/// it must run it even if its place assigns the bundle to another runner.
 #[test]
-fn a_claim_known_from_the_feed_is_run_in_an_outage() {
+fn a_claim_known_only_from_the_feed_is_run_in_an_outage() {
     let other = Place { count: 3, rank: 1 };
     let known = Offer {
         claimed: true,
@@ -260,10 +268,10 @@
     assert!(!is_assigned(&unloaded, other));
 }
 
-/// An engine that takes four times as long as usual gets a quarter of its
-/// slots; an unknown or a merely full one gets all.
+/// An engine that takes four times as long as usual uses a quarter of its slots. One of
+/// unknown pace, or one that is only slower because it is full, uses all.
 #[test]
-fn a_slow_engine_takes_less() {
+fn a_straggler_uses_fewer_slots() {
     for (pace, usual, slots) in [
         (0.0, 0.0, 12),
         (0.0, 30.0, 12),
@@ -275,17 +283,17 @@
     assert_eq!(usable_slots(2, 120.0, 30.0), 1);
 }
 
-/// A situation of an engine, and whether it takes new weights.
-struct Loading {
+/// The situation of an engine, and whether it loads new weights.
+struct LoadCase {
     name: &'static str,
-    now: Situation,
+    situation: Situation,
     decision: LoadDecision,
 }
 
-impl Loading {
+impl LoadCase {
     fn run(&self) {
         assert_eq!(
-            version_plan::decide(&self.now),
+            version_plan::decide(&self.situation),
             self.decision,
             "{}",
             self.name
@@ -293,7 +301,9 @@
     }
 }
 
-const CALM: Situation = Situation {
+/// An idle engine of the model's own runners that holds version 4, 2 s after version 5
+/// was named. No other engine loads or has version 5.
+const IDLE_ENGINE: Situation = Situation {
     outage: None,
     held: 4,
     home: true,
@@ -311,39 +321,42 @@
     waiting: false,
 };
 
-/// A load that nothing waits for gives way to the loads of models that have fewer
-/// engines ready, and to those whose turn it is.
+/// A load that no work waits for gives way to the loads of models with fewer engines
+/// ready, and to the runners whose turn it is.
 #[test]
-fn loads_give_way() {
+fn loads_without_waiting_work_give_way() {
     for test in [
-        Loading {
-            name: "half are ready, and another model's engine loads",
-            now: Situation {
+        LoadCase {
+            name: "half of the engines are ready, and another engine loads",
+            situation: Situation {
                 loading: 1,
                 ready: 3,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "half are ready, and nobody loads",
-            now: Situation { ready: 3, ..CALM },
+        LoadCase {
+            name: "half of the engines are ready, and none loads",
+            situation: Situation {
+                ready: 3,
+                ..IDLE_ENGINE
+            },
             decision: LoadDecision::Load(5),
         },
-        Loading {
-            name: "too few are ready, and another loads",
-            now: Situation {
+        LoadCase {
+            name: "less than half are ready, and another engine loads",
+            situation: Situation {
                 loading: 1,
                 ready: 2,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
-        Loading {
-            name: "another's turn",
-            now: Situation {
+        LoadCase {
+            name: "it is another runner's turn",
+            situation: Situation {
                 is_turn: false,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
@@ -352,66 +365,72 @@
     }
 }
 
-/// When an engine takes weights that no work needs yet.
+/// When an engine loads weights that no work needs yet.
 #[test]
-fn weights_are_taken_when_they_cost_least() {
+fn engines_load_weights_early_while_idle() {
     for test in [
-        Loading {
-            name: "the newest is held",
-            now: Situation { held: 5, ..CALM },
+        LoadCase {
+            name: "the engine holds the newest version",
+            situation: Situation {
+                held: 5,
+                ..IDLE_ENGINE
+            },
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "nothing waits",
-            now: CALM,
+        LoadCase {
+            name: "no work waits",
+            situation: IDLE_ENGINE,
             decision: LoadDecision::Load(5),
         },
-        Loading {
-            name: "work waits that the held version serves",
-            now: Situation {
+        LoadCase {
+            name: "work waits that the held version may run",
+            situation: Situation {
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "the step may be on its way",
-            now: Situation {
+        LoadCase {
+            name: "the version was just named, and its step may follow",
+            situation: Situation {
                 named_for: Millis(100),
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "another model's engine",
-            now: Situation {
+            situation: Situation {
                 home: false,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "two load already",
-            now: Situation { loading: 2, ..CALM },
+        LoadCase {
+            name: "two engines load already",
+            situation: Situation {
+                loading: 2,
+                ..IDLE_ENGINE
+            },
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "nine of 46 may load at once",
-            now: Situation {
+        LoadCase {
+            name: "eight of 46 load, and nine may",
+            situation: Situation {
                 loading: 8,
                 models: 3,
                 runners: 46,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
-        Loading {
-            name: "nine of 46 load already",
-            now: Situation {
+        LoadCase {
+            name: "nine of 46 engines load already",
+            situation: Situation {
                 loading: 9,
                 models: 3,
                 runners: 46,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
@@ -420,16 +439,16 @@
     }
 }
 
-/// One bundle of a model waits for a slot, and other models' engines are idle.
-/// All of them loaded its weights at the same moment, three seconds after its
-/// batch came, and were away from their own models' next steps for two seconds.
-/// Now they follow one another, and those with an earlier place leave the later
-/// ones nothing to do.
+/// One bundle of a model waits for a slot while the engines of other models are idle.
+/// All of them loaded the model's weights at the same moment, three seconds after the
+/// batch arrived, and were unavailable to the next steps of their own models for two
+/// seconds. They must load one after another, so that the first ones leave no work to
+/// the others.
 #[test]
-fn other_models_engines_help_one_after_another() {
-    let helpers = |waited: u64| {
-        let helps = |rank: &usize| {
-            let now = Situation {
+fn other_models_engines_load_one_after_another() {
+    let loading_engines = |waited: u64| {
+        let loads = |rank: &usize| {
+            let situation = Situation {
                 home: false,
                 needed: 5,
                 needed_for: Millis(waited),
@@ -439,24 +458,24 @@
                 },
                 runners: 44,
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             };
-            version_plan::decide(&now) != LoadDecision::Wait
+            version_plan::decide(&situation) != LoadDecision::Wait
         };
-        (0..18).filter(helps).count()
+        (0..18).filter(loads).count()
     };
-    let counts = [2_900, 3_000, 3_400, 4_600].map(helpers);
+    let counts = [2_900, 3_000, 3_400, 4_600].map(loading_engines);
     assert_eq!(counts, [0, 1, 2, 5]);
 }
 
-/// A trainer that fell behind asks for two steps within two seconds. Half of its
-/// engines take the version of the first before they work on it, so that the
-/// second finds them ready; the other half works on the first meanwhile.
+/// A trainer that is behind asks for two steps within two seconds. Half of its engines
+/// load the version of the first step before they work on it, so that they are ready
+/// for the second; the other half works on the first step meanwhile.
 #[test]
-fn half_of_the_engines_are_ready_for_a_step_that_is_near() {
-    let loads = |named: u64, soon: bool| -> Vec<usize> {
-        let takes = |rank: &usize| {
-            let now = Situation {
+fn half_of_the_engines_load_early_for_a_near_step() {
+    let loads = |named: u64, next_near: bool| -> Vec<usize> {
+        let loads_early = |rank: &usize| {
+            let situation = Situation {
                 held: named - 1,
                 models: 3,
                 named,
@@ -467,42 +486,46 @@
                     rank: *rank,
                 },
                 runners: 44,
-                next_near: soon,
+                next_near,
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             };
-            version_plan::decide(&now) != LoadDecision::Wait
+            version_plan::decide(&situation) != LoadDecision::Wait
         };
-        (0..6).filter(takes).collect()
+        (0..6).filter(loads_early).collect()
     };
     assert!(loads(6, false).is_empty());
     assert_eq!(loads(6, true), [0, 2, 4]);
     assert_eq!(loads(7, true), [1, 3, 5]);
     let alone = Situation {
-        place: ALONE,
+        place: ONLY_RUNNER,
         next_near: true,
         waiting: true,
-        ..CALM
+        ..IDLE_ENGINE
     };
     assert_eq!(
         version_plan::decide(&alone),
         LoadDecision::Wait,
-        "nobody else would work"
+        "no other engine would work on the first step"
     );
 }
 
-/// An engine's life as the store announces it, and as a refusal told it.
+/// Which incarnation of an engine gets requests, when a refusal names another one than
+/// the store announces.
 #[test]
-fn an_engines_present_life_is_known() {
+fn an_engines_current_incarnation_is_known() {
     struct Test {
         name: &'static str,
         announced: Option<&'static str>,
-        met: bool,
+        /// Whether a refusal of a request to `a` named `b`.
+        mismatch: bool,
+        /// Whether a report from there has shown a model of the runner's service.
         confirmed: bool,
-        present: Option<&'static str>,
+        /// The incarnation that gets requests.
+        current_id: Option<&'static str>,
     }
 
-    let met = Mismatch {
+    let mismatch = Mismatch {
         at: Millis(0),
         expected: "a".to_owned(),
         found: "b".to_owned(),
@@ -510,105 +533,106 @@
     let base = Test {
         name: "",
         announced: Some("a"),
-        met: true,
+        mismatch: true,
         confirmed: true,
-        present: Some("b"),
+        current_id: Some("b"),
     };
     for test in [
         Test {
-            name: "only announced",
-            met: false,
-            present: Some("a"),
+            name: "an announcement without a mismatch",
+            mismatch: false,
+            current_id: Some("a"),
             ..base
         },
         Test {
-            name: "the life before is still announced",
+            name: "the previous incarnation is still announced",
             ..base
         },
         Test {
-            name: "the life before lapsed",
+            name: "the announcement of the previous incarnation expired",
             announced: None,
             ..base
         },
         Test {
-            name: "a server of another service may have the address",
+            name: "a server of another service may now have the address",
             confirmed: false,
-            present: Some("a"),
+            current_id: Some("a"),
             ..base
         },
         Test {
-            name: "the store has caught up",
+            name: "the store announces the new incarnation",
             announced: Some("b"),
             ..base
         },
         Test {
-            name: "a third life is announced",
+            name: "a third incarnation is announced",
             announced: Some("c"),
-            present: Some("c"),
+            current_id: Some("c"),
             ..base
         },
     ] {
-        let met = test.met.then_some(&met);
-        let found = current(test.announced, met, test.confirmed);
-        assert_eq!(found, test.present, "{}", test.name);
+        let mismatch = test.mismatch.then_some(&mismatch);
+        let found = current(test.announced, mismatch, test.confirmed);
+        assert_eq!(found, test.current_id, "{}", test.name);
     }
-    assert!(!is_caught_up(None, &met) && !is_caught_up(Some("a"), &met));
-    assert!(is_caught_up(Some("b"), &met) && is_caught_up(Some("c"), &met));
+    assert!(!is_caught_up(None, &mismatch) && !is_caught_up(Some("a"), &mismatch));
+    assert!(is_caught_up(Some("b"), &mismatch) && is_caught_up(Some("c"), &mismatch));
 }
 
-/// The store is away, and no heartbeat tells who loads: idle engines take the
-/// named weights in waves by their place, so that the next step finds them.
+/// While the store is unreachable, no heartbeat shows which engines load. Idle engines
+/// load the named weights in waves by their place, so that they are ready for the next
+/// step.
 #[test]
-fn weights_are_taken_in_waves_without_the_store() {
-    let away = |millis: u64, rank: usize| Situation {
+fn weights_are_loaded_in_waves_during_an_outage() {
+    let in_outage = |millis: u64, rank: usize| Situation {
         outage: Some(Millis(millis)),
         loading: 9,
         named_for: Millis(20_000),
         place: Place { count: 5, rank },
-        ..CALM
+        ..IDLE_ENGINE
     };
     for test in [
-        Loading {
-            name: "a moment without the store",
-            now: away(200, 0),
+        LoadCase {
+            name: "the store has only just become unreachable",
+            situation: in_outage(200, 0),
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "the first wave, whatever old heartbeats say",
-            now: away(500, 0),
+        LoadCase {
+            name: "the first wave, whatever old heartbeats say of other loads",
+            situation: in_outage(500, 0),
             decision: LoadDecision::Load(5),
         },
-        Loading {
+        LoadCase {
             name: "the third wave waits for two loads",
-            now: away(2_400, 2),
+            situation: in_outage(2_400, 2),
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "the third wave",
-            now: away(2_500, 2),
+            situation: in_outage(2_500, 2),
             decision: LoadDecision::Load(5),
         },
-        Loading {
-            name: "a version that the returning store has told",
-            now: Situation {
+        LoadCase {
+            name: "a version that was named only as the store returned",
+            situation: Situation {
                 named_for: Millis(10),
-                ..away(7_000, 0)
+                ..in_outage(7_000, 0)
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "work waits for this engine",
-            now: Situation {
+            situation: Situation {
                 waiting: true,
-                ..away(9_000, 0)
+                ..in_outage(9_000, 0)
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
+        LoadCase {
             name: "another model's engine",
-            now: Situation {
+            situation: Situation {
                 home: false,
-                ..away(9_000, 0)
+                ..in_outage(9_000, 0)
             },
             decision: LoadDecision::Wait,
         },
@@ -617,38 +641,38 @@
     }
 }
 
-/// When an engine takes weights that work at hand needs.
+/// When an engine loads weights that waiting work needs.
 #[test]
-fn needed_weights_are_taken_soon() {
+fn needed_weights_are_loaded_soon() {
     for test in [
-        Loading {
-            name: "too old for the work at hand",
-            now: Situation {
+        LoadCase {
+            name: "the held version is too old",
+            situation: Situation {
                 named_for: Millis(0),
                 needed: 5,
                 waiting: true,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
-        Loading {
-            name: "too old, but two load already",
-            now: Situation {
+        LoadCase {
+            name: "too old, but two engines load already",
+            situation: Situation {
                 loading: 2,
                 named_for: Millis(900),
                 needed: 5,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Wait,
         },
-        Loading {
-            name: "too old, and who loads may be gone",
-            now: Situation {
+        LoadCase {
+            name: "too old for so long that the loading engines may have crashed",
+            situation: Situation {
                 loading: 2,
                 named_for: Millis(1_900),
                 needed_for: Millis(1_900),
                 needed: 5,
-                ..CALM
+                ..IDLE_ENGINE
             },
             decision: LoadDecision::Load(5),
         },
@@ -657,6 +681,7 @@
     }
 }
 
+/// The demand for `model`, which amounts to `work`.
 fn demand(model: &str, work: f64) -> Demand {
     Demand {
         length_class: 0,
@@ -670,13 +695,15 @@
     slower: false,
 };
 
-/// Deals `count` runners out that have no model yet.
-fn deal(demands: &[Demand], count: usize) -> Vec<usize> {
+/// Assigns `count` runners that have no home model yet.
+fn assign(demands: &[Demand], count: usize) -> Vec<usize> {
     assign_models(demands, &vec![NEW; count])
 }
 
+/// Each model gets runners in proportion to its demand, and at least one while there
+/// are enough.
 #[test]
-fn runners_are_dealt_by_demand() {
+fn runners_are_assigned_by_demand() {
     struct Test {
         count: usize,
         works: &'static [f64],
@@ -711,23 +738,29 @@
         },
     ] {
         let demands: Vec<Demand> = test.works.iter().map(|work| demand("m", *work)).collect();
-        let dealt = deal(&demands, test.count);
+        let assigned = assign(&demands, test.count);
         let shares: Vec<usize> = (0..test.works.len())
-            .map(|model| dealt.iter().filter(|dealt| **dealt == model).count())
+            .map(|model| {
+                assigned
+                    .iter()
+                    .filter(|assigned| **assigned == model)
+                    .count()
+            })
             .collect();
         assert_eq!(shares, test.shares, "{:?}", test.works);
     }
 }
 
-/// Three trainers ask for as many items each, but one model's texts are short.
-/// Dealt by items, the models with long texts got a third of the runners each,
-/// and their steps fell behind while the first model's engines were idle. One
-/// odd step moves few runners, and a trainer without estimates makes all count
-/// by items.
+/// Three trainers ask for about as many items each, but one model's texts are short.
+/// When runners were assigned by items, the models with long texts got a third of the
+/// runners each, and their steps fell behind while the first model's engines were idle.
+/// One unusual step must move few runners only. If any trainer gives no estimates, all
+/// demand counts by items.
 #[test]
 fn long_texts_get_more_runners() {
     struct Test {
         name: &'static str,
+        /// Model, step, items and expected tokens.
         batches: &'static [(&'static str, u64, usize, u64)],
         shares: &'static [usize],
     }
@@ -748,7 +781,7 @@
             shares: &[14, 15, 15],
         },
         Test {
-            name: "one odd step among four, an old one forgotten",
+            name: "one unusual step among the newest four, and an older one that does not count",
             batches: &[
                 ("a", 1, 10, 900_000),
                 ("a", 2, 10, 100_000),
@@ -760,7 +793,7 @@
             shares: &[12, 32],
         },
         Test {
-            name: "a model without batches keeps one",
+            name: "a model without batches has one runner",
             batches: &[("a", 1, 10, 50_000)],
             shares: &[43, 1],
         },
@@ -776,11 +809,16 @@
             });
             models.push(((*name).to_owned(), asked.collect()));
         }
-        let wanted = demands(models);
-        let dealt = deal(&wanted, 44);
+        let model_demands = demands(models);
+        let assigned = assign(&model_demands, 44);
         let of = |name: &&str| {
-            let model = wanted.iter().position(|demand| demand.model == *name);
-            dealt.iter().filter(|dealt| Some(**dealt) == model).count()
+            let model = model_demands
+                .iter()
+                .position(|demand| demand.model == *name);
+            assigned
+                .iter()
+                .filter(|assigned| Some(**assigned) == model)
+                .count()
         };
         let shares: Vec<usize> = names[..test.shares.len()].iter().map(of).collect();
         assert_eq!(shares, test.shares, "{}", test.name);
@@ -788,15 +826,15 @@
 }
 
 proptest! {
-    /// Every runner has a model, whatever is asked for. One runner more moves at
-    /// most one of the others, and demands that change by a twentieth move none.
+    /// Every runner gets a model, whatever the demand, and repeating the assignment
+    /// changes nothing. One more runner moves at most one of the others.
     #[test]
-    fn dealing_is_whole_and_steady(
+    fn assignments_are_complete_and_stable(
         works in proptest::collection::vec(10.0_f64..1_000.0, 1..5),
         count in 1_usize..60,
     ) {
         let demands: Vec<Demand> = works.iter().map(|work| demand("m", *work)).collect();
-        let before = deal(&demands, count);
+        let before = assign(&demands, count);
         prop_assert_eq!(before.len(), count);
         let keeps = |home: &usize| Member { home: Some(*home), ..NEW };
         let mut members: Vec<Member> = before.iter().map(keeps).collect();
@@ -809,16 +847,16 @@
         prop_assert!(moved <= 1, "{moved} of {count} moved");
     }
 
-    /// However runners stand, the models' shares are right within a runner or so
-    /// after a few turns, and then nobody moves.
+    /// From any earlier home models, one assignment is enough: repeating it changes
+    /// nothing, and no model is left without a runner while there are enough.
     #[test]
-    fn homes_come_to_rest(
+    fn assignments_settle(
         works in proptest::collection::vec(10.0_f64..1_000.0, 1..5),
-        stand in proptest::collection::vec((proptest::option::of(0_usize..6), any::<bool>()), 1..40),
+        runners in proptest::collection::vec((proptest::option::of(0_usize..6), any::<bool>()), 1..40),
     ) {
         let demands: Vec<Demand> = works.iter().map(|work| demand("m", *work)).collect();
         let member = |(home, slower): &(Option<usize>, bool)| Member { home: *home, slower: *slower };
-        let members: Vec<Member> = stand.iter().map(member).collect();
+        let members: Vec<Member> = runners.iter().map(member).collect();
         let first = assign_models(&demands, &members);
         let again: Vec<Member> = members
             .iter()
@@ -832,12 +870,13 @@
     }
 }
 
-/// Three trainers share six usual engines and three of the slower kind. One has
-/// short texts, and its steps had time to spare at usual engines, while the other
-/// two waited for texts of 9.5 s at slower ones: these get the usual engines.
+/// Three trainers share six usual engines and three of the slower kind. One trainer has
+/// short texts, and its steps were early on usual engines, while the other two waited
+/// for texts that took 9.5 s on slower ones. The models with the long texts must get
+/// the usual engines.
 #[test]
 fn the_longest_texts_get_the_fastest_engines() {
-    let asked = |items, tokens| {
+    let batches = |items, tokens| {
         vec![BatchDemand {
             items,
             step: 1,
@@ -845,44 +884,47 @@
         }]
     };
     let models = vec![
-        ("a".to_owned(), asked(60, 60 * 900)),
-        ("b".to_owned(), asked(68, 68 * 1_480)),
-        ("c".to_owned(), asked(72, 72 * 1_450)),
+        ("a".to_owned(), batches(60, 60 * 900)),
+        ("b".to_owned(), batches(68, 68 * 1_480)),
+        ("c".to_owned(), batches(72, 72 * 1_450)),
     ];
-    let wanted = demands(models);
-    let names: Vec<&str> = wanted.iter().map(|demand| demand.model.as_str()).collect();
+    let model_demands = demands(models);
+    let names: Vec<&str> = model_demands
+        .iter()
+        .map(|demand| demand.model.as_str())
+        .collect();
     assert_eq!(names, ["b", "c", "a"]);
-    let new = |slower| Member { home: None, slower };
-    let mut members = vec![new(false); 6];
-    members.extend([new(true); 3]);
-    let dealt = assign_models(&wanted, &members);
-    let usual = |model: usize| dealt[..6].iter().filter(|home| **home == model).count();
-    assert_eq!([usual(0), usual(1), usual(2)], [3, 3, 0], "{dealt:?}");
-    assert!(dealt[6..].iter().filter(|home| **home == 2).count() >= 2);
+    let new_member = |slower| Member { home: None, slower };
+    let mut members = vec![new_member(false); 6];
+    members.extend([new_member(true); 3]);
+    let assigned = assign_models(&model_demands, &members);
+    let usual = |model: usize| assigned[..6].iter().filter(|home| **home == model).count();
+    assert_eq!([usual(0), usual(1), usual(2)], [3, 3, 0], "{assigned:?}");
+    assert!(assigned[6..].iter().filter(|home| **home == 2).count() >= 2);
 }
 
-/// A trainer's steps ask for a tenth more or less each time, an engine is lost,
-/// another is slow for a moment. Runners were dealt out anew each time, and an
-/// engine served three models in ten seconds: now at most one moves.
+/// Demand changes by a tenth with each step, or an engine is lost. Runners were
+/// reassigned each time, and an engine served three models within ten seconds. None may
+/// move for the demand, and at most one for the lost engine.
 #[test]
 fn runners_keep_their_models() {
     let works = |a: f64, b: f64, c: f64| [demand("a", a), demand("b", b), demand("c", c)];
-    let stand: Vec<Member> = deal(&works(54.0, 100.0, 104.0), 9)
+    let runners: Vec<Member> = assign(&works(54.0, 100.0, 104.0), 9)
         .into_iter()
         .map(|home| Member {
             home: Some(home),
             ..NEW
         })
         .collect();
-    let before: Vec<usize> = stand.iter().filter_map(|member| member.home).collect();
+    let before: Vec<usize> = runners.iter().filter_map(|member| member.home).collect();
     for (a, b, c) in [
         (60.0, 95.0, 100.0),
         (50.0, 110.0, 98.0),
         (54.0, 92.0, 112.0),
     ] {
-        assert_eq!(assign_models(&works(a, b, c), &stand), before);
+        assert_eq!(assign_models(&works(a, b, c), &runners), before);
     }
-    let mut fewer = stand;
+    let mut fewer = runners;
     fewer.remove(4);
     let after = assign_models(&works(54.0, 100.0, 104.0), &fewer);
     let kept = fewer.iter().zip(&after);
@@ -890,8 +932,9 @@
     assert!(moved.count() <= 1, "{after:?}");
 }
 
-/// Nine engines become idle at the same moment and could all take the next
-/// weights: by turns, two at most begin before they see each other's loads.
+/// Nine engines become idle at the same moment, and each could load the next weights.
+/// Because of the turns, two at most begin before they see each other's loads. Every
+/// engine gets a turn.
 #[test]
 fn idle_engines_load_by_turns() {
     for (count, most) in [(9, 1), (46, 4), (1, 1)] {
@@ -899,11 +942,13 @@
             let turn = |rank: &usize| is_load_turn(Millis(now), Place { count, rank: *rank });
             assert!((0..count).filter(turn).count() <= most, "{count}");
         }
-        let each = |rank| (0..4_000).any(|now| is_load_turn(Millis(now), Place { count, rank }));
-        assert!((0..count).all(each), "{count}: someone has no turn");
+        let has_turn =
+            |rank| (0..4_000).any(|now| is_load_turn(Millis(now), Place { count, rank }));
+        assert!((0..count).all(has_turn), "{count}: an engine has no turn");
     }
 }
 
+/// An idle server in the caller's data centre.
 fn candidate() -> Candidate {
     Candidate {
         connected: true,
@@ -917,6 +962,7 @@
     }
 }
 
+/// A call goes to the server that is expected to answer first.
 #[test]
 fn a_call_goes_where_it_is_answered_first() {
     struct Test {
@@ -929,7 +975,7 @@
         Test {
             candidates: Vec::new(),
             chosen: None,
-            name: "nowhere",
+            name: "no server",
         },
         Test {
             candidates: vec![
@@ -940,7 +986,7 @@
                 candidate(),
             ],
             chosen: Some(1),
-            name: "the nearer of two alike",
+            name: "the nearer of two equal servers",
         },
         Test {
             candidates: vec![
@@ -951,7 +997,7 @@
                 candidate(),
             ],
             chosen: Some(1),
-            name: "one that is connected of two alike",
+            name: "the connected one of two equal servers",
         },
         Test {
             candidates: vec![
@@ -965,7 +1011,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "a free one further away before a full one",
+            name: "a free server in another data centre before a full one",
         },
         Test {
             candidates: vec![
@@ -979,7 +1025,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "a fast one with work before a slow one",
+            name: "a fast server with calls in flight before a slow one",
         },
         Test {
             candidates: vec![
@@ -993,7 +1039,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "a busy one before one that failed",
+            name: "a busy server before one whose circuit breaker is open",
         },
         Test {
             candidates: vec![
@@ -1007,7 +1053,7 @@
                 },
             ],
             chosen: Some(1),
-            name: "any other before one that was tried",
+            name: "any other server before one that this call was sent to",
         },
     ] {
         let chosen = server_choice::choose(&test.candidates, 0);
@@ -1015,11 +1061,10 @@
     }
 }
 
-/// Callers that see four equal servers don't all choose the same one.
-/// The estimates of a service's equal servers differ by chance by up to 25 ms: a
-/// caller stays with the few servers that it is connected to. At 4 ms for a
-/// connection it opened one for every second call. A server that has become
-/// slow is left all the same.
+/// The latency estimates of a service's equal servers differ by chance by up to 25 ms.
+/// A caller stays with the few servers that it is connected to, and leaves them if they
+/// become slow. When a new connection counted as 4 ms, a caller opened one for every
+/// second call.
 #[test]
 fn a_caller_stays_with_the_servers_that_it_knows() {
     let servers = |slow: f64| -> Vec<Candidate> {
@@ -1045,11 +1090,12 @@
     assert_eq!(
         opened(0.0),
         0,
-        "connections opened to servers that are no faster"
+        "connections opened to servers that are not faster"
     );
     assert_eq!(opened(100.0), 200, "calls that left the slow servers");
 }
 
+/// Callers that see four equal servers don't all choose the same one.
 #[test]
 fn equal_servers_share_the_calls() {
     let candidates = vec![candidate(); 4];
@@ -1062,6 +1108,8 @@
     assert_eq!(counts, [100; 4]);
 }
 
+/// A call that is not answered is sent to a second server after a multiple of the
+/// typical duration, and earlier if its deadline is near.
 #[test]
 fn a_second_server_is_asked_in_time() {
     for (typical, left, wait) in [(25.0, 1_500, 100), (80.0, 2_000, 210), (80.0, 300, 100)] {
@@ -1069,9 +1117,9 @@
     }
 }
 
-/// A batch is given up before it is removed, and never removed while it is open.
+/// An unfinished batch is given up when it is too old. It is removed only after that.
 #[test]
-fn batches_grow_old_in_order() {
+fn batches_are_given_up_before_they_are_removed() {
     struct Test {
         age: u64,
         over: bool,
@@ -1115,23 +1163,26 @@
     }
 }
 
-/// A step's bundles, longest first, before two usual engines and one of the
-/// slower kind with 16 slots each. Its longest texts ran at the slower engine,
-/// 9.5 s instead of 7.5 s: now the usual ones take what they have room for, and
-/// the slower one takes the shortest of the rest, a moment later.
+/// A step's bundles are offered to two usual engines and one of the slower kind, with
+/// 16 slots each. When the slower engine ran the longest texts, they took 9.5 s instead
+/// of 7.5 s. The usual engines must take the longest texts that they have room for. The
+/// slower one waits a moment and then takes the shortest of the rest.
 #[test]
 fn long_texts_run_at_the_faster_engines() {
     let slower = Runner {
         slower: true,
         yields: true,
-        ..usual_taker(ALONE, 16)
+        ..usual_runner(ONLY_RUNNER, 16)
     };
     let mut offers: Vec<Offer> = (0..15).map(offer).collect();
-    assert!(choose(&offers, slower).is_none(), "a new bundle");
+    assert!(
+        choose(&offers, slower).is_none(),
+        "a slower engine took a new bundle"
+    );
     for rank in 0..2 {
         let mut room = 16;
         let place = Place { count: 2, rank };
-        while let Some(chosen) = choose(&offers, usual_taker(place, room)).copied() {
+        while let Some(chosen) = choose(&offers, usual_runner(place, room)).copied() {
             assert!(chosen.order < 8, "{}", chosen.order);
             offers.retain(|other| other.bundle != chosen.bundle);
             room -= chosen.remaining;
@@ -1143,7 +1194,8 @@
     assert_eq!(choose(&offers, slower).map(|offer| offer.order), Some(14));
 }
 
-/// Which runner joins a bundle whose holder's engine is of the slower kind.
+/// A runner with a faster engine joins a bundle whose holder's engine is of the slower
+/// kind, after some time. A runner whose engine is as slow does not.
 #[test]
 fn a_slower_engines_long_texts_are_joined() {
     struct Test {
@@ -1155,7 +1207,7 @@
 
     for test in [
         Test {
-            name: "a faster runner, once the short texts are whole",
+            name: "a faster runner, once the short texts are complete",
             since: 1_600,
             slower: false,
             joins: true,
@@ -1167,7 +1219,7 @@
             joins: false,
         },
         Test {
-            name: "a runner as slow",
+            name: "a runner with a slower engine too",
             since: 1_600,
             slower: true,
             joins: false,
@@ -1180,13 +1232,13 @@
             slower: true,
         };
         let offers = [Offer { holder, ..offer(0) }];
-        let taker = Runner {
+        let runner = Runner {
             slower: test.slower,
             yields: test.slower,
-            ..usual_taker(ALONE, 16)
+            ..usual_runner(ONLY_RUNNER, 16)
         };
         assert_eq!(
-            choose(&offers, taker).is_some(),
+            choose(&offers, runner).is_some(),
             test.joins,
             "{}",
             test.name
@@ -1194,20 +1246,24 @@
     }
 }
 
-/// An engine's pace by the gaps of its runs: known within a second, undisturbed
-/// by one long pause, and followed within three when the engine turns slow.
+/// An engine's pace is measured by the gaps between the events of its runs. It is known
+/// within a second, not changed by a single long pause, and follows within three
+/// seconds when the engine becomes slow.
 #[test]
-fn an_engines_pace_is_known_from_runs_under_way() {
+fn an_engines_pace_is_known_from_running_streams() {
     let mut pace = Pace::default();
-    let mut play = |from: u64, gap: f64, count: u32| {
+    let mut pace_after = |from: u64, gap: f64, count: u32| {
         (0..count).for_each(|_| pace.note(gap));
         pace.update(Millis(from))
     };
-    assert!((play(500, 40.0, 50) - 40.0).abs() < 0.1);
-    assert!((play(1_000, 40.0, 4) - 40.0).abs() < 0.1, "too few gaps");
+    assert!((pace_after(500, 40.0, 50) - 40.0).abs() < 0.1);
+    assert!(
+        (pace_after(1_000, 40.0, 4) - 40.0).abs() < 0.1,
+        "a window with too few gaps counts"
+    );
     let mut known = 0.0;
     for window in 3..9 {
-        known = play(window * 500, 160.0, 50);
+        known = pace_after(window * 500, 160.0, 50);
     }
     assert!(is_straggler(known, 40.0), "{known}");
 
@@ -1219,11 +1275,12 @@
     let known = pace.update(Millis(1_000));
     assert!(
         !is_slower(known, 40.0, false),
-        "{known} after a load of weights"
+        "{known} after a pause for loading weights"
     );
 }
 
-/// What counts as slower, with a margin between the ways there and back.
+/// An engine counts as slower from one threshold on and as usual again below a lower
+/// one. The usual pace is that of the faster engines.
 #[test]
 fn engines_of_a_slower_kind_are_known() {
     for (pace, known, before, slower) in [
@@ -1241,60 +1298,62 @@
     assert!(usual_pace(Vec::new()).abs() < 0.1);
 }
 
-/// The store loses a third of its answers, then takes sixty times as long, then is
-/// as ever. A lost answer is asked for again within 0.3 s instead of 1.5 s; a slow
-/// one is waited for after the first that was given up too soon.
+/// The store loses a third of its answers, then takes sixty times as long for each,
+/// then works normally again. A lost answer must be asked for again within 0.3 s, where
+/// a fixed timeout took 1.5 s. A slow answer must be waited for after the first ones
+/// that timed out.
 #[test]
-fn lost_answers_are_told_from_slow_ones() {
-    let mut patience = AdaptiveTimeout::default();
+fn lost_answers_are_distinguished_from_slow_ones() {
+    let mut adaptive = AdaptiveTimeout::default();
     for call in 0..100 {
-        patience.note(Millis(call * 20), Millis(9));
+        adaptive.note(Millis(call * 20), Millis(9));
     }
     let mut now = Millis(2_000);
     for _ in 0..10 {
-        let wait = patience.timeout(now);
-        assert!(wait <= Millis(300), "{wait} for a lost answer");
+        let wait = adaptive.timeout(now);
+        assert!(wait <= Millis(300), "waited {wait} for a lost answer");
         now = now + wait;
-        patience.note_timeout();
+        adaptive.note_timeout();
         for _ in 0..2 {
             now = now + Millis(100);
-            patience.note(now, Millis(9));
+            adaptive.note(now, Millis(9));
         }
     }
 
-    let mut given_up = 0;
+    let mut timed_out = 0;
     for _ in 0..20 {
-        let wait = patience.timeout(now);
+        let wait = adaptive.timeout(now);
         now = now + Millis(wait.0.min(540));
         if wait < Millis(540) {
-            given_up += 1;
-            patience.note_timeout();
+            timed_out += 1;
+            adaptive.note_timeout();
         } else {
-            patience.note(now, Millis(540));
+            adaptive.note(now, Millis(540));
         }
     }
-    assert!(given_up <= 2, "{given_up} of 20 slow answers given up");
-    assert!(patience.timeout(now + Millis(20_000)) <= Millis(300));
+    assert!(timed_out <= 2, "{timed_out} of 20 slow answers timed out");
+    assert!(adaptive.timeout(now + Millis(20_000)) <= Millis(300));
 }
 
-/// A claim, its holder's last heartbeat, and whether the holder still works.
-struct Holding {
+/// A claim's holder by its last heartbeat, and whether it still works.
+struct HolderCase {
     name: &'static str,
-    beat: Option<LastHeartbeat>,
+    heartbeat: Option<LastHeartbeat>,
     now: u64,
-    works: bool,
+    working: bool,
 }
 
-/// A claim is there, seen at 1,000 ms at revision 50, by life 20 of its holder. Whether
-/// others take its bundle over is decided by what the holder wrote last.
+/// A claim was seen at 1,000 ms at revision 50, written by the holder's incarnation
+/// with token 20. Whether other runners take its bundle over depends on what the holder
+/// wrote last.
 #[test]
 fn a_claims_holder_is_known_to_work() {
-    let sign = ClaimWrite {
+    let claim = ClaimWrite {
         at: Millis(1_000),
         revision: 50,
         token: 20,
     };
-    let beat = |at: u64, revision: u64, token: u64, working: bool| {
+    let heartbeat = |at: u64, revision: u64, token: u64, working: bool| {
         Some(LastHeartbeat {
             at: Millis(at),
             revision,
@@ -1303,118 +1362,118 @@
         })
     };
     let cases = [
-        Holding {
+        HolderCase {
             name: "no heartbeat yet",
-            beat: None,
+            heartbeat: None,
             now: 1_100,
-            works: true,
+            working: true,
         },
-        Holding {
-            name: "no heartbeat for long",
-            beat: None,
+        HolderCase {
+            name: "no heartbeat for 2.3 s",
+            heartbeat: None,
             now: 3_300,
-            works: false,
+            working: false,
         },
-        Holding {
-            name: "the heartbeat of its start",
-            beat: beat(900, 20, 20, false),
+        HolderCase {
+            name: "only the heartbeat of its start, older than the claim",
+            heartbeat: heartbeat(900, 20, 20, false),
             now: 1_100,
-            works: true,
+            working: true,
         },
-        Holding {
-            name: "the heartbeat of its start, and silence since",
-            beat: beat(900, 20, 20, false),
+        HolderCase {
+            name: "only the heartbeat of its start, and silence since the claim",
+            heartbeat: heartbeat(900, 20, 20, false),
             now: 3_300,
-            works: false,
+            working: false,
         },
-        Holding {
-            name: "its engine has failed since",
-            beat: beat(1_050, 51, 20, false),
+        HolderCase {
+            name: "a newer heartbeat says that it does not work",
+            heartbeat: heartbeat(1_050, 51, 20, false),
             now: 1_100,
-            works: false,
+            working: false,
         },
-        Holding {
-            name: "heartbeats go on",
-            beat: beat(9_000, 90, 20, true),
+        HolderCase {
+            name: "its heartbeats continue",
+            heartbeat: heartbeat(9_000, 90, 20, true),
             now: 9_500,
-            works: true,
+            working: true,
         },
-        Holding {
-            name: "heartbeats have ended",
-            beat: beat(9_000, 90, 20, true),
+        HolderCase {
+            name: "its heartbeats have stopped",
+            heartbeat: heartbeat(9_000, 90, 20, true),
             now: 11_400,
-            works: false,
+            working: false,
         },
-        Holding {
-            name: "its next life",
-            beat: beat(1_050, 51, 51, true),
+        HolderCase {
+            name: "a heartbeat of its next incarnation",
+            heartbeat: heartbeat(1_050, 51, 51, true),
             now: 1_100,
-            works: false,
+            working: false,
         },
-        Holding {
-            name: "a late claim of the life before",
-            beat: beat(900, 40, 40, true),
+        HolderCase {
+            name: "a late claim of the previous incarnation",
+            heartbeat: heartbeat(900, 40, 40, true),
             now: 1_100,
-            works: false,
+            working: false,
         },
-        Holding {
-            name: "the heartbeat of the life before",
-            beat: beat(900, 15, 10, true),
+        HolderCase {
+            name: "the heartbeat of the previous incarnation",
+            heartbeat: heartbeat(900, 15, 10, true),
             now: 1_100,
-            works: true,
+            working: true,
         },
-        Holding {
-            name: "an outage has hidden all heartbeats",
-            beat: beat(8_000, 20, 20, false),
+        HolderCase {
+            name: "heartbeat times are reset after an outage",
+            heartbeat: heartbeat(8_000, 20, 20, false),
             now: 8_100,
-            works: true,
+            working: true,
         },
     ];
     for case in cases {
-        let found = is_working(sign, case.beat, Millis(case.now));
-        assert_eq!(found, case.works, "{}", case.name);
+        let found = is_working(claim, case.heartbeat, Millis(case.now));
+        assert_eq!(found, case.working, "{}", case.name);
     }
 }
 
-/// Steps of one model, and the mode of each.
-struct Order {
+/// The open steps of one model, and the expected mode of each.
+struct ModeCase {
     name: &'static str,
-    /// When each step is due and its waiting work, in s of one slot.
+    /// When each step is due, in s, and its waiting work in s of one slot.
     steps: Vec<(u64, u64)>,
-    places: u32,
-    turns: Vec<StepMode>,
+    slots: u32,
+    modes: Vec<StepMode>,
 }
 
-/// It is second 10, and a slot takes 1 ms for a token. A step that can be whole in
-/// time begins with its longest texts; one that can't is worked off by groups; what
-/// is late makes way.
+/// It is second 10, and a slot takes 1 ms per token. A step that can be complete in
+/// time starts with its longest texts. One that can't is run group by group. One that
+/// is late gives way.
 #[test]
-fn a_steps_order_follows_what_can_be_in_time() {
+fn a_steps_mode_depends_on_what_can_be_in_time() {
     use StepMode::{ByGroup, Late, Whole};
     for test in [
-        Order {
+        ModeCase {
             name: "enough engines",
             steps: vec![(17, 150)],
-            places: 90,
-            turns: vec![Whole],
+            slots: 90,
+            modes: vec![Whole],
         },
-        Order {
-            name: "a third of them is left",
+        ModeCase {
+            name: "only a third of the engines is left",
             steps: vec![(17, 190)],
-            places: 30,
-            turns: vec![ByGroup],
+            slots: 30,
+            modes: vec![ByGroup],
         },
-        Order {
-            name: "the step before takes its time first",
+        ModeCase {
+            name: "the earlier step uses up the engines first",
             steps: vec![(14, 60), (17, 130)],
-            places: 30,
-            turns: vec![Whole, ByGroup],
+            slots: 30,
+            modes: vec![Whole, ByGroup],
         },
-        Order {
-            name: "a late step waits for the others",
+        ModeCase {
+            name: "a late step gives way to the next",
             steps: vec![(10, 90), (17, 120)],
-            places: 30,
-            turns: vec![Late, Whole],
+            slots: 30,
+            modes: vec![Late, Whole],
         },
     ] {
         let steps: Vec<OpenStep> = test
@@ -1427,11 +1486,11 @@
             })
             .collect();
         let supply = Supply {
-            slots: test.places,
+            slots: test.slots,
             token_ms: 1.0,
         };
         let found = step_modes(&steps, supply, Millis(10_000));
-        assert_eq!(found, test.turns, "{}", test.name);
+        assert_eq!(found, test.modes, "{}", test.name);
         let unknown = Supply {
             token_ms: 0.0,
             ..supply
@@ -1440,17 +1499,18 @@
     }
 }
 
-/// Two runners free a slot each while a step is worked off by groups. They take the
-/// next bundles in line, each its own; what its trainer waits for goes before the
-/// groups beyond, and late steps before those but after all else.
+/// Two runners get a free slot each while a step is run group by group. They take the
+/// next bundles in the order of the groups, each a different one. Late steps come after
+/// steps that may be in time, and surplus groups, which no trainer waits for, come
+/// last.
 #[test]
 fn a_late_steps_groups_are_taken_one_after_another() {
-    let by_group = |line: u16| Offer {
+    let by_group = |position: u16| Offer {
         mode: StepMode::ByGroup,
-        // The longest texts stand at the end of the line.
-        order: 100 - line,
-        position: usize::from(line),
-        ..offer(line)
+        // The longest texts are in the last groups.
+        order: 100 - position,
+        position: usize::from(position),
+        ..offer(position)
     };
     let late = Offer {
         due: Millis(3_000),
@@ -1458,13 +1518,13 @@
         position: 4,
         ..offer(4)
     };
-    let beyond = Offer {
+    let surplus = Offer {
         surplus: true,
         due: Millis(3_000),
         ..offer(5)
     };
     let offers = [
-        beyond,
+        surplus,
         late,
         by_group(3),
         by_group(2),
@@ -1473,7 +1533,7 @@
     ];
     let taken = |offers: &[Offer], rank: usize| {
         let place = Place { count: 2, rank };
-        choose(offers, usual_taker(place, 1)).map(|offer| offer.bundle)
+        choose(offers, usual_runner(place, 1)).map(|offer| offer.bundle)
     };
     assert_eq!(taken(&offers, 0), Some(0));
     assert_eq!(taken(&offers, 1), Some(1));
@@ -1481,11 +1541,12 @@
     assert_eq!(taken(&offers[..1], 0), Some(5));
 }
 
-/// What a slot takes for an expected token, by runs whose estimates are off by half.
+/// The time of a slot per expected token is learned from runs whose estimates are off
+/// by half. Without estimates, an item counts as one token.
 #[test]
-fn a_places_rate_is_learned_from_its_runs() {
+fn a_slots_rate_is_learned_from_its_runs() {
     let mut rate = Rate::default();
-    assert!(rate.token_ms() <= 0.0, "unknown at first");
+    assert!(rate.token_ms() <= 0.0, "known without any run");
     for run in 0..200 {
         let expected = if run % 2 == 0 { 300 } else { 900 };
         rate.note(expected, 480.0);
@@ -1500,43 +1561,43 @@
     assert!((699.0..701.0).contains(&unestimated.token_ms()));
 }
 
-/// The groups beyond what trainers wait for go with the others while there is room for
-/// all, and last once there is not.
+/// Surplus groups, which no trainer waits for, go together with the others while the
+/// engines have capacity for all of them, and last otherwise.
 #[test]
-fn groups_beyond_go_last_when_work_is_scarce_of_engines() {
+fn surplus_groups_go_last_when_engines_are_scarce() {
     struct Test {
-        beyond: u64,
-        places: u32,
+        surplus: u64,
+        slots: u32,
         ample: bool,
     }
 
     for test in [
         Test {
-            beyond: 10,
-            places: 80,
+            surplus: 10,
+            slots: 80,
             ample: true,
         },
         Test {
-            beyond: 200,
-            places: 80,
+            surplus: 200,
+            slots: 80,
             ample: false,
         },
         Test {
-            beyond: 10,
-            places: 30,
+            surplus: 10,
+            slots: 30,
             ample: false,
         },
     ] {
         let step = OpenStep {
-            surplus: test.beyond * 1_000,
+            surplus: test.surplus * 1_000,
             due: Millis(7_500),
             needed: 150_000,
         };
         let supply = Supply {
-            slots: test.places,
+            slots: test.slots,
             token_ms: 1.0,
         };
         let ample = is_ample(&[step], supply, Millis(0));
-        assert_eq!(ample, test.ample, "{} {}", test.beyond, test.places);
+        assert_eq!(ample, test.ample, "{} {}", test.surplus, test.slots);
     }
 }
--- a/tests/integration/kept_rows.rs
+++ b/tests/integration/kept_rows.rs
@@ -1,4 +1,5 @@
-//! What lies in the store, and what a follower makes of it.
+//! The rows that are kept in the store: how batches and results are encoded, and how a
+//! follower applies changes and listings.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -25,6 +26,7 @@
 };
 use std::collections::BTreeMap;
 
+/// An item of `group` with a body of `size` bytes; `number` is its expected length.
 fn item(number: usize, group: &str, size: usize) -> Item {
     Item {
         body: Bytes::from(vec![7; size]),
@@ -37,6 +39,7 @@
     }
 }
 
+/// A submission of `items`, otherwise with default values.
 fn submission(items: Vec<Item>) -> Submission {
     Submission {
         host: "h".to_owned(),
@@ -52,8 +55,8 @@
     }
 }
 
-/// A batch of any size is written in transactions that the store takes, the
-/// head last, and every item is found in the chunk that the head names.
+/// A batch of any size is written in transactions within the store's limits, the head
+/// last. Each item is in the chunk that the head names.
 #[test]
 fn batches_of_any_size_fit_the_store() {
     struct Test {
@@ -101,7 +104,7 @@
     }
 }
 
-/// The bundles with the longest items begin first.
+/// Bundles are ordered by their longest item, the longest first.
 #[test]
 fn long_bundles_begin_first() {
     let items = vec![
@@ -115,24 +118,24 @@
     assert_eq!(head.bundle_order(), [1, 0, 2]);
 }
 
-/// A trainer waits for two of three groups: those that stand first in its submission,
-/// as groups that are left over from an earlier step do. Without a number it waits for
-/// all.
+/// A trainer waits for two of three groups: the first ones of its submission, where
+/// groups left over from an earlier step stand. The others are surplus. Without a
+/// number it waits for all.
 #[test]
-fn groups_beyond_those_waited_for_are_known() {
+fn groups_that_a_trainer_does_not_wait_for_are_surplus() {
     struct Test {
         needed: u16,
-        beyond: [bool; 3],
+        surplus: [bool; 3],
     }
 
     for test in [
         Test {
             needed: 2,
-            beyond: [false, false, true],
+            surplus: [false, false, true],
         },
         Test {
             needed: 0,
-            beyond: [false; 3],
+            surplus: [false; 3],
         },
     ] {
         let items = vec![item(1, "c", 0), item(2, "a", 0), item(3, "b", 0)];
@@ -142,21 +145,22 @@
         };
         let (head, _) = Head::of(&submission, Millis(0));
         let bundles = head.bundles.iter();
-        let beyond: Vec<bool> = bundles.map(|bundle| head.is_surplus(bundle)).collect();
-        assert_eq!(beyond, test.beyond, "{}", test.needed);
+        let surplus: Vec<bool> = bundles.map(|bundle| head.is_surplus(bundle)).collect();
+        assert_eq!(surplus, test.surplus, "{}", test.needed);
     }
 }
 
+/// The items of each bundle.
 fn bundles(head: &Head) -> Vec<Vec<u16>> {
     let bundles = head.bundles.iter();
     bundles.map(|bundle| bundle.items.clone()).collect()
 }
 
-/// A step of 16 groups of 16 items comes to 15 engines with 6 slots each. Its
-/// groups are dealt out in bundles of four, so that no engine runs one group
-/// in three turns while others are idle; each item is in one bundle.
+/// A step of 16 groups of 16 items arrives at 15 engines with 6 slots each. Groups are
+/// split into bundles of four items, so that no engine runs a whole group in three
+/// rounds while others are idle. Each item is in one bundle.
 #[test]
-fn large_groups_are_dealt_out() {
+fn large_groups_are_split_into_bundles() {
     let group = |number: usize| format!("g{}", number / 16);
     let items = (0..256).map(|number| item(number, &group(number), 0));
     let (head, _) = Head::of(&submission(items.collect()), Millis(0));
@@ -166,7 +170,7 @@
     all.sort_unstable();
     assert_eq!(all, (0..256).collect::<Vec<u16>>());
 
-    // Five items make two bundles of about the same size.
+    // Five items make two bundles of nearly equal size.
     let items = (0..5).map(|number| item(number, "g", 0)).collect();
     let (head, _) = Head::of(&submission(items), Millis(0));
     let sizes: Vec<usize> = head
@@ -177,6 +181,7 @@
     assert_eq!(sizes, [3, 2]);
 }
 
+/// A finished sample with a text of `size` bytes.
 fn sample(number: usize, size: usize) -> Sample {
     Sample {
         id: format!("item-{number}"),
@@ -187,6 +192,7 @@
     }
 }
 
+/// A row as the feed reports it; without a value it was removed.
 fn row(key: &str, revision: u64, value: Option<&'static str>) -> Row {
     Row {
         part: String::new(),
@@ -196,12 +202,13 @@
     }
 }
 
-/// What others are told of a table is each row's last change, and all of them or none.
+/// A view that passes changes on to others returns the last change of each row after a
+/// revision, or `None` if it does not know all of them.
 #[test]
-fn a_view_tells_others_what_changed() {
+fn a_view_returns_the_rows_changed_since_a_revision() {
     struct Test {
         after: u64,
-        told: Option<&'static [(&'static str, u64)]>,
+        changes: Option<&'static [(&'static str, u64)]>,
     }
 
     let mut view = TableView::default();
@@ -229,41 +236,43 @@
     for test in [
         Test {
             after: 0,
-            told: Some(&[("b", 5), ("c", 6)]),
+            changes: Some(&[("b", 5), ("c", 6)]),
         },
         Test {
             after: 3,
-            told: None,
+            changes: None,
         },
         Test {
             after: 4,
-            told: Some(&[("b", 5), ("c", 6), ("a", 7)]),
+            changes: Some(&[("b", 5), ("c", 6), ("a", 7)]),
         },
         Test {
             after: 6,
-            told: Some(&[("a", 7)]),
+            changes: Some(&[("a", 7)]),
         },
         Test {
             after: 7,
-            told: Some(&[]),
+            changes: Some(&[]),
         },
     ] {
         let rows = view.rows_since(test.after);
-        let told = rows.map(|rows| {
+        let found = rows.map(|rows| {
             let names = rows.into_iter().map(|row| (row.key, row.revision));
             names.collect::<Vec<(String, u64)>>()
         });
-        let expected = test.told.map(|told| {
-            let names = told
+        let expected = test.changes.map(|changes| {
+            let names = changes
                 .iter()
                 .map(|(key, revision)| ((*key).to_owned(), *revision));
             names.collect::<Vec<(String, u64)>>()
         });
-        assert_eq!(told, expected, "after {}", test.after);
+        assert_eq!(found, expected, "after {}", test.after);
     }
 }
 
-/// The names of removed rows grew with all rows that were ever written.
+/// A view keeps removed rows only for a while: their number grew with all rows ever
+/// written. A late change must not restore a removed row as long as the view remembers
+/// it.
 #[test]
 fn removed_rows_are_forgotten() {
     let mut view = TableView::default();
@@ -277,21 +286,17 @@
     view.prune();
     assert!(
         view.apply_changes(vec![row("a", 1, Some("1"))]).is_empty(),
-        "a late feed brings it back"
+        "a late change restored a removed row"
     );
     assert_eq!(view.rows_since(2).map(|rows| rows.len()), Some(1));
     view.prune();
-    assert_eq!(
-        view.rows_since(2),
-        None,
-        "told as if nothing had been removed"
-    );
+    assert_eq!(view.rows_since(2), None, "a forgotten removal was left out");
     assert_eq!(view.rows_since(3).map(|rows| rows.len()), Some(0));
     assert_eq!(view.apply_changes(vec![row("a", 9, Some("9"))]).len(), 1);
 }
 
-/// A part takes 200 transactions a second. With the heartbeats of 347 runners in one, those
-/// that started last were turned away for as long as the others went on.
+/// A part accepts 200 transactions a second. When 347 runners wrote their heartbeats to
+/// one part, those that started last were refused for as long as the others ran.
 #[test]
 fn heartbeats_of_a_fleet_fit_the_store() {
     for runners in [347, 694, 3_300] {
@@ -301,19 +306,19 @@
             assert!(is_heartbeat_part(&part));
             *parts.entry(part).or_default() += 1;
         }
-        // One a second each, and another one where something changes.
+        // Each runner writes one a second, and another when its state changes.
         let most = parts.values().max().copied().unwrap_or_default() * 2;
         assert!(
             most <= 200,
-            "{runners} runners: {most} a second in one part"
+            "{runners} runners: {most} writes a second in one part"
         );
     }
     assert!(!is_heartbeat_part(&batch_part("heartbeats")));
 }
 
 proptest! {
-    /// Results that are listed in any portions are read back in their order
-    /// from any position, the large ones too, each whole or not at all.
+    /// Results that are appended in any portions are read back in order from any
+    /// position, large ones included, each completely or not at all.
     #[test]
     fn results_are_read_as_they_were_listed(
         sizes in proptest::collection::vec(0_usize..120_000, 1..12),
@@ -353,16 +358,17 @@
         prop_assert_eq!(&page.samples[..], &expected[..read]);
         prop_assert!(read > 0 || expected.is_empty());
 
-        // An answer of the store may end within a result.
+        // A listing may end within a result.
         let rows = listed.into_iter().take(cut).collect();
         let page = read_page(from, &Listing { rows, ..Listing::default() });
         let read = page.samples.len();
         prop_assert_eq!(&page.samples[..], &expected[..read]);
     }
 
-    /// Whatever a listing or a feed brings late, a row never goes back.
+    /// Changes and listings may arrive late, but a row never returns to an older
+    /// revision.
     #[test]
-    fn a_view_never_goes_back(
+    fn a_view_never_returns_to_an_older_row(
         feeds in proptest::collection::vec((0_u8..4, 1_u64..60, any::<bool>()), 0..60),
         listings in proptest::collection::vec((0_usize..60, 0_u64..60), 0..4),
     ) {
@@ -373,7 +379,7 @@
                 let empty = Listing { revision: *revision, ..Listing::default() };
                 for change in view.apply_listing(None, empty) {
                     let Change::Removed { key, .. } = change else {
-                        panic!("an empty listing put a row");
+                        panic!("an empty listing added a row");
                     };
                     prop_assert!(newest[&key] <= *revision);
                     newest.insert(key, *revision);
@@ -397,6 +403,7 @@
     }
 }
 
+/// Each key of the work table is parsed back from its text; other texts are no keys.
 #[test]
 fn work_keys_are_read_as_written() {
     for key in [
@@ -412,6 +419,7 @@
     }
 }
 
+/// A server of the service `s` at the address that all servers of these tests share.
 fn server(id: &str, draining: bool) -> Server {
     Server {
         address: "127.0.0.1:1".parse().unwrap(),
@@ -428,7 +436,7 @@
 /// then stays in use until it has had time to announce itself again; at any other time it is
 /// removed at once.
 #[test]
-fn lapsed_servers_have_time_to_come_back() {
+fn lapsed_servers_have_time_to_announce_themselves_again() {
     let ids = |directory: &Directory| {
         let mut ids: Vec<String> = directory
             .serving("s")
@@ -459,8 +467,8 @@
     assert_eq!(ids(&directory), ["a"]);
 }
 
-/// The id of the server found at the tests' address.
-fn meant(directory: &Directory) -> Option<&str> {
+/// The id of the server that is found at the address of these tests.
+fn found_id(directory: &Directory) -> Option<&str> {
     let found = directory.server_at("127.0.0.1:1".parse().unwrap(), "s");
     found.map(|server| server.incarnation.id.as_str())
 }
@@ -468,34 +476,34 @@
 /// An address is reused by another server while the previous one is still announced: the
 /// server that accepts requests must be found, not the draining one.
 #[test]
-fn an_address_means_the_server_that_works() {
+fn the_working_server_at_an_address_is_found() {
     let mut directory = Directory::default();
     directory.put(server("old", true));
     directory.put(server("new", false));
-    assert_eq!(meant(&directory), Some("new"));
+    assert_eq!(found_id(&directory), Some("new"));
 }
 
 /// A restarted runner reads the announcements in the order of their ids, so the draining
 /// server can come last. It must not be found in place of the other.
 #[test]
-fn a_leaving_server_listed_last_is_not_meant() {
+fn a_draining_server_listed_last_is_not_found() {
     let mut directory = Directory::default();
     directory.put(server("new", false));
     directory.put(server("old", true));
-    assert_eq!(meant(&directory), Some("new"));
+    assert_eq!(found_id(&directory), Some("new"));
 }
 
 /// An engine crashes and restarts, and its previous incarnation stays announced for some
 /// seconds, with updates. Runners chose one of the two at random, and requests to the previous
 /// incarnation were refused.
 #[test]
-fn the_newest_incarnation_at_an_address_counts() {
+fn the_newest_incarnation_at_an_address_is_found() {
     let mut directory = Directory::default();
     for incarnation in 0..20 {
         let id = format!("life-{incarnation}");
         directory.put(server(&id, false));
         directory.put(server("life-0", false));
-        assert_eq!(meant(&directory), Some(id.as_str()));
+        assert_eq!(found_id(&directory), Some(id.as_str()));
     }
 }
 
@@ -509,7 +517,7 @@
         service: "other".to_owned(),
         ..server("stranger", false)
     });
-    assert_eq!(meant(&directory), Some("engine"));
+    assert_eq!(found_id(&directory), Some("engine"));
 }
 
 /// A server restarts under the same id and announces itself again: its new incarnation is
--- a/tests/integration/platform_wire.rs
+++ b/tests/integration/platform_wire.rs
@@ -1,4 +1,5 @@
-//! What the platform sends, decoded.
+//! Decoding of what the platform and callers send, and the headers that gateways and
+//! runners forward.
 
 use hyper::{
     HeaderMap,
@@ -24,10 +25,10 @@
     routing::{Credential, KeyDigest, RouteKind}, //
 };
 
-/// Events are cut out of a stream however its bytes arrive; a torn one at the
-/// end is left out.
+/// Events are read from a stream whatever the sizes of its chunks. An incomplete event
+/// at the end is left out.
 #[test]
-fn events_are_whole_or_left_out() {
+fn only_complete_events_are_read() {
     let stream = "x-weight-versions: 3\nid: 0\ndata: a\n\nid: 1\ndata: b\ndata: c\n\nid: 2\ndat";
     for step in 1..stream.len() {
         let mut reader = EventReader::default();
@@ -47,20 +48,21 @@
     }
 }
 
+/// Calls about a batch are recognized by method and path; all others go by their route.
 #[test]
-fn calls_are_told_apart() {
+fn calls_are_classified() {
     struct Test {
         call: Ingress,
         method: Method,
         path: &'static str,
     }
 
-    let about = |call| Ingress::Batch {
+    let batch_call = |call| Ingress::Batch {
         batch: "b1".to_owned(),
         call,
     };
     let results = |from| {
-        about(BatchCall::Results {
+        batch_call(BatchCall::Results {
             from,
             wait: Millis(900),
         })
@@ -82,12 +84,12 @@
             path: "/redwingpond/lots/b1?startAfter=x",
         },
         Test {
-            call: about(BatchCall::End),
+            call: batch_call(BatchCall::End),
             method: Method::DELETE,
             path: "/redwingpond/lots/b1",
         },
         Test {
-            call: about(BatchCall::ItemBody {
+            call: batch_call(BatchCall::ItemBody {
                 item: "i2".to_owned(),
             }),
             method: Method::GET,
@@ -116,10 +118,10 @@
     }
 }
 
-/// Headers that concern one connection, and those that the gateway sets, don't
-/// go on; neither do those that the caller names as such.
+/// Headers that concern one connection, those that the gateway sets, and those that the
+/// caller lists in `connection` are not forwarded.
 #[test]
-fn only_end_to_end_headers_go_on() {
+fn only_end_to_end_headers_are_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("host", "h"),
@@ -133,17 +135,20 @@
     ] {
         headers.append(name, value.parse().unwrap());
     }
-    let on = forwarded_request_headers(&headers);
-    let mut names: Vec<&str> = on.keys().map(hyper::header::HeaderName::as_str).collect();
+    let forwarded = forwarded_request_headers(&headers);
+    let mut names: Vec<&str> = forwarded
+        .keys()
+        .map(hyper::header::HeaderName::as_str)
+        .collect();
     names.sort_unstable();
     assert_eq!(names, ["host", "x-attempt-id", "x-model"]);
 }
 
 proptest! {
-    /// Whatever a caller shows as its key, or claims to be, reaches no server: not
-    /// under names in any case, doubled, empty, long or of any bytes.
+    /// A caller's key and the workspace that it claims are never forwarded to a server,
+    /// whatever their case, number, length or bytes.
     #[test]
-    fn no_key_goes_on(
+    fn no_key_is_forwarded(
         key in proptest::collection::vec(33_u8..=255, 0..300),
         claimed in "[a-z0-9]{8,40}",
         upper in proptest::collection::vec(any::<bool>(), 16),
@@ -161,9 +166,9 @@
             headers.append(name("x-api-key"), HeaderValue::from_bytes(&key).unwrap());
             headers.append(name("x-tenant"), claimed.parse().unwrap());
         }
-        let on = forwarded_request_headers(&headers);
+        let forwarded = forwarded_request_headers(&headers);
         let sent: Vec<(&str, &[u8])> =
-            on.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
+            forwarded.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
         prop_assert_eq!(sent, vec![("x-model", &b"m"[..])]);
 
         let wanted = match (doubled, key.is_empty()) {
@@ -174,7 +179,8 @@
     }
 }
 
-/// A trainer's items run in its workspace's name, whatever headers it gives them.
+/// A trainer's items run under the trainer's workspace, whatever headers the items
+/// have.
 #[test]
 fn an_item_runs_in_its_workspaces_name() {
     let headers = r#"{"X-Tenant":"other","x-api-key":"secret","X-Model":"m"}"#;
@@ -204,9 +210,9 @@
     }
 }
 
-/// Each workspace has ids of its own, and nobody can name another's batch.
+/// Each workspace has its own batch ids, and none can name another's batch.
 #[test]
-fn batches_have_names_by_workspace() {
+fn batches_are_stored_under_names_by_workspace() {
     let foam = stored_name(Some("foam"), "b1").unwrap();
     assert_ne!(stored_name(Some("springs"), "b1"), Some(foam.clone()));
     assert_eq!(stored_name(None, "b1"), Some("b1".to_owned()));
@@ -214,6 +220,8 @@
     assert_ne!(stored_name(Some("springs"), &foam), Some(foam));
 }
 
+/// A configuration with routes, services, workspaces and limits, as the platform stores
+/// it.
 const CONFIG: &str = r#"{"version":7,"unknown":1,"routes":[
     {"name":"a","host":"h","pathPrefix":"/a/","routeType":"safe","timeoutMs":1500,
      "trafficSplit":[{"service":"x","weight":90},{"service":"y","weight":10}],"maxAttempts":2},
@@ -224,6 +232,7 @@
     "tenants":[{"name":"foam","apiKeys":["f-1","f-2"],"priority":3},{"name":"empty"}],
     "limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}"#;
 
+/// A configuration is decoded, and routes are found by host and longest prefix.
 #[test]
 fn a_configuration_is_decoded() {
     let config = read_config(CONFIG.as_bytes()).unwrap();
@@ -250,7 +259,8 @@
     assert!(holder("empty").is_none());
     assert!(!batch.allow_anonymous);
 
-    // A split gives each service its share, and one request always the same.
+    // A traffic split gives each service its share, and always sends the same request
+    // to the same service.
     let split = config.route("h", "/a/x").unwrap();
     let to_y = (0..10_000).filter(|n| split.service_of(&n.to_string()) == Some("y"));
     let to_y = to_y.count();
@@ -258,35 +268,37 @@
     assert_eq!(split.service_of("same"), split.service_of("same"));
 }
 
+/// An error names the field or route that is wrong.
 #[test]
-fn what_is_not_understood_is_told() {
+fn errors_name_what_is_wrong() {
     struct Test {
         from: &'static str,
         to: &'static str,
-        told: &'static str,
+        message: &'static str,
     }
 
     for test in [
         Test {
             from: "\"safe\"",
             to: "\"other\"",
-            told: "route `a` has the unknown type `other`",
+            message: "route `a` has the unknown type `other`",
         },
         Test {
             from: "\"version\":7,",
             to: "",
-            told: "missing field `version`",
+            message: "missing field `version`",
         },
     ] {
         let text = CONFIG.replace(test.from, test.to);
         let error = read_config(text.as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(test.told), "{error}");
+        assert!(error.contains(test.message), "{error}");
     }
     assert!(read_server("s", b"{}").is_err());
     let error = read_submission("b", "h", "/c/b", br#"{"items":[]}"#).unwrap_err();
     assert!(error.to_string().contains("no items"), "{error}");
 }
 
+/// A server's announcement is decoded.
 #[test]
 fn a_server_is_decoded() {
     let entry =
@@ -301,22 +313,22 @@
     assert_eq!(server.models[0].version, 3);
 }
 
-/// An announcement that holds, as text.
-const ENTRY: &str = r#"{"service":"x","address":"10.0.0.1:80","zone":"n","version":"v1",
+/// A valid announcement of a server, as text.
+const ANNOUNCEMENT: &str = r#"{"service":"x","address":"10.0.0.1:80","zone":"n","version":"v1",
     "batchSlots":12,"state":"ready","coldRemainingMs":0,"stage":"both",
     "models":[{"name":"m","version":3,"adapters":[]}],"sequence":4,"born":1764720000123}"#;
 
-/// An operator's script or an older program writes among the servers'
-/// announcements. Calls went to whatever such an entry seemed to name: any state
-/// but one counted as ready. An entry that is not whole names no server.
+/// An operator's script or an older program writes among the servers' announcements.
+/// Calls went to the server that such an entry seemed to name, since any state but
+/// `draining` counted as ready. A malformed entry must name no server.
 #[test]
-fn an_entry_by_another_writer_names_no_server() {
+fn a_malformed_announcement_names_no_server() {
     struct Test {
         from: &'static str,
         to: &'static str,
     }
 
-    assert!(read_server("i-1", ENTRY.as_bytes()).is_ok());
+    assert!(read_server("i-1", ANNOUNCEMENT.as_bytes()).is_ok());
     for test in [
         Test {
             from: r#""ready""#,
@@ -380,8 +392,8 @@
         },
         Test { from: "{", to: "[" },
     ] {
-        let entry = ENTRY.replacen(test.from, test.to, 1);
-        assert_ne!(entry, ENTRY, "{}", test.from);
+        let entry = ANNOUNCEMENT.replacen(test.from, test.to, 1);
+        assert_ne!(entry, ANNOUNCEMENT, "{}", test.from);
         let server = read_server("i-1", entry.as_bytes());
         assert!(server.is_err(), "{} for {}", test.to, test.from);
     }
@@ -389,16 +401,16 @@
 }
 
 proptest! {
-    /// Bytes that are cut short or changed never stop the reader, and what it
-    /// takes for a server has an address and a state of the two that there are.
+    /// Truncated or changed bytes never make the reader panic, and what it accepts has
+    /// the right id and an address.
     #[test]
-    fn no_entry_stops_the_reader(
-        at in 0..ENTRY.len(),
+    fn no_announcement_stops_the_reader(
+        at in 0..ANNOUNCEMENT.len(),
         byte in any::<u8>(),
         cut in any::<bool>(),
         noise in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
-        let mut entry = ENTRY.as_bytes().to_vec();
+        let mut entry = ANNOUNCEMENT.as_bytes().to_vec();
         match cut {
             true => entry.truncate(at),
             false => entry[at] = byte,
@@ -411,9 +423,10 @@
         }
     }
 
-    /// A field of any other type makes the entry name no server.
+    /// A field of another type makes the announcement invalid. Only `coldRemainingMs`
+    /// may be any number.
     #[test]
-    fn a_field_of_another_type_is_found(
+    fn a_field_of_another_type_is_rejected(
         field in proptest::sample::select(vec![
             "service", "address", "zone", "version", "batchSlots", "state", "coldRemainingMs",
             "models", "sequence", "born",
@@ -423,7 +436,7 @@
             serde_json::json!([1]), serde_json::json!(-1.5),
         ]),
     ) {
-        let mut entry: serde_json::Value = serde_json::from_str(ENTRY).unwrap();
+        let mut entry: serde_json::Value = serde_json::from_str(ANNOUNCEMENT).unwrap();
         let is_number = field == "coldRemainingMs" && value.is_number();
         entry[field] = value;
         let server = read_server("i-1", entry.to_string().as_bytes());
--- a/tests/integration/use_counts.rs
+++ b/tests/integration/use_counts.rs
@@ -1,4 +1,4 @@
-//! What is counted and reported of each workspace's use, and by whom.
+//! Counts of each workspace's use, and the lease of the gateway that reports them.
 
 use proptest::prelude::*;
 use redwingpond::{
@@ -14,10 +14,10 @@
     length: Millis(5_000),
 };
 
-/// Requests count in the window in which they began; once that is closed, in the oldest
-/// open one, so that none is lost and no closed window changes.
+/// A request counts in the window in which it began. Once that is closed, it counts in
+/// the oldest open window, so that it is not lost and no closed window changes.
 #[test]
-fn requests_count_in_their_window() {
+fn requests_are_counted_in_their_window() {
     let mut tally = Tally::new(WINDOWS, Millis(10_000));
     for (began, workspace) in [(10_000, "a"), (14_999, "a"), (15_000, "b"), (12_000, "b")] {
         tally.note(workspace, Millis(began));
@@ -26,7 +26,8 @@
     let (window, part) = tally.unwritten().map(|(w, p)| (w, p.clone())).unwrap();
     assert_eq!((window, part.closed), (2, false));
     tally.close(Millis(16_800));
-    // The write of before was done: what changed since is written anew.
+    // The part of before the close is in the store, but the close has changed it: it
+    // must be written again.
     tally.set_written(window, &part);
     let (window, part) = tally.unwritten().map(|(w, p)| (w, p.clone())).unwrap();
     assert_eq!((window, part.closed), (2, true));
@@ -41,10 +42,10 @@
     assert_eq!(part.counts["c"], 1);
 }
 
-/// A window is summed up once all gateways have closed it, or late enough that those
-/// that are gone won't.
+/// A window is summed up once all gateways have closed it. If a gateway is gone, the
+/// sum is made without it after 6.5 s.
 #[test]
-fn windows_wait_for_their_gateways() {
+fn windows_are_summed_once_all_gateways_closed_them() {
     struct Test {
         after: u64,
         missing: usize,
@@ -88,43 +89,51 @@
     );
 }
 
-/// A third of the clocks is set wrong: true time stays where the others are.
+/// With a third of the clocks set wrong, the median offset stays that of the others.
 #[test]
-fn wrong_clocks_move_nothing() {
+fn wrong_clocks_dont_move_the_median() {
     assert_eq!(median(&mut []), None);
     assert_eq!(median(&mut [7]), Some(7));
     let mut offsets = [1_000, 1_002, 3_000, 1_001, -9_000, 3_001, 1_003];
     assert_eq!(median(&mut offsets), Some(1_002));
 }
 
-/// How long a lease lasts in the model, and how long a send may take.
-const LEASE: Millis = Millis(3_000);
-const SEND: Millis = Millis(800);
-const SLACK: Millis = Millis(400);
+/// The duration of the lease in the model.
+const LEASE_DURATION: Millis = Millis(3_000);
+/// The longest time that a report is in transit.
+const MAX_SEND_TIME: Millis = Millis(800);
+/// Added to [`MAX_SEND_TIME`] when a holder checks whether it may still send.
+const SEND_SLACK: Millis = Millis(400);
 
-/// When the model grows calm, and when it ends.
-const CALM: u64 = 50_000;
-const ENDS: u64 = 70_000;
+/// When the faults of the model end, in ms.
+const FAULTS_END: u64 = 50_000;
+/// When the model ends, in ms.
+const MODEL_END: u64 = 70_000;
 
-/// The longest that a contender stands still.
-const FROZEN_MOST: u64 = 9_000;
+/// The longest time for which a contender freezes, in ms.
+const MAX_FREEZE: u64 = 9_000;
 
-/// One contender for the lease, which asks the store over and over.
+/// A process that wants to hold the lease and send reports. All its times are in ms.
 struct Contender {
-    asks: Option<Ask>,
-    /// Until when it stands still.
-    frozen: u64,
+    /// Its call to the store in progress.
+    call: Option<StoreCall>,
+    /// It does nothing before this time.
+    frozen_until: u64,
     held: Option<HeldLease>,
-    me: Claimant,
+    claimant: Claimant,
+    /// When it takes its next step.
     next: u64,
     watch: LeaseWatch,
 }
 
-/// A call that is under way.
-enum Ask {
-    /// Its answer comes at this time, with what the store held when it asked.
+/// A call to the store in progress.
+enum StoreCall {
+    /// Reads the lease; the answer arrives at `at`, with the row and revision as they
+    /// were when the call was made.
     Read { at: u64, row: (u64, Option<Lease>) },
-    /// It is done at `done`; its answer comes at `at`, unless it is lost.
+    /// Writes the lease if the row still has the revision `expect`. The write takes
+    /// effect at `done`, and the answer arrives at `at` unless it is lost. `outcome` is
+    /// whether it was written.
     Write {
         asked: u64,
         at: u64,
@@ -136,38 +145,40 @@
     },
 }
 
-/// The row of the lease, with its revision.
+/// The lease in the store, with the revision of its row.
 #[derive(Default)]
 struct Row {
     lease: Option<Lease>,
     revision: u64,
 }
 
-/// A send that reached the platform.
+/// A report that reached the platform.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct ReportSend {
     at: u64,
     fence: Fence,
-    who: usize,
+    /// The index of the sender.
+    contender: usize,
 }
 
-/// What goes wrong in one step of a contender.
+/// The faults in one step of a contender. Its name and fields appear in the cases saved
+/// beside this file.
 #[derive(Clone, Copy, Debug)]
 struct Luck {
-    /// How long the store's answer takes.
+    /// The duration of the call to the store.
     answer: u64,
-    /// How long it stands still after this step, if it does.
+    /// How long the contender freezes after this step, if it does.
     freeze: Option<u64>,
     lost: bool,
-    /// How long a send is on its way.
+    /// How long a report is in transit.
     travel: u64,
 }
 
 fn luck() -> impl Strategy<Value = Luck> {
-    let freeze = prop_oneof![30 => Just(None), 1 => (500..FROZEN_MOST).prop_map(Some)];
+    let freeze = prop_oneof![30 => Just(None), 1 => (500..MAX_FREEZE).prop_map(Some)];
     let answer = prop_oneof![8 => 2_u64..20, 1 => 200_u64..2_500];
     let lost = prop_oneof![9 => Just(false), 1 => Just(true)];
-    (answer, freeze, lost, 1..SEND.0).prop_map(|(answer, freeze, lost, travel)| Luck {
+    (answer, freeze, lost, 1..MAX_SEND_TIME.0).prop_map(|(answer, freeze, lost, travel)| Luck {
         answer,
         freeze,
         lost,
@@ -178,10 +189,10 @@
 impl Contender {
     fn new(number: usize) -> Self {
         Self {
-            asks: None,
-            frozen: 0,
+            call: None,
+            frozen_until: 0,
             held: None,
-            me: Claimant {
+            claimant: Claimant {
                 address: String::new(),
                 holder: format!("gateway-{number}"),
                 incarnation: Incarnation(1),
@@ -191,35 +202,36 @@
         }
     }
 
-    /// One step at `now`: takes an answer, asks anew, or sends if it may.
-    fn step(&mut self, now: u64, row: &mut Row, luck: Luck) -> Option<Sent> {
-        if let Some(Ask::Write {
+    /// Takes one step at `now`: handles the answer to its last call or makes a new one,
+    /// and sends a report if its lease allows that.
+    fn step(&mut self, now: u64, row: &mut Row, luck: Luck) -> Option<ReportSend> {
+        if let Some(StoreCall::Write {
             done: Some(done),
             expect,
             lease,
             outcome,
             ..
-        }) = &mut self.asks
+        }) = &mut self.call
             && *done <= now
             && outcome.is_none()
         {
-            // The store does it whether or not the contender stands still.
+            // The store carries the write out even while the contender is frozen.
             *outcome = Some(row.revision == *expect);
             if row.revision == *expect {
                 row.revision += 1;
                 row.lease = Some(lease.clone());
             }
         }
-        if now < self.frozen || now < self.next {
+        if now < self.frozen_until || now < self.next {
             return None;
         }
         self.next = now + 50;
         if let Some(freeze) = luck.freeze {
-            self.frozen = now + freeze;
+            self.frozen_until = now + freeze;
         }
-        match self.asks.take() {
-            Some(Ask::Read { at, row }) if at <= now => self.read(now, row, luck),
-            Some(Ask::Write {
+        match self.call.take() {
+            Some(StoreCall::Read { at, row }) if at <= now => self.read(now, row, luck),
+            Some(StoreCall::Write {
                 asked,
                 at,
                 lease,
@@ -237,31 +249,35 @@
                 Some(false) if !lost => self.held = None,
                 _ => {}
             },
-            Some(ask) => self.asks = Some(ask),
+            Some(call) => self.call = Some(call),
             None => {
                 let row = (row.revision, row.lease.clone());
-                self.asks = Some(Ask::Read {
+                self.call = Some(StoreCall::Read {
                     at: now + luck.answer,
                     row,
                 });
             }
         }
         let held = self.held?;
-        let allowed = held.allows(Millis(now), SEND + SLACK, LEASE);
-        allowed.then_some(Sent {
+        let allowed = held.allows(Millis(now), MAX_SEND_TIME + SEND_SLACK, LEASE_DURATION);
+        allowed.then_some(ReportSend {
             at: now + luck.travel,
             fence: held.epoch,
-            who: 0,
+            contender: 0,
         })
     }
 
+    /// Handles the lease as read from the store, and writes it if due.
     fn read(&mut self, now: u64, (revision, lease): (u64, Option<Lease>), luck: Luck) {
         self.watch.observe(Millis(now), lease.clone());
-        if !lease.is_some_and(|lease| self.me.holds(&lease)) {
+        if !lease.is_some_and(|lease| self.claimant.holds(&lease)) {
             self.held = None;
         }
-        if let LeaseAction::Write(lease) = self.watch.decide(Millis(now), &self.me, LEASE) {
-            self.asks = Some(Ask::Write {
+        if let LeaseAction::Write(lease) =
+            self.watch
+                .decide(Millis(now), &self.claimant, LEASE_DURATION)
+        {
+            self.call = Some(StoreCall::Write {
                 asked: now,
                 at: now + luck.answer,
                 done: Some(now + luck.answer / 2),
@@ -277,45 +293,46 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Contenders freeze at any moment, the store is slow and loses answers, sends are
-    /// long on their way. The platform never sees a number fall, never one of two
-    /// holders, and no holder that comes back within a lease; and somebody acts again
-    /// soon after.
+    /// Contenders freeze at any moment, the store is slow and loses answers, and
+    /// reports take long to arrive. The platform must never see a fencing number
+    /// decrease or come from two holders, nor a former holder return within the
+    /// duration of a lease. Soon after the faults end, some contender must report
+    /// again.
     #[test]
-    fn holders_never_act_beside_each_other(
+    fn two_holders_never_report_at_once(
         contenders in 2_usize..4,
         script in proptest::collection::vec(luck(), 64..256),
     ) {
         let mut row = Row::default();
         let mut all: Vec<Contender> = (0..contenders).map(Contender::new).collect();
-        let mut sent: Vec<Sent> = Vec::new();
-        let mut turn = 0;
-        for now in (0..ENDS).step_by(10) {
-            for (who, contender) in all.iter_mut().enumerate() {
-                let luck = match now < CALM {
-                    true => script[turn % script.len()],
+        let mut sent: Vec<ReportSend> = Vec::new();
+        let mut draws = 0;
+        for now in (0..MODEL_END).step_by(10) {
+            for (index, contender) in all.iter_mut().enumerate() {
+                let luck = match now < FAULTS_END {
+                    true => script[draws % script.len()],
                     false => Luck { answer: 5, freeze: None, lost: false, travel: 1 },
                 };
-                turn += 1;
-                sent.extend(contender.step(now, &mut row, luck).map(|sent| Sent { who, ..sent }));
+                draws += 1;
+                sent.extend(contender.step(now, &mut row, luck).map(|send| ReportSend { contender: index, ..send }));
             }
         }
         sent.sort_by_key(|sent| sent.at);
         let mut highest = 0;
         let mut owners: BTreeMap<Fence, usize> = BTreeMap::new();
         let mut last: BTreeMap<usize, u64> = BTreeMap::new();
-        for (number, call) in sent.iter().enumerate() {
-            prop_assert!(call.fence >= highest, "{call:?} after {highest}");
-            highest = call.fence;
-            prop_assert_eq!(*owners.entry(call.fence).or_insert(call.who), call.who);
-            let others = number > 0 && sent[number - 1].who != call.who;
-            if let Some(before) = last.get(&call.who).filter(|_| others) {
-                prop_assert!(call.at - before >= LEASE.0, "{call:?} back after {before}");
+        for (number, send) in sent.iter().enumerate() {
+            prop_assert!(send.fence >= highest, "{send:?} after {highest}");
+            highest = send.fence;
+            prop_assert_eq!(*owners.entry(send.fence).or_insert(send.contender), send.contender);
+            let is_handover = number > 0 && sent[number - 1].contender != send.contender;
+            if let Some(before) = last.get(&send.contender).filter(|_| is_handover) {
+                prop_assert!(send.at - before >= LEASE_DURATION.0, "{send:?} back after {before}");
             }
-            last.insert(call.who, call.at);
+            last.insert(send.contender, send.at);
         }
-        // Once all is calm somebody takes over within two leases.
-        let soon = CALM + FROZEN_MOST + 2 * LEASE.0;
-        prop_assert!(sent.iter().any(|call| (CALM..soon).contains(&call.at)));
+        // Once the faults have ended, a contender takes over within two leases.
+        let takeover_limit = FAULTS_END + MAX_FREEZE + 2 * LEASE_DURATION.0;
+        prop_assert!(sent.iter().any(|send| (FAULTS_END..takeover_limit).contains(&send.at)));
     }
 }
