--- a/standins/tests/integration/site.rs
+++ b/standins/tests/integration/site.rs
@@ -5,13 +5,13 @@
     Batch,
     Engine,
     EngineFaults,
+    ItemResult,
     Outage,
-    Plain,
     PlainFault,
-    Reply,
-    Scene,
-    Shape,
+    PlainServer,
+    SiteOptions,
     StoreFaults, //
+    TestSite,
 };
 use redwingpond::{
     base::Millis,
@@ -24,7 +24,7 @@
 
 /// A batch of the tests is made in some hundred ms; this leaves room for a
 /// busy machine and for the outages that the tests bring about.
-const SOON: Millis = Millis(20_000);
+const RESULTS_TIMEOUT: Millis = Millis(20_000);
 
 async fn sleep(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -32,27 +32,37 @@
 
 /// What must hold of every finished batch: each item stands in it once, with
 /// its whole text and its own score.
-fn check_whole(batch: &Batch, results: &[Reply]) {
-    let ids: BTreeSet<&str> = results.iter().map(|reply| reply.id.as_str()).collect();
+fn check_whole(batch: &Batch, results: &[ItemResult]) {
+    let ids: BTreeSet<&str> = results.iter().map(|result| result.id.as_str()).collect();
     assert_eq!(ids.len(), results.len(), "an item is listed twice");
     assert_eq!(
         results.len(),
-        batch.items().len(),
+        batch.item_ids().len(),
         "not all items are listed"
     );
-    for reply in results {
-        assert_eq!(reply.state, "succeeded", "{}", reply.id);
-        assert_eq!(reply.text, batch.text(&reply.id), "{}", reply.id);
-        assert!(!reply.versions.is_empty(), "{}", reply.id);
-        let seal = format!("seal-score-{}", reply.id);
-        assert_eq!(reply.score.as_deref(), Some(seal.as_str()), "{}", reply.id);
-    }
-}
-
-async fn submit_until_taken(scene: &Scene, batch: &Batch) {
-    for turn in 0..100 {
-        let gateway = turn % scene.gateways.len();
-        if scene.submit(gateway, batch).await == Some(202) {
+    for result in results {
+        assert_eq!(result.state, "succeeded", "{}", result.id);
+        assert_eq!(
+            result.text,
+            batch.expected_text(&result.id),
+            "{}",
+            result.id
+        );
+        assert!(!result.versions.is_empty(), "{}", result.id);
+        let seal = format!("seal-score-{}", result.id);
+        assert_eq!(
+            result.score.as_deref(),
+            Some(seal.as_str()),
+            "{}",
+            result.id
+        );
+    }
+}
+
+async fn submit_until_accepted(site: &TestSite, batch: &Batch) {
+    for attempt in 0..100 {
+        let gateway = attempt % site.gateways.len();
+        if site.submit(gateway, batch).await == Some(202) {
             return;
         }
         sleep(100).await;
@@ -64,16 +74,16 @@
 /// result comes once, whole, and stays where it was when it is read again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_batch_is_delivered_whole() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
     let batch = Batch::new("calm", 4, 3, 6);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    let results = scene.read(&batch, 12, SOON).await;
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    let results = site.read_results(&batch, 12, RESULTS_TIMEOUT).await;
     check_whole(&batch, &results);
 
-    let again = scene.page(1, &batch, 0).await.unwrap();
+    let again = site.read_page(1, &batch, 0).await.unwrap();
     assert_eq!((again.total, again.next), (12, 12));
     assert_eq!(again.results, results);
-    let tail = scene.page(0, &batch, 7).await.unwrap();
+    let tail = site.read_page(0, &batch, 7).await.unwrap();
     assert_eq!(tail.results, results[7..]);
 }
 
@@ -81,26 +91,26 @@
 /// gateways. The batch exists once, and no item is listed twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_submission_is_one_batch() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
     let batch = Batch::new("twice", 3, 2, 3);
-    let both = tokio::join!(scene.submit(0, &batch), scene.submit(1, &batch));
+    let both = tokio::join!(site.submit(0, &batch), site.submit(1, &batch));
     assert_eq!(both, (Some(202), Some(202)));
-    check_whole(&batch, &scene.read(&batch, 6, SOON).await);
-    assert_eq!(scene.submit(1, &batch).await, Some(202));
-    let page = scene.page(0, &batch, 0).await.unwrap();
+    check_whole(&batch, &site.read_results(&batch, 6, RESULTS_TIMEOUT).await);
+    assert_eq!(site.submit(1, &batch).await, Some(202));
+    let page = site.read_page(0, &batch, 0).await.unwrap();
     assert_eq!((page.total, page.results.len()), (6, 6));
 }
 
 /// Batches that are not there, and what is no batch: an unknown one is 404, a
 /// malformed one 400, and neither disturbs the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_submissions_are_told() {
+async fn bad_submissions_are_rejected() {
     struct Test {
         body: &'static str,
         status: u16,
     }
 
-    let scene = Scene::open(Shape::default()).await.unwrap();
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
     for test in [
         Test {
             body: "not json",
@@ -120,65 +130,68 @@
         },
     ] {
         let headers = [("x-attempt-id", "bad")];
-        let answer = scene.send(0, Method::POST, "/roll/bad", &headers, test.body);
+        let answer = site.send(0, Method::POST, "/roll/bad", &headers, test.body);
         assert_eq!(answer.await.unwrap().status, test.status, "{}", test.body);
     }
     let unknown = Batch::new("unknown", 1, 1, 1);
-    assert!(scene.page(0, &unknown, 0).await.is_none());
-    assert_eq!(scene.end(0, &unknown).await, Some(404));
+    assert!(site.read_page(0, &unknown, 0).await.is_none());
+    assert_eq!(site.end_batch(0, &unknown).await, Some(404));
 }
 
 /// A runner dies with groups that it has claimed. The others see its silence
 /// and run the groups; the trainer gets every item once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_runners_groups_are_taken_over() {
-    let mut scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(40));
+    let mut site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(40));
     }
     let batch = Batch::new("orphan", 9, 2, 20);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(300).await;
-    scene.runners[0] = None;
-    check_whole(&batch, &scene.read(&batch, 18, SOON).await);
+    site.runners[0] = None;
+    check_whole(
+        &batch,
+        &site.read_results(&batch, 18, RESULTS_TIMEOUT).await,
+    );
 }
 
 /// A runner is killed and comes back at once. It has a new number, so the
 /// claims of its life before hold nobody back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_runner_disowns_its_claims() {
-    let shape = Shape {
+async fn claims_of_a_restarted_runners_previous_incarnation_are_ignored() {
+    let options = SiteOptions {
         engines: 1,
-        ..Shape::default()
+        ..SiteOptions::default()
     };
-    let mut scene = Scene::open(shape).await.unwrap();
-    scene.engines[0].set_event(Millis(30));
+    let mut site = TestSite::open(options).await.unwrap();
+    site.engines[0].set_event_time(Millis(30));
     let batch = Batch::new("reborn", 2, 2, 20);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(300).await;
-    scene.runners[0] = None;
-    scene.start_runner(0).unwrap();
-    check_whole(&batch, &scene.read(&batch, 4, SOON).await);
+    site.runners[0] = None;
+    site.start_runner(0).unwrap();
+    check_whole(&batch, &site.read_results(&batch, 4, RESULTS_TIMEOUT).await);
 }
 
 /// An engine cuts every stream in the middle of an event, with a broken
 /// connection or with what looks like its end. The run goes on after the last
 /// whole event: no event is lost, doubled or torn.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_stream_goes_on_after_its_last_event() {
-    for cut_quietly in [false, true] {
-        let scene = Scene::open(Shape::default()).await.unwrap();
-        for engine in &scene.engines {
+async fn a_cut_stream_resumes_after_its_last_whole_event() {
+    for cut_cleanly in [false, true] {
+        let site = TestSite::open(SiteOptions::default()).await.unwrap();
+        for engine in &site.engines {
             engine.set_faults(EngineFaults {
                 cut_after: Some(3),
-                cut_quietly,
+                cut_cleanly,
                 ..EngineFaults::default()
             });
         }
         let batch = Batch::new("cut", 2, 2, 10);
-        assert_eq!(scene.submit(0, &batch).await, Some(202));
-        check_whole(&batch, &scene.read(&batch, 4, SOON).await);
-        let runs = scene.engines.iter().flat_map(Engine::runs);
+        assert_eq!(site.submit(0, &batch).await, Some(202));
+        check_whole(&batch, &site.read_results(&batch, 4, RESULTS_TIMEOUT).await);
+        let runs = site.engines.iter().flat_map(Engine::runs);
         let resumed: BTreeSet<Option<u64>> = runs.map(|run| run.after).collect();
         assert!(resumed.contains(&Some(1)), "{resumed:?}");
     }
@@ -188,44 +201,47 @@
 /// told that the batch was refused, since it is there; it asks again and gets
 /// its 202.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_in_doubt_is_not_refused() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    scene.store.set_faults(StoreFaults {
+async fn a_batch_whose_write_may_have_succeeded_is_not_refused() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    site.store.set_faults(StoreFaults {
         lost_answers: Some(1),
         ..StoreFaults::default()
     });
     let batch = Batch::new("doubt", 1, 2, 2);
-    assert_eq!(scene.submit(0, &batch).await, Some(504));
-    scene.store.set_faults(StoreFaults::default());
-    assert!(scene.page(1, &batch, 0).await.is_some());
-    assert_eq!(scene.submit(1, &batch).await, Some(202));
-    check_whole(&batch, &scene.read(&batch, 2, SOON).await);
+    assert_eq!(site.submit(0, &batch).await, Some(504));
+    site.store.set_faults(StoreFaults::default());
+    assert!(site.read_page(1, &batch, 0).await.is_some());
+    assert_eq!(site.submit(1, &batch).await, Some(202));
+    check_whole(&batch, &site.read_results(&batch, 2, RESULTS_TIMEOUT).await);
 }
 
 /// An engine fails one item every time and calls another impossible. Both are
 /// given up, the first after as many tries as its route allows, the second
 /// after one; the others are delivered.
 #[tokio::test(flavor = "multi_thread")]
-async fn hopeless_items_are_given_up() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
+async fn items_that_always_fail_are_terminated() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
     let batch = Batch::new("hopeless", 2, 2, 2);
-    let (failing, impossible) = (batch.item(0, 0), batch.item(1, 1));
-    for engine in &scene.engines {
+    let (failing, rejected_items) = (batch.item_id(0, 0), batch.item_id(1, 1));
+    for engine in &site.engines {
         engine.set_faults(EngineFaults {
-            fails: vec![failing.clone()],
-            impossible: vec![impossible.clone()],
+            failing_items: vec![failing.clone()],
+            rejected_items: vec![rejected_items.clone()],
             ..EngineFaults::default()
         });
     }
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    let results = scene.read(&batch, 4, SOON).await;
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    let results = site.read_results(&batch, 4, RESULTS_TIMEOUT).await;
     let given_up: BTreeSet<&str> = results
         .iter()
-        .filter(|reply| reply.state == "terminated")
-        .map(|reply| reply.id.as_str())
+        .filter(|result| result.state == "terminated")
+        .map(|result| result.id.as_str())
         .collect();
-    assert_eq!(given_up, BTreeSet::from([failing.as_str(), &impossible]));
-    let runs = scene.engines.iter().flat_map(Engine::runs);
+    assert_eq!(
+        given_up,
+        BTreeSet::from([failing.as_str(), &rejected_items])
+    );
+    let runs = site.engines.iter().flat_map(Engine::runs);
     assert_eq!(runs.filter(|run| run.item == failing).count(), 3);
 }
 
@@ -234,12 +250,12 @@
 /// leave the bundle to it until it is silent for too long: they took such bundles
 /// over at once, and an item that fails at each run ran at three runners in turn.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_counts_before_its_holders_heartbeat() {
-    let shape = Shape {
+async fn a_claim_holds_before_its_owners_first_working_heartbeat() {
+    let options = SiteOptions {
         engines: 1,
-        ..Shape::default()
+        ..SiteOptions::default()
     };
-    let scene = Scene::open(shape).await.unwrap();
+    let site = TestSite::open(options).await.unwrap();
     let batch = Batch::new("claimed", 1, 2, 2);
     let token = u64::from(u32::MAX);
     let start = Heartbeat {
@@ -255,43 +271,46 @@
     let (work, part) = (batch::WORK, batch::batch_part(&batch.id));
     let beats = batch::heartbeat_part("runner-x");
     let key = WorkKey::Claim(0).to_string();
-    let store = &scene.store;
+    let store = &site.store;
     store.put_row(work, &beats, "runner-x", &batch::encode(&start));
     store.put_row(work, &part, &key, &batch::encode(&claim));
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
 
     sleep(1_200).await;
-    let runs = scene.engines[0].runs();
+    let runs = site.engines[0].runs();
     assert!(runs.is_empty(), "taken over from a holder that works");
-    check_whole(&batch, &scene.read(&batch, 2, SOON).await);
+    check_whole(&batch, &site.read_results(&batch, 2, RESULTS_TIMEOUT).await);
 }
 
 /// The store goes away in each of its ways while a batch runs. Its results wait
 /// and are listed once it is back; nothing is listed twice; a submission in
 /// the outage is never accepted, and a refusal of one is true.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_store_loses_nothing() {
+async fn a_store_outage_loses_no_results() {
     for outage in [Outage::Busy, Outage::Reset, Outage::Silent] {
-        let scene = Scene::open(Shape::default()).await.unwrap();
-        for engine in &scene.engines {
-            engine.set_event(Millis(25));
+        let site = TestSite::open(SiteOptions::default()).await.unwrap();
+        for engine in &site.engines {
+            engine.set_event_time(Millis(25));
         }
         let batch = Batch::new("outage", 6, 2, 10);
-        assert_eq!(scene.submit(0, &batch).await, Some(202));
+        assert_eq!(site.submit(0, &batch).await, Some(202));
         sleep(60).await;
-        scene.store.set_faults(StoreFaults {
+        site.store.set_faults(StoreFaults {
             outage,
             ..StoreFaults::default()
         });
         let late = Batch::new("late", 1, 1, 1);
-        let status = scene.submit(1, &late).await;
+        let status = site.submit(1, &late).await;
         assert!(matches!(status, Some(503 | 504)), "{outage:?}: {status:?}");
         sleep(1_500).await;
-        scene.store.set_faults(StoreFaults::default());
+        site.store.set_faults(StoreFaults::default());
 
-        check_whole(&batch, &scene.read(&batch, 12, SOON).await);
+        check_whole(
+            &batch,
+            &site.read_results(&batch, 12, RESULTS_TIMEOUT).await,
+        );
         if status == Some(503) {
-            let page = scene.page(0, &late, 0).await;
+            let page = site.read_page(0, &late, 0).await;
             assert!(page.is_none(), "{outage:?}: a refused batch exists");
         }
     }
@@ -302,23 +321,23 @@
 /// They took the store for away until a moment later and ran the bundles by the
 /// common order, and again by claims: half of the items ran twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_at_the_stores_return_runs_once() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(20));
+async fn a_batch_submitted_when_the_store_recovers_runs_once() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(20));
     }
     // Until all know of each other that they work.
     sleep(600).await;
-    scene.store.set_faults(StoreFaults {
+    site.store.set_faults(StoreFaults {
         outage: Outage::Reset,
         ..StoreFaults::default()
     });
     sleep(1_500).await;
-    scene.store.set_faults(StoreFaults::default());
+    site.store.set_faults(StoreFaults::default());
     let batch = Batch::new("return", 9, 1, 40);
-    submit_until_taken(&scene, &batch).await;
-    check_whole(&batch, &scene.read(&batch, 9, SOON).await);
-    let runs: usize = scene.engines.iter().map(|engine| engine.runs().len()).sum();
+    submit_until_accepted(&site, &batch).await;
+    check_whole(&batch, &site.read_results(&batch, 9, RESULTS_TIMEOUT).await);
+    let runs: usize = site.engines.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 9, "runs of 9 items");
 }
 
@@ -327,14 +346,14 @@
 /// meant for the old lives are refused; the refusals tell the new ones, and the
 /// batch is made without waiting for the store's news.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engines_next_life_works_at_once() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
+async fn a_restarted_engine_is_used_before_its_announcement() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
         engine.restart(&format!("{}-again", engine.id), "m0");
     }
     let batch = Batch::new("again", 4, 3, 6);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    check_whole(&batch, &scene.read(&batch, 12, Millis(3_000)).await);
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    check_whole(&batch, &site.read_results(&batch, 12, Millis(3_000)).await);
 }
 
 /// Engines lose power amid their runs and start again under the ids that they
@@ -342,25 +361,25 @@
 /// waited 2.5 s for it. The reports show a later start; the runs go on at once
 /// after their last event, and orders count from none.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_starts_again_under_its_id_is_another_life() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(20));
+async fn an_engine_restarted_under_its_id_is_a_new_incarnation() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(20));
     }
     let batch = Batch::new("same", 3, 2, 40);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(400).await;
-    for engine in &scene.engines {
+    for engine in &site.engines {
         engine.restart(&engine.id, "m0");
     }
-    check_whole(&batch, &scene.read(&batch, 6, Millis(2_200)).await);
-    let resumed = scene.engines.iter().flat_map(Engine::runs);
+    check_whole(&batch, &site.read_results(&batch, 6, Millis(2_200)).await);
+    let resumed = site.engines.iter().flat_map(Engine::runs);
     let resumed = resumed.filter(|run| run.after.is_some_and(|after| after > 5));
     assert!(resumed.count() >= 6, "runs that go on");
 
-    scene.name_version(2);
+    site.name_version(2);
     sleep(1_500).await;
-    for engine in &scene.engines {
+    for engine in &site.engines {
         assert_eq!((engine.orders().len(), engine.version()), (1, 2));
     }
 }
@@ -369,27 +388,27 @@
 /// unknown services, with an engine's address, and bytes that are none. They name
 /// no server; all servers that announce themselves serve on.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_by_another_writer_disturb_nobody() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    let there = scene.engines[0].address;
-    scene.announce("stranger-0", "engines", there, "resting");
-    scene.announce("stranger-1", "other", there, "ready");
-    scene.announce("stranger-2", "plain", scene.plain[0].address, "gone");
+async fn announcements_by_another_writer_disturb_no_server() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    let engine_address = site.engines[0].address;
+    site.announce("stranger-0", "engines", engine_address, "resting");
+    site.announce("stranger-1", "other", engine_address, "ready");
+    site.announce("stranger-2", "plain", site.plain[0].address, "gone");
     let torn = serde_json::json!(["service", "engines"]);
-    scene.store.put("servers", "stranger-3", Some(&torn));
-    scene.store.put_raw("servers", "stranger-4", "%no base64%");
+    site.store.put("servers", "stranger-3", Some(&torn));
+    site.store.put_raw("servers", "stranger-4", "%no base64%");
     sleep(400).await;
 
     let batch = Batch::new("strange", 6, 3, 6);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    check_whole(&batch, &scene.read(&batch, 18, Millis(3_000)).await);
-    for engine in &scene.engines {
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    check_whole(&batch, &site.read_results(&batch, 18, Millis(3_000)).await);
+    for engine in &site.engines {
         assert!(!engine.runs().is_empty(), "no runs at `{}`", engine.id);
     }
     for number in 0..20 {
         let id = format!("call-{number}");
         let headers = [("x-attempt-id", id.as_str()), ("x-deadline-ms", "2000")];
-        let answer = scene.send(0, Method::POST, "/safe/1", &headers, "x").await;
+        let answer = site.send(0, Method::POST, "/safe/1", &headers, "x").await;
         assert_eq!(answer.unwrap().status, 200);
     }
 }
@@ -398,28 +417,34 @@
 /// It refuses what was meant for the engine and names itself, but its report
 /// shows another service's model: nothing is ever sent to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_strangers_address_gets_no_items() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    scene.engines[0].restart("stranger", "other-model");
+async fn an_address_reused_by_another_service_gets_no_items() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    site.engines[0].restart("stranger", "other-model");
     let batch = Batch::new("strange", 6, 3, 6);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    check_whole(&batch, &scene.read(&batch, 18, SOON).await);
-    assert_eq!(scene.engines[0].runs().len(), 0, "runs at the stranger");
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    check_whole(
+        &batch,
+        &site.read_results(&batch, 18, RESULTS_TIMEOUT).await,
+    );
+    assert_eq!(site.engines[0].runs().len(), 0, "runs at the stranger");
 }
 
 /// An engine has started anew and its new life leaves already, while the life
 /// before is still announced as working. The refusals tell the new life, but the
 /// store says that it leaves: it gets no items.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_next_life_that_leaves_gets_no_items() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    let engine = &scene.engines[0];
+async fn a_draining_new_incarnation_gets_no_items() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    let engine = &site.engines[0];
     engine.restart("engine-0-again", "m0");
-    scene.announce("engine-0-again", "engines", engine.address, "draining");
+    site.announce("engine-0-again", "engines", engine.address, "draining");
     sleep(300).await;
     let batch = Batch::new("leaving", 6, 3, 6);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    check_whole(&batch, &scene.read(&batch, 18, SOON).await);
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    check_whole(
+        &batch,
+        &site.read_results(&batch, 18, RESULTS_TIMEOUT).await,
+    );
     assert_eq!(engine.runs().len(), 0, "runs at the life that leaves");
 }
 
@@ -428,23 +453,23 @@
 /// batch is listed as soon as the store is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn unclaimed_groups_run_through_an_outage() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(20));
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(20));
     }
     let batch = Batch::new("dark", 12, 4, 10);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(150).await;
-    scene.store.set_faults(StoreFaults {
+    site.store.set_faults(StoreFaults {
         outage: Outage::Reset,
         ..StoreFaults::default()
     });
     sleep(3_000).await;
-    let runs = scene.engines.iter().flat_map(Engine::runs);
+    let runs = site.engines.iter().flat_map(Engine::runs);
     let begun: BTreeSet<String> = runs.map(|run| run.item).collect();
     assert_eq!(begun.len(), 48, "items begun during the outage");
-    scene.store.set_faults(StoreFaults::default());
-    check_whole(&batch, &scene.read(&batch, 48, Millis(3_000)).await);
+    site.store.set_faults(StoreFaults::default());
+    check_whole(&batch, &site.read_results(&batch, 48, Millis(3_000)).await);
 }
 
 /// A trainer names a version, its step is taken, and the store goes away before
@@ -452,24 +477,24 @@
 /// they take the named weights before the store is back, as the next step will
 /// need them at once: trainers waited 1.5 s for those loads after an outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn weights_are_taken_during_an_outage() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(20));
+async fn weights_are_loaded_during_an_outage() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(20));
     }
     let batch = Batch::new("before", 12, 4, 10);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    scene.name_version(2);
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    site.name_version(2);
     sleep(150).await;
-    scene.store.set_faults(StoreFaults {
+    site.store.set_faults(StoreFaults {
         outage: Outage::Reset,
         ..StoreFaults::default()
     });
     sleep(5_000).await;
-    let versions: Vec<u64> = scene.engines.iter().map(Engine::version).collect();
+    let versions: Vec<u64> = site.engines.iter().map(Engine::version).collect();
     assert_eq!(versions, [2, 2, 2], "versions during the outage");
-    scene.store.set_faults(StoreFaults::default());
-    check_whole(&batch, &scene.read(&batch, 48, Millis(3_000)).await);
+    site.store.set_faults(StoreFaults::default());
+    check_whole(&batch, &site.read_results(&batch, 48, Millis(3_000)).await);
 }
 
 /// Every third write is done and its answer lost, or done only seconds later.
@@ -498,14 +523,14 @@
             name: "late",
         },
     ] {
-        let scene = Scene::open(Shape::default()).await.unwrap();
-        scene.store.set_faults(test.faults);
+        let site = TestSite::open(SiteOptions::default()).await.unwrap();
+        site.store.set_faults(test.faults);
         let batch = Batch::new(test.name, 4, 2, 4);
-        submit_until_taken(&scene, &batch).await;
-        let results = scene.read(&batch, 8, SOON).await;
+        submit_until_accepted(&site, &batch).await;
+        let results = site.read_results(&batch, 8, RESULTS_TIMEOUT).await;
         check_whole(&batch, &results);
-        scene.store.set_faults(StoreFaults::default());
-        let again = scene.page(0, &batch, 0).await.unwrap();
+        site.store.set_faults(StoreFaults::default());
+        let again = site.read_page(0, &batch, 0).await.unwrap();
         assert_eq!(again.results, results, "{}", test.name);
     }
 }
@@ -514,8 +539,8 @@
 /// tables afresh and see a batch and a configuration that came meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_history_hides_nothing() {
-    let mut scene = Scene::open(Shape::default()).await.unwrap();
-    scene.store.set_faults(StoreFaults {
+    let mut site = TestSite::open(SiteOptions::default()).await.unwrap();
+    site.store.set_faults(StoreFaults {
         outage: Outage::Reset,
         ..StoreFaults::default()
     });
@@ -525,19 +550,19 @@
         "timeoutMs": 2_000, "targetLatencyMs": 200, "priority": 1, "maxAttempts": 2,
         "service": "plain",
     }]);
-    scene.put_config(route);
-    scene.store.forget_history();
-    scene.store.set_faults(StoreFaults::default());
+    site.put_config(route);
+    site.store.forget_history();
+    site.store.set_faults(StoreFaults::default());
     sleep(1_200).await;
 
     let headers = [("x-attempt-id", "after"), ("x-deadline-ms", "1500")];
-    let answer = scene
+    let answer = site
         .send(0, Method::POST, "/new/thing", &headers, "x")
         .await;
     assert_eq!(answer.unwrap().status, 200);
     let batch = Batch::new("after", 2, 2, 2);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    check_whole(&batch, &scene.read(&batch, 4, SOON).await);
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    check_whole(&batch, &site.read_results(&batch, 4, RESULTS_TIMEOUT).await);
 }
 
 /// A step needs weights that no engine has. Each runner orders its own engine
@@ -545,37 +570,37 @@
 /// that made it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_step_waits_for_its_weights() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    scene.name_version(2);
-    scene.name_version(3);
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    site.name_version(2);
+    site.name_version(3);
     let mut batch = Batch::new("fresh", 4, 2, 5);
     batch.least_version = 3;
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    let results = scene.read(&batch, 8, SOON).await;
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    let results = site.read_results(&batch, 8, RESULTS_TIMEOUT).await;
     check_whole(&batch, &results);
-    for reply in &results {
-        assert_eq!(reply.versions, [3], "{}", reply.id);
+    for result in &results {
+        assert_eq!(result.versions, [3], "{}", result.id);
     }
 }
 
 /// Weights change under a run. Its sample names both versions, as the engine
 /// told them with its events.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_run_across_a_swap_names_both_versions() {
-    let shape = Shape {
+async fn a_run_across_a_weight_load_names_both_versions() {
+    let options = SiteOptions {
         engines: 1,
-        ..Shape::default()
+        ..SiteOptions::default()
     };
-    let scene = Scene::open(shape).await.unwrap();
-    scene.engines[0].set_event(Millis(60));
+    let site = TestSite::open(options).await.unwrap();
+    site.engines[0].set_event_time(Millis(60));
     let batch = Batch::new("swap", 1, 2, 40);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(400).await;
-    scene.name_version(2);
-    let results = scene.read(&batch, 2, SOON).await;
+    site.name_version(2);
+    let results = site.read_results(&batch, 2, RESULTS_TIMEOUT).await;
     check_whole(&batch, &results);
-    for reply in &results {
-        assert_eq!(reply.versions, [1, 2], "{}", reply.id);
+    for result in &results {
+        assert_eq!(result.versions, [1, 2], "{}", result.id);
     }
 }
 
@@ -583,23 +608,23 @@
 /// have come. Each engine hears one holder only, under numbers that never
 /// fall, and its version never falls either.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_orders_undo_nothing() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
+async fn late_orders_never_lower_a_version() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
         engine.set_faults(EngineFaults {
-            late_orders: Some(Millis(700)),
+            order_delay: Some(Millis(700)),
             ..EngineFaults::default()
         });
     }
     for version in 2..=4 {
-        scene.name_version(version);
+        site.name_version(version);
         sleep(1_500).await;
     }
-    for engine in &scene.engines {
+    for engine in &site.engines {
         engine.set_faults(EngineFaults::default());
     }
     sleep(3_000).await;
-    for engine in &scene.engines {
+    for engine in &site.engines {
         let orders = engine.orders();
         assert_eq!(engine.version(), 4, "{orders:?}");
         let holders: BTreeSet<&str> = orders.iter().map(|order| order.0.as_str()).collect();
@@ -613,78 +638,84 @@
 /// engine, and what was listed can still be read.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_ended_batch_stops_running() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(50));
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(50));
     }
     let mut batch = Batch::new("ended", 10, 3, 60);
     batch.groups[0] = vec![1, 1, 1];
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    let listed = scene.read(&batch, 3, SOON).await;
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    let listed = site.read_results(&batch, 3, RESULTS_TIMEOUT).await;
     assert!(listed.len() >= 3);
-    assert_eq!(scene.end(0, &batch).await, Some(200));
-    assert_eq!(scene.end(1, &batch).await, Some(200));
+    assert_eq!(site.end_batch(0, &batch).await, Some(200));
+    assert_eq!(site.end_batch(1, &batch).await, Some(200));
     sleep(500).await;
-    let ended: Vec<usize> = scene.engines.iter().map(|e| e.runs().len()).collect();
+    let ended: Vec<usize> = site.engines.iter().map(|e| e.runs().len()).collect();
     sleep(1_500).await;
-    let later: Vec<usize> = scene.engines.iter().map(|e| e.runs().len()).collect();
+    let later: Vec<usize> = site.engines.iter().map(|e| e.runs().len()).collect();
     assert_eq!(ended, later, "runs began after the end");
-    let page = scene.page(1, &batch, 0).await.unwrap();
+    let page = site.read_page(1, &batch, 0).await.unwrap();
     assert_eq!(page.results[..listed.len()], listed[..]);
 }
 
 /// An engine announces that it leaves. It gets no new items soon after, its
 /// runs go on, and the batch is finished by the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_engine_gets_no_new_items() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(30));
+async fn a_draining_engine_gets_no_new_items() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(30));
     }
     let batch = Batch::new("leaving", 20, 2, 10);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(200).await;
-    scene.announce_engine(&scene.engines[0], "draining");
+    site.announce_engine(&site.engines[0], "draining");
     sleep(500).await;
-    let before = scene.engines[0].runs().len();
-    check_whole(&batch, &scene.read(&batch, 40, SOON).await);
-    assert_eq!(scene.engines[0].runs().len(), before);
+    let before = site.engines[0].runs().len();
+    check_whole(
+        &batch,
+        &site.read_results(&batch, 40, RESULTS_TIMEOUT).await,
+    );
+    assert_eq!(site.engines[0].runs().len(), before);
 }
 
 /// An engine crashes in the middle of its runs and stays away. The others
 /// finish the batch.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crashed_engines_groups_move_on() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(30));
+async fn groups_of_a_crashed_engine_run_elsewhere() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(30));
     }
     let batch = Batch::new("crash", 9, 2, 15);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(250).await;
-    scene.engines[1].switch().send_replace(false);
-    check_whole(&batch, &scene.read(&batch, 18, SOON).await);
+    site.engines[1].switch().send_replace(false);
+    check_whole(
+        &batch,
+        &site.read_results(&batch, 18, RESULTS_TIMEOUT).await,
+    );
 }
 
 /// All runners and gateways die at once, right after a batch was accepted, and
 /// come back. The batch is whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_batch_outlives_everyone() {
-    let mut scene = Scene::open(Shape::default()).await.unwrap();
+async fn an_accepted_batch_survives_the_restart_of_all_processes() {
+    let mut site = TestSite::open(SiteOptions::default()).await.unwrap();
     let batch = Batch::new("outlives", 4, 2, 10);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    for number in 0..scene.runners.len() {
-        scene.runners[number] = None;
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    for number in 0..site.runners.len() {
+        site.runners[number] = None;
     }
-    for number in 0..scene.runners.len() {
-        scene.start_runner(number).unwrap();
+    for number in 0..site.runners.len() {
+        site.start_runner(number).unwrap();
     }
-    check_whole(&batch, &scene.read(&batch, 8, SOON).await);
+    check_whole(&batch, &site.read_results(&batch, 8, RESULTS_TIMEOUT).await);
 }
 
 /// What callers of plain servers get while one of two servers misbehaves.
 #[tokio::test(flavor = "multi_thread")]
-async fn plain_calls_through_a_bad_server() {
+async fn plain_calls_with_one_misbehaving_server() {
     struct Test {
         fault: PlainFault,
         /// Calls of a route whose requests may be repeated.
@@ -720,14 +751,14 @@
             once: &[200, 504],
         },
     ] {
-        let scene = Scene::open(Shape::default()).await.unwrap();
-        scene.plain[0].set_fault(test.fault);
+        let site = TestSite::open(SiteOptions::default()).await.unwrap();
+        site.plain[0].set_fault(test.fault);
         for number in 0..6 {
             for (prefix, allowed) in [("/safe/", test.safe), ("/once/", test.once)] {
                 let id = format!("{}{number}", &prefix[1..5]);
                 let headers = [("x-attempt-id", id.as_str()), ("x-deadline-ms", "1200")];
                 let body = format!("body of {id}");
-                let answer = scene.send(0, Method::POST, prefix, &headers, body.clone());
+                let answer = site.send(0, Method::POST, prefix, &headers, body.clone());
                 let answer = answer.await.unwrap();
                 let status = answer.status.as_u16();
                 let context = format!("{:?} {id}: {status}", test.fault);
@@ -743,7 +774,7 @@
                     let found = answer.header("x-response-signature");
                     assert_eq!(found, Some(seal.as_str()), "{context}");
                 }
-                let runs: usize = scene.plain.iter().map(|plain| plain.runs_of(&id)).sum();
+                let runs: usize = site.plain.iter().map(|plain| plain.runs_of(&id)).sum();
                 if prefix == "/once/" {
                     assert!(runs <= 1, "{context}: ran {runs} times");
                 }
@@ -756,44 +787,44 @@
 /// that it did not run, and when to come back; and it did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_call_did_not_run() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for plain in &scene.plain {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for plain in &site.plain {
         plain.set_fault(PlainFault::Full);
     }
-    let began = scene.clock.now();
+    let began = site.clock.now();
     let headers = [("x-attempt-id", "refused"), ("x-deadline-ms", "1500")];
-    let answer = scene.send(0, Method::POST, "/once/x", &headers, "x").await;
+    let answer = site.send(0, Method::POST, "/once/x", &headers, "x").await;
     let answer = answer.unwrap();
     assert_eq!(answer.status, 503);
     let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(wait > 0.0 && wait < 1.0, "{wait}");
-    assert!(scene.clock.now().since(began) < Millis(500));
-    assert!(scene.plain.iter().all(|plain| plain.runs() == 0));
+    assert!(site.clock.now().since(began) < Millis(500));
+    assert!(site.plain.iter().all(|plain| plain.run_count() == 0));
 }
 
 /// The store is away and its announcements of servers lapse. The servers stay
 /// in use until they have had time to come back.
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_outlive_an_outage_of_the_store() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    scene.store.set_faults(StoreFaults {
+async fn servers_stay_in_use_after_their_announcements_lapse() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    site.store.set_faults(StoreFaults {
         outage: Outage::Reset,
         ..StoreFaults::default()
     });
     sleep(400).await;
-    for plain in &scene.plain {
-        scene.store.put("servers", &plain.id, None);
+    for plain in &site.plain {
+        site.store.put("servers", &plain.id, None);
     }
-    scene.store.set_faults(StoreFaults::default());
+    site.store.set_faults(StoreFaults::default());
     sleep(700).await;
     let headers = [("x-attempt-id", "lapsed"), ("x-deadline-ms", "1500")];
-    let answer = scene.send(0, Method::POST, "/safe/x", &headers, "x").await;
+    let answer = site.send(0, Method::POST, "/safe/x", &headers, "x").await;
     assert_eq!(answer.unwrap().status, 200);
 
     // Still missing after that time: gone.
     sleep(3_000).await;
     let headers = [("x-attempt-id", "gone"), ("x-deadline-ms", "1500")];
-    let answer = scene.send(0, Method::POST, "/safe/x", &headers, "x").await;
+    let answer = site.send(0, Method::POST, "/safe/x", &headers, "x").await;
     assert_eq!(answer.unwrap().status, 503);
 }
 
@@ -801,52 +832,54 @@
 /// does not exist; once it has one, it answers by it.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_route_is_denied_before_a_configuration_is_known() {
-    let mut scene = Scene::open_unconfigured(Shape::default()).await.unwrap();
+    let mut site = TestSite::open_unconfigured(SiteOptions::default())
+        .await
+        .unwrap();
     sleep(200).await;
     let headers = [("x-attempt-id", "early")];
-    let answer = scene.send(0, Method::POST, "/safe/x", &headers, "x").await;
+    let answer = site.send(0, Method::POST, "/safe/x", &headers, "x").await;
     assert_eq!(answer.unwrap().status, 503);
-    scene.put_config(serde_json::json!([]));
+    site.put_config(serde_json::json!([]));
     sleep(500).await;
-    let answer = scene.send(0, Method::POST, "/safe/x", &headers, "x").await;
+    let answer = site.send(0, Method::POST, "/safe/x", &headers, "x").await;
     assert_eq!(answer.unwrap().status, 200);
-    let answer = scene.send(0, Method::POST, "/none/x", &headers, "x").await;
+    let answer = site.send(0, Method::POST, "/none/x", &headers, "x").await;
     assert_eq!(answer.unwrap().status, 404);
 }
 
 /// A caller leaves in the middle of a call. Its server's work is cancelled
 /// within half a second.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_caller_frees_its_server() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for plain in &scene.plain {
-        plain.set_work(Millis(5_000));
+async fn a_disconnected_caller_cancels_its_request() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for plain in &site.plain {
+        plain.set_service_time(Millis(5_000));
     }
     let headers = [("x-attempt-id", "leaver"), ("x-deadline-ms", "1900")];
-    let call = scene.send(0, Method::POST, "/once/x", &headers, "x");
+    let call = site.send(0, Method::POST, "/once/x", &headers, "x");
     let left = tokio::time::timeout(Duration::from_millis(300), call).await;
     assert!(left.is_err());
     sleep(500).await;
-    let open: u32 = scene.plain.iter().map(Plain::open_requests).sum();
+    let open: u32 = site.plain.iter().map(PlainServer::open_requests).sum();
     assert_eq!(open, 0);
 }
 
 /// A gateway is told to stop while calls are under way. It is no longer ready,
 /// finishes them, and tells callers to use another connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_gateway_cuts_nothing_off() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for plain in &scene.plain {
-        plain.set_work(Millis(800));
+async fn a_draining_gateway_finishes_its_calls() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for plain in &site.plain {
+        plain.set_service_time(Millis(800));
     }
     let headers = [("x-attempt-id", "stays"), ("x-deadline-ms", "1900")];
-    let call = scene.send(0, Method::POST, "/once/x", &headers, "x");
+    let call = site.send(0, Method::POST, "/once/x", &headers, "x");
     let stop = async {
         sleep(200).await;
-        scene.gateways[0].handle.drain();
+        site.gateways[0].handle.drain();
         sleep(200).await;
-        let (ready, within) = (scene.gateways[0].ready, Duration::from_secs(1));
-        let asked = scene
+        let (ready, within) = (site.gateways[0].ready, Duration::from_secs(1));
+        let asked = site
             .client
             .call(Method::GET, ready, "/readyz", &[], "", within);
         asked.await.unwrap().status
@@ -861,21 +894,21 @@
 /// An engine crashes two seconds into long items. Another engine goes on after
 /// the events that were kept, instead of beginning anew; the texts are whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_items_go_on_after_a_crash() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(50));
+async fn long_items_resume_after_a_crash() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(50));
     }
     let batch = Batch::new("long", 3, 2, 80);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(2_000).await;
-    let crashed = scene
+    let crashed = site
         .engines
         .iter()
         .position(|engine| !engine.runs().is_empty());
-    scene.engines[crashed.unwrap()].switch().send_replace(false);
-    check_whole(&batch, &scene.read(&batch, 6, SOON).await);
-    let runs = scene.engines.iter().flat_map(Engine::runs);
+    site.engines[crashed.unwrap()].switch().send_replace(false);
+    check_whole(&batch, &site.read_results(&batch, 6, RESULTS_TIMEOUT).await);
+    let runs = site.engines.iter().flat_map(Engine::runs);
     let resumed: Vec<u64> = runs.filter_map(|run| run.after).collect();
     assert!(!resumed.is_empty(), "no run went on");
     assert!(resumed.iter().all(|after| *after >= 5), "{resumed:?}");
@@ -885,15 +918,15 @@
 /// item is given up only after as many failures as its scorer's route allows;
 /// a call that another server did not take is none.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_is_given_up_after_its_scorers_failures() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    scene.plain[0].set_fault(PlainFault::Fails);
-    scene.plain[1].set_fault(PlainFault::Full);
+async fn an_item_is_terminated_after_its_scorers_failures() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    site.plain[0].set_fault(PlainFault::Fails);
+    site.plain[1].set_fault(PlainFault::Full);
     let batch = Batch::new("unscored", 1, 1, 2);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
-    let results = scene.read(&batch, 1, SOON).await;
+    assert_eq!(site.submit(0, &batch).await, Some(202));
+    let results = site.read_results(&batch, 1, RESULTS_TIMEOUT).await;
     assert_eq!(results[0].state, "terminated");
-    let runs = scene.plain[0].runs_of(&format!("score-{}", batch.item(0, 0)));
+    let runs = site.plain[0].runs_of(&format!("score-{}", batch.item_id(0, 0)));
     assert!(runs >= 3, "given up after {runs} failures");
 }
 
@@ -901,39 +934,39 @@
 /// rows, and is unknown from then on; the next one isn't touched by that.
 #[tokio::test(flavor = "multi_thread")]
 async fn old_batches_are_removed() {
-    let shape = Shape {
+    let options = SiteOptions {
         retention: Millis(1_500),
-        ..Shape::default()
+        ..SiteOptions::default()
     };
-    let scene = Scene::open(shape).await.unwrap();
+    let site = TestSite::open(options).await.unwrap();
     let old = Batch::new("old", 2, 2, 2);
-    assert_eq!(scene.submit(0, &old).await, Some(202));
-    check_whole(&old, &scene.read(&old, 4, SOON).await);
+    assert_eq!(site.submit(0, &old).await, Some(202));
+    check_whole(&old, &site.read_results(&old, 4, RESULTS_TIMEOUT).await);
     sleep(2_500).await;
     let new = Batch::new("new", 2, 2, 2);
-    assert_eq!(scene.submit(0, &new).await, Some(202));
+    assert_eq!(site.submit(0, &new).await, Some(202));
     sleep(1_500).await;
-    assert_eq!(scene.store.rows_of("batch-old"), 0);
-    assert!(scene.store.rows_of("batch-new") > 0);
-    check_whole(&new, &scene.read(&new, 4, SOON).await);
-    assert_eq!(scene.end(1, &old).await, Some(404));
+    assert_eq!(site.store.rows_of("batch-old"), 0);
+    assert!(site.store.rows_of("batch-new") > 0);
+    check_whole(&new, &site.read_results(&new, 4, RESULTS_TIMEOUT).await);
+    assert_eq!(site.end_batch(1, &old).await, Some(404));
 }
 
 /// Scorers are slow, and their time for a call runs out: they answer 504. That
 /// is no failure of theirs; once they are fast again, the item gets its score.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_scorers_timeout_is_no_failure() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for plain in &scene.plain {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for plain in &site.plain {
         plain.set_fault(PlainFault::TimesOut);
     }
     let batch = Batch::new("slow", 1, 2, 2);
-    assert_eq!(scene.submit(0, &batch).await, Some(202));
+    assert_eq!(site.submit(0, &batch).await, Some(202));
     sleep(1_500).await;
-    for plain in &scene.plain {
+    for plain in &site.plain {
         plain.set_fault(PlainFault::None);
     }
-    check_whole(&batch, &scene.read(&batch, 2, SOON).await);
+    check_whole(&batch, &site.read_results(&batch, 2, RESULTS_TIMEOUT).await);
 }
 
 /// A step's last texts are whole while the store is silent, shortly before they are due.
@@ -941,30 +974,30 @@
 /// on a dead connection, or for a change that did not come, and a reader was sent away
 /// and asked again half a second later. Now all go on at the first answer to a probe.
 #[tokio::test(flavor = "multi_thread")]
-async fn results_are_read_at_the_stores_return() {
-    let scene = Scene::open(Shape::default()).await.unwrap();
-    for engine in &scene.engines {
-        engine.set_event(Millis(40));
+async fn results_are_readable_soon_after_the_store_recovers() {
+    let site = TestSite::open(SiteOptions::default()).await.unwrap();
+    for engine in &site.engines {
+        engine.set_event_time(Millis(40));
     }
     for round in 0..5 {
         let batch = Batch::new(&format!("due{round}"), 3, 2, 20);
-        submit_until_taken(&scene, &batch).await;
+        submit_until_accepted(&site, &batch).await;
         sleep(400).await;
-        scene.store.set_faults(StoreFaults {
+        site.store.set_faults(StoreFaults {
             outage: Outage::Silent,
             ..StoreFaults::default()
         });
         // Not in step with anybody's tries.
         sleep(3_000 + 170 * round).await;
-        scene.store.set_faults(StoreFaults::default());
-        let back = scene.clock.now();
-        let results = scene.read(&batch, 6, SOON).await;
-        let late = scene.clock.now().since(back);
+        site.store.set_faults(StoreFaults::default());
+        let recovered_at = site.clock.now();
+        let results = site.read_results(&batch, 6, RESULTS_TIMEOUT).await;
+        let delay = site.clock.now().since(recovered_at);
         check_whole(&batch, &results);
-        assert!(late <= SHORTLY, "round {round}: read after {late}");
+        assert!(delay <= MAX_READ_DELAY, "round {round}: read after {delay}");
     }
 }
 
 /// How soon after the store's return a trainer has what was whole before: results count
 /// as in time for 0.7 s after they are due.
-const SHORTLY: Millis = Millis(700);
+const MAX_READ_DELAY: Millis = Millis(700);
--- a/standins/tests/integration/usage.rs
+++ b/standins/tests/integration/usage.rs
@@ -2,13 +2,13 @@
 
 use hyper::Method;
 use redwing_standins::site::{
-    Cloud,
-    CloudFault,
+    CollectorFault,
     Outage,
-    Plain,
-    Scene,
-    Shape,
+    PlainServer,
+    SiteOptions,
     StoreFaults, //
+    TestSite,
+    UsageCollector,
 };
 use redwingpond::{
     base::Millis,
@@ -24,7 +24,7 @@
 const LEASE: Millis = Millis(2_500);
 
 /// How soon after its end a window must have been reported.
-const LATE: Millis = Millis(10_000);
+const MAX_REPORT_DELAY: Millis = Millis(10_000);
 
 const KEYS: [(&str, &str); 2] = [("foam", "foam-key"), ("springs", "springs-key")];
 
@@ -32,63 +32,63 @@
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-async fn open(cloud: &Cloud) -> Scene {
-    let shape = Shape {
+async fn open(collector: &UsageCollector) -> TestSite {
+    let options = SiteOptions {
         engines: 1,
         gateways: 3,
         revocation: Some(Millis(30_000)),
         usage: Some(UsageSettings {
-            address: cloud.address,
+            address: collector.address,
             lease: LEASE,
             window: WINDOW,
         }),
-        ..Shape::default()
+        ..SiteOptions::default()
     };
-    let mut scene = Scene::open(shape).await.unwrap();
+    let mut site = TestSite::open(options).await.unwrap();
     let keys = KEYS.map(|(name, key)| (name, [key]));
-    scene.put_workspaces(&keys.each_ref().map(|(name, keys)| (*name, &keys[..])));
+    site.put_workspaces(&keys.each_ref().map(|(name, keys)| (*name, &keys[..])));
     sleep(500).await;
-    scene
+    site
 }
 
 /// Makes `count` calls, one every 20 ms, at the gateways from `first` on in turn.
-async fn call(scene: &Scene, name: &str, count: usize, first: usize) {
+async fn call(site: &TestSite, name: &str, count: usize, first: usize) {
     for number in 0..count {
         let (_, key) = KEYS[number % KEYS.len()];
         let id = format!("{name}-{number}");
         let headers = [("x-attempt-id", id.as_str()), ("x-api-key", key)];
-        let gateways = scene.gateways.len() - first;
+        let gateways = site.gateways.len() - first;
         let gateway = first + number % gateways;
-        scene
-            .send(gateway, Method::POST, "/safe/x", &headers, id.clone())
+        site.send(gateway, Method::POST, "/safe/x", &headers, id.clone())
             .await;
         sleep(20).await;
     }
 }
 
 /// What the servers ran, by workspace.
-fn ran(scene: &Scene) -> BTreeMap<String, u64> {
+fn run_counts(site: &TestSite) -> BTreeMap<String, u64> {
     let mut ran = BTreeMap::new();
-    for asker in scene.plain.iter().flat_map(Plain::askers) {
-        *ran.entry(asker.workspace.unwrap_or_default()).or_default() += 1;
+    for identity in site.plain.iter().flat_map(PlainServer::identities) {
+        *ran.entry(identity.workspace.unwrap_or_default())
+            .or_default() += 1;
     }
     ran
 }
 
 /// What all windows together were reported with, once every window so far was.
-async fn reported(scene: &Scene, cloud: &Cloud) -> BTreeMap<String, u64> {
-    let last = scene.clock.wall().0 / WINDOW.0;
-    let until = scene.clock.now() + LATE + LEASE;
-    while cloud
-        .reported()
+async fn wait_reported(site: &TestSite, collector: &UsageCollector) -> BTreeMap<String, u64> {
+    let last = site.clock.wall().0 / WINDOW.0;
+    let until = site.clock.now() + MAX_REPORT_DELAY + LEASE;
+    while collector
+        .counts_by_window()
         .last_key_value()
         .is_none_or(|(window, _)| *window < last)
     {
-        assert!(scene.clock.now() < until, "window {last} was not reported");
+        assert!(site.clock.now() < until, "window {last} was not reported");
         sleep(100).await;
     }
-    assert_eq!(cloud.broken(), Vec::<String>::new());
-    let windows = cloud.reported();
+    assert_eq!(collector.violations(), Vec::<String>::new());
+    let windows = collector.counts_by_window();
     let numbers: Vec<u64> = windows.keys().copied().collect();
     for pair in numbers.windows(2) {
         assert_eq!(pair[0] + 1, pair[1], "a window was left out");
@@ -104,11 +104,11 @@
 /// comes once, soon, with what the servers ran, also of calls that were sent twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn windows_are_reported_with_what_ran() {
-    let cloud = Cloud::open().await.unwrap();
-    let scene = open(&cloud).await;
-    call(&scene, "calm", 150, 0).await;
-    let sum = reported(&scene, &cloud).await;
-    assert_eq!(sum, ran(&scene));
+    let collector = UsageCollector::open().await.unwrap();
+    let site = open(&collector).await;
+    call(&site, "calm", 150, 0).await;
+    let sum = wait_reported(&site, &collector).await;
+    assert_eq!(sum, run_counts(&site));
     assert_eq!(sum["foam"], 75);
 }
 
@@ -117,58 +117,62 @@
 /// first had fixed, with the same counts; no window is left out, and the two don't take
 /// turns within a lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reporter_that_ends_is_followed() {
-    let cloud = Cloud::open().await.unwrap();
-    let mut scene = open(&cloud).await;
-    call(&scene, "first", 60, 0).await;
-    reported(&scene, &cloud).await;
-    let holder = cloud.calls().last().unwrap().holder.clone();
-    cloud.set_fault(CloudFault::Lost);
+async fn another_gateway_replaces_a_reporter_that_ends() {
+    let collector = UsageCollector::open().await.unwrap();
+    let mut site = open(&collector).await;
+    call(&site, "first", 60, 0).await;
+    wait_reported(&site, &collector).await;
+    let holder = collector.reports().last().unwrap().holder.clone();
+    collector.set_fault(CollectorFault::Lost);
     sleep(2 * WINDOW.0).await;
     let number: usize = holder.rsplit('-').next().unwrap().parse().unwrap();
-    drop(scene.gateways.remove(number));
-    cloud.set_fault(CloudFault::None);
-    call(&scene, "second", 100, 0).await;
-    reported(&scene, &cloud).await;
+    drop(site.gateways.remove(number));
+    collector.set_fault(CollectorFault::None);
+    call(&site, "second", 100, 0).await;
+    wait_reported(&site, &collector).await;
 
-    let calls = cloud.calls();
-    let last = calls.last().unwrap();
+    let reports = collector.reports();
+    let last = reports.last().unwrap();
     assert_ne!(last.holder, holder);
-    let fences: Vec<u64> = calls.iter().map(|call| call.fence).collect();
+    let fences: Vec<u64> = reports.iter().map(|report| report.fence).collect();
     assert!(fences.first() < fences.last(), "{fences:?}");
-    let turns = calls
+    let changes = reports
         .windows(2)
         .filter(|pair| pair[0].holder != pair[1].holder);
-    assert_eq!(turns.count(), 1);
+    assert_eq!(changes.count(), 1);
 }
 
 /// Store and platform are away in turn, in every way. What ran meanwhile is in the
 /// reports that follow, none of which differs from one sent before.
 #[tokio::test(flavor = "multi_thread")]
-async fn reports_outlast_outages() {
-    let cloud = Cloud::open().await.unwrap();
-    let scene = open(&cloud).await;
+async fn reports_survive_outages() {
+    let collector = UsageCollector::open().await.unwrap();
+    let site = open(&collector).await;
     for (number, outage) in [Outage::Busy, Outage::Silent, Outage::Reset]
         .into_iter()
         .enumerate()
     {
-        scene.store.set_faults(StoreFaults {
+        site.store.set_faults(StoreFaults {
             outage,
             ..StoreFaults::default()
         });
-        call(&scene, &format!("store-{number}"), 50, 0).await;
-        scene.store.set_faults(StoreFaults {
+        call(&site, &format!("store-{number}"), 50, 0).await;
+        site.store.set_faults(StoreFaults {
             lost_answers: Some(3),
             ..StoreFaults::default()
         });
         sleep(1_000).await;
     }
-    scene.store.set_faults(StoreFaults::default());
-    for fault in [CloudFault::Busy, CloudFault::Reset, CloudFault::Lost] {
-        cloud.set_fault(fault);
-        call(&scene, &format!("{fault:?}"), 50, 0).await;
+    site.store.set_faults(StoreFaults::default());
+    for fault in [
+        CollectorFault::Busy,
+        CollectorFault::Reset,
+        CollectorFault::Lost,
+    ] {
+        collector.set_fault(fault);
+        call(&site, &format!("{fault:?}"), 50, 0).await;
     }
-    cloud.set_fault(CloudFault::None);
-    let sum = reported(&scene, &cloud).await;
-    assert_eq!(sum, ran(&scene));
+    collector.set_fault(CollectorFault::None);
+    let sum = wait_reported(&site, &collector).await;
+    assert_eq!(sum, run_counts(&site));
 }
--- a/standins/tests/integration/workspaces.rs
+++ b/standins/tests/integration/workspaces.rs
@@ -6,68 +6,68 @@
     Batch,
     Engine,
     Outage,
-    Plain,
-    Scene,
-    Shape,
+    PlainServer,
+    SiteOptions,
     StoreFaults, //
+    TestSite,
 };
 use redwingpond::base::Millis;
 use std::time::Duration;
 
 /// Within which time of its removal a key must stop working here.
-const REVOCATION: u64 = 2_000;
+const REVOCATION_LIMIT: u64 = 2_000;
 
-const FOAM: &str = "foam-key-one";
-const FOAM_NEXT: &str = "foam-key-two";
-const SPRINGS: &str = "springs-key";
+const FOAM_KEY: &str = "foam-key-one";
+const FOAM_NEXT_KEY: &str = "foam-key-two";
+const SPRINGS_KEY: &str = "springs-key";
 
 async fn sleep(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-async fn open() -> Scene {
-    let shape = Shape {
-        revocation: Some(Millis(REVOCATION)),
-        ..Shape::default()
+async fn open() -> TestSite {
+    let options = SiteOptions {
+        revocation: Some(Millis(REVOCATION_LIMIT)),
+        ..SiteOptions::default()
     };
-    let mut scene = Scene::open(shape).await.unwrap();
-    scene.put_workspaces(&[("foam", &[FOAM]), ("springs", &[SPRINGS])]);
+    let mut site = TestSite::open(options).await.unwrap();
+    site.put_workspaces(&[("foam", &[FOAM_KEY]), ("springs", &[SPRINGS_KEY])]);
     // In force within the time that the users allow; less here.
     sleep(500).await;
-    scene
+    site
 }
 
-async fn call(scene: &Scene, gateway: usize, id: &str, headers: &[(&str, &str)]) -> Option<u16> {
+async fn call(site: &TestSite, gateway: usize, id: &str, headers: &[(&str, &str)]) -> Option<u16> {
     let mut all = vec![("x-attempt-id", id), ("x-deadline-ms", "1500")];
     all.extend_from_slice(headers);
-    let answer = scene.send(gateway, Method::POST, "/safe/x", &all, id.to_owned());
+    let answer = site.send(gateway, Method::POST, "/safe/x", &all, id.to_owned());
     Some(answer.await?.status.as_u16())
 }
 
-fn runs_of(scene: &Scene, id: &str) -> usize {
-    scene.plain.iter().map(|plain| plain.runs_of(id)).sum()
+fn runs_of(site: &TestSite, id: &str) -> usize {
+    site.plain.iter().map(|plain| plain.runs_of(id)).sum()
 }
 
 /// A clerk's call shows a key and runs in its workspace's name. Servers were sent the
 /// key itself, and believed whatever the caller said of its workspace; calls without a
 /// key ran. Keys that nobody holds, doubled and empty ones are turned away, unrun.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_run_in_their_workspaces_name() {
+async fn calls_run_under_the_workspace_of_their_key() {
     struct Test {
         headers: &'static [(&'static str, &'static str)],
         id: &'static str,
         status: u16,
     }
 
-    let scene = open().await;
+    let site = open().await;
     for test in [
         Test {
-            headers: &[("x-api-key", FOAM)],
+            headers: &[("x-api-key", FOAM_KEY)],
             id: "own",
             status: 200,
         },
         Test {
-            headers: &[("X-Api-Key", FOAM), ("X-Tenant", "springs")],
+            headers: &[("X-Api-Key", FOAM_KEY), ("X-Tenant", "springs")],
             id: "claims",
             status: 200,
         },
@@ -92,19 +92,19 @@
             status: 401,
         },
         Test {
-            headers: &[("x-api-key", FOAM), ("x-api-key", SPRINGS)],
+            headers: &[("x-api-key", FOAM_KEY), ("x-api-key", SPRINGS_KEY)],
             id: "doubled",
             status: 401,
         },
     ] {
-        let status = call(&scene, 0, test.id, test.headers).await;
+        let status = call(&site, 0, test.id, test.headers).await;
         assert_eq!(status, Some(test.status), "{}", test.id);
         let runs = usize::from(test.status == 200);
-        assert_eq!(runs_of(&scene, test.id), runs, "{}", test.id);
+        assert_eq!(runs_of(&site, test.id), runs, "{}", test.id);
     }
-    for asker in scene.plain.iter().flat_map(Plain::askers) {
-        assert_eq!(asker.key, None, "{}", asker.request);
-        assert_eq!(asker.workspace.as_deref(), Some("foam"));
+    for identity in site.plain.iter().flat_map(PlainServer::identities) {
+        assert_eq!(identity.key, None, "{}", identity.request);
+        assert_eq!(identity.workspace.as_deref(), Some("foam"));
     }
 }
 
@@ -114,18 +114,17 @@
 /// goes on, and its workspace's next key reads it.
 #[tokio::test(flavor = "multi_thread")]
 async fn batches_belong_to_their_workspace() {
-    let mut scene = open().await;
-    for engine in &scene.engines {
-        engine.set_event(Millis(40));
+    let mut site = open().await;
+    for engine in &site.engines {
+        engine.set_event_time(Millis(40));
     }
     let batch = Batch::new("mine", 2, 3, 20);
     let path = format!("/roll/{}", batch.id);
     let submit = |key: &'static str| {
         let headers = [("x-attempt-id", "mine"), ("x-api-key", key)];
-        let (scene, path, body) = (&scene, path.clone(), batch.body());
+        let (site, path, body) = (&site, path.clone(), batch.body());
         async move {
-            scene
-                .send(0, Method::POST, &path, &headers, body)
+            site.send(0, Method::POST, &path, &headers, body)
                 .await
                 .unwrap()
                 .status
@@ -133,8 +132,8 @@
         }
     };
     assert_eq!(submit("nobodys").await, 401);
-    assert_eq!(submit(FOAM).await, 202);
-    assert_eq!(submit(FOAM).await, 202);
+    assert_eq!(submit(FOAM_KEY).await, 202);
+    assert_eq!(submit(FOAM_KEY).await, 202);
 
     let calls = [
         (Method::GET, "/redwingpond/lots/mine?startAfter=0"),
@@ -142,57 +141,58 @@
         (Method::DELETE, "/redwingpond/lots/mine"),
     ];
     for (method, path) in &calls {
-        for (key, wanted) in [(SPRINGS, 404), ("nobodys", 401)] {
+        for (key, expected) in [(SPRINGS_KEY, 404), ("nobodys", 401)] {
             let headers = [("x-api-key", key)];
-            let answer = scene
+            let answer = site
                 .send(1, method.clone(), path, &headers, "")
                 .await
                 .unwrap();
-            assert_eq!(answer.status.as_u16(), wanted, "{method} {path} with {key}");
+            assert_eq!(
+                answer.status.as_u16(),
+                expected,
+                "{method} {path} with {key}"
+            );
         }
     }
-    let headers = [("x-api-key", FOAM)];
-    let body = scene
+    let headers = [("x-api-key", FOAM_KEY)];
+    let body = site
         .send(1, Method::GET, calls[1].1, &headers, "")
         .await
         .unwrap();
     assert_eq!(body.status, 200);
 
-    scene.put_workspaces(&[("foam", &[FOAM_NEXT]), ("springs", &[SPRINGS])]);
-    sleep(REVOCATION).await;
+    site.put_workspaces(&[("foam", &[FOAM_NEXT_KEY]), ("springs", &[SPRINGS_KEY])]);
+    sleep(REVOCATION_LIMIT).await;
     let read = |key: &'static str| {
-        let scene = &scene;
+        let site = &site;
         async move {
             let headers = [("x-api-key", key), ("x-wait-ms", "200")];
             let path = "/redwingpond/lots/mine?startAfter=0";
-            scene
-                .send(0, Method::GET, path, &headers, "")
-                .await
-                .unwrap()
+            site.send(0, Method::GET, path, &headers, "").await.unwrap()
         }
     };
-    assert_eq!(read(FOAM).await.status, 401);
-    let until = scene.clock.now() + Millis(15_000);
+    assert_eq!(read(FOAM_KEY).await.status, 401);
+    let until = site.clock.now() + Millis(15_000);
     loop {
-        let answer = read(FOAM_NEXT).await;
+        let answer = read(FOAM_NEXT_KEY).await;
         assert_eq!(answer.status, 200);
         let page: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
         if page["results"].as_array().map_or(0, Vec::len) == 6 {
             break;
         }
-        assert!(scene.clock.now() < until, "{page}");
+        assert!(site.clock.now() < until, "{page}");
         sleep(100).await;
     }
-    for run in scene.engines.iter().flat_map(Engine::runs) {
-        assert_eq!(run.asker.workspace.as_deref(), Some("foam"));
-        assert_eq!(run.asker.key, None);
+    for run in site.engines.iter().flat_map(Engine::runs) {
+        assert_eq!(run.identity.workspace.as_deref(), Some("foam"));
+        assert_eq!(run.identity.key, None);
     }
-    for asker in scene.plain.iter().flat_map(Plain::askers) {
+    for identity in site.plain.iter().flat_map(PlainServer::identities) {
         assert_eq!(
-            (asker.workspace, asker.key),
+            (identity.workspace, identity.key),
             (None, None),
             "{}",
-            asker.request
+            identity.request
         );
     }
 }
@@ -202,26 +202,26 @@
 /// once the store has not confirmed its configuration for too long: none of them runs,
 /// and once the store is back the key is turned away and others are served.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_stops_working_without_the_store() {
+async fn a_removed_key_stops_working_during_a_store_outage() {
     for outage in [Outage::Silent, Outage::Busy, Outage::Reset] {
-        let mut scene = open().await;
+        let mut site = open().await;
         assert_eq!(
-            call(&scene, 0, "before", &[("x-api-key", FOAM)]).await,
+            call(&site, 0, "before", &[("x-api-key", FOAM_KEY)]).await,
             Some(200)
         );
         let faults = StoreFaults {
             outage,
             ..StoreFaults::default()
         };
-        scene.store.set_faults(faults);
-        scene.put_workspaces(&[("foam", &[FOAM_NEXT]), ("springs", &[SPRINGS])]);
-        let revoked = scene.clock.now();
+        site.store.set_faults(faults);
+        site.put_workspaces(&[("foam", &[FOAM_NEXT_KEY]), ("springs", &[SPRINGS_KEY])]);
+        let revoked = site.clock.now();
         let mut refused = 0;
         for round in 0..30 {
             let id = format!("late-{round}");
-            let late = scene.clock.now().since(revoked) >= Millis(REVOCATION);
-            let status = call(&scene, round % 2, &id, &[("x-api-key", FOAM)]).await;
-            let runs = runs_of(&scene, &id);
+            let late = site.clock.now().since(revoked) >= Millis(REVOCATION_LIMIT);
+            let status = call(&site, round % 2, &id, &[("x-api-key", FOAM_KEY)]).await;
+            let runs = runs_of(&site, &id);
             if late {
                 assert_eq!((status, runs), (Some(503), 0), "{outage:?} {id}");
                 refused += 1;
@@ -233,16 +233,16 @@
         }
         assert!(refused > 0, "{outage:?}");
 
-        scene.store.set_faults(StoreFaults::default());
+        site.store.set_faults(StoreFaults::default());
         sleep(1_500).await;
         assert_eq!(
-            call(&scene, 0, "gone", &[("x-api-key", FOAM)]).await,
+            call(&site, 0, "gone", &[("x-api-key", FOAM_KEY)]).await,
             Some(401)
         );
-        assert_eq!(runs_of(&scene, "gone"), 0);
+        assert_eq!(runs_of(&site, "gone"), 0);
         for gateway in 0..2 {
             let id = format!("after-{gateway}");
-            let status = call(&scene, gateway, &id, &[("x-api-key", SPRINGS)]).await;
+            let status = call(&site, gateway, &id, &[("x-api-key", SPRINGS_KEY)]).await;
             assert_eq!(status, Some(200), "{outage:?} {id}");
         }
     }
@@ -253,21 +253,21 @@
 /// asked before it turns anybody away; without the store it says 503, and when to come
 /// again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_key_is_not_turned_away() {
-    let mut scene = open().await;
+async fn a_new_key_is_accepted_at_once() {
+    let mut site = open().await;
     for round in 0..10 {
         let key = format!("new-key-{round}");
-        scene.put_workspaces(&[("foam", &[FOAM, &key])]);
+        site.put_workspaces(&[("foam", &[FOAM_KEY, &key])]);
         let id = format!("new-{round}");
-        let status = call(&scene, round % 2, &id, &[("x-api-key", &key)]).await;
+        let status = call(&site, round % 2, &id, &[("x-api-key", &key)]).await;
         assert_eq!(status, Some(200), "{id}");
     }
-    scene.store.set_faults(StoreFaults {
+    site.store.set_faults(StoreFaults {
         outage: Outage::Silent,
         ..StoreFaults::default()
     });
-    let status = call(&scene, 0, "unknown", &[("x-api-key", "unknown")]).await;
-    assert_eq!((status, runs_of(&scene, "unknown")), (Some(503), 0));
+    let status = call(&site, 0, "unknown", &[("x-api-key", "unknown")]).await;
+    assert_eq!((status, runs_of(&site, "unknown")), (Some(503), 0));
 }
 
 /// A key is taken away while the store is silent, and its caller asks again and again as
@@ -275,26 +275,26 @@
 /// store confirm the newest one, and then let the caller in by its first judgement: the
 /// key worked once more, long after its time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_stays_gone_at_the_stores_return() {
+async fn a_removed_key_stays_invalid_when_the_store_recovers() {
     for round in 0..4 {
-        let mut scene = open().await;
-        scene.store.set_faults(StoreFaults {
+        let mut site = open().await;
+        site.store.set_faults(StoreFaults {
             outage: Outage::Silent,
             ..StoreFaults::default()
         });
-        scene.put_workspaces(&[("springs", &[SPRINGS])]);
-        sleep(REVOCATION + 500 + 90 * round).await;
-        scene.store.set_faults(StoreFaults::default());
+        site.put_workspaces(&[("springs", &[SPRINGS_KEY])]);
+        sleep(REVOCATION_LIMIT + 500 + 90 * round).await;
+        site.store.set_faults(StoreFaults::default());
 
-        let asking = (0..400).map(|number| {
-            let (scene, id) = (&scene, format!("gone-{round}-{number}"));
+        let calls = (0..400).map(|number| {
+            let (site, id) = (&site, format!("gone-{round}-{number}"));
             async move {
                 sleep(2 * number).await;
-                let status = call(scene, number as usize % 2, &id, &[("x-api-key", FOAM)]).await;
-                (status, runs_of(scene, &id))
+                let status = call(site, number as usize % 2, &id, &[("x-api-key", FOAM_KEY)]).await;
+                (status, runs_of(site, &id))
             }
         });
-        for (status, runs) in futures_util::future::join_all(asking).await {
+        for (status, runs) in futures_util::future::join_all(calls).await {
             assert_eq!(runs, 0, "a call with a key that is gone has run");
             assert!(matches!(status, Some(401 | 503)), "{status:?}");
         }
