--- a/standins/src/fleet/backend.rs
+++ b/standins/src/fleet/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server behind an agent.
+//! The stand-in backend server that an agent serves.
 
 use super::{
     PoolKind,
@@ -15,7 +15,7 @@
     time::Duration, //
 };
 
-/// A stand-in of any kind.
+/// A stand-in backend server of any kind.
 pub enum Backend {
     Engine(Engine),
     Scorer(Scorer),
@@ -23,7 +23,8 @@
 }
 
 impl Backend {
-    /// Opens what `plan` says; engines copy weights from `weights`.
+    /// Starts a backend server of the plan's kind; engines download weights from the platform
+    /// at `weights`.
     pub async fn open(plan: &PoolPlan, weights: SocketAddr) -> io::Result<Self> {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let time = Duration::from_millis(plan.service_ms);
@@ -42,7 +43,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address at which the backend server listens.
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Engine(engine) => engine.address,
--- a/standins/src/fleet/deployment.rs
+++ b/standins/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! Platform, entries and pools, opened together.
+//! A deployment of platform, entries, agents and backend servers in one process.
 
 use super::{
     Backend,
@@ -14,8 +14,8 @@
     base::Clock,
     duty::DutyError,
     entry::Entry,
-    policy::router::Policy, //
-    table::{Instance, InstanceState},
+    policy::router::Policy,
+    table::{Instance, InstanceState}, //
 };
 use snafu::{
     ResultExt,
@@ -27,23 +27,24 @@
     time::Duration, //
 };
 
-/// A fleet could not be opened.
+/// The reason why a fleet couldn't be started.
 #[derive(Debug, Snafu)]
 pub enum FleetError {
     #[snafu(display("{source}"), context(false))]
     Duty { source: DutyError },
-    #[snafu(display("the fleet was not ready after {seconds} s"))]
+    #[snafu(display("the entries did not connect to all servers within {seconds} s"))]
     NotReady { seconds: u64 },
-    #[snafu(display("can't open a stand-in: {source}"))]
+    #[snafu(display("can't start a stand-in: {source}"))]
     Standin { source: std::io::Error },
 }
 
-/// How a fleet is opened.
+/// The options of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
+    /// The number of entries.
     pub entries: u32,
     pub policy: Policy,
-    /// Whether links pass relays, so that they can be made silent.
+    /// Whether the links to agents pass through relays that tests can silence.
     pub relayed: bool,
 }
 
@@ -60,22 +61,28 @@
 /// A running fleet.
 pub struct Fleet {
     pub balancer: Arc<Balancer>,
+    /// The running entries with their instance names.
     pub entries: Vec<(String, Entry)>,
+    /// The backend servers and their agents, over all pools.
     pub members: Vec<Member>,
     pub options: Options,
     pub platform: Platform,
+    /// The number of entries started so far; numbers their names.
     entries_started: u32,
 }
 
-/// Copies of weights at once, and the time of each.
+/// The number of weight copies that the platform serves at the same time.
 const CONCURRENT_COPIES: usize = 6;
+
+/// The duration of one copy of weights.
 const COPY_TIME: Duration = Duration::from_millis(40);
 
-/// How long a fleet may take to be ready.
+/// How long the entries may take to connect to all servers.
 const READY_TIMEOUT_SECONDS: u64 = 20;
 
 impl Fleet {
-    /// Opens a platform and entries, and all that the plans name.
+    /// Starts a platform, the entries, and all pools in `plans`, and waits until each entry is
+    /// connected to all servers that it uses.
     pub async fn open(plans: &[Plan], options: Options) -> Result<Self, FleetError> {
         let platform = Platform::open(settings::loopback(), CONCURRENT_COPIES, COPY_TIME)
             .await
@@ -100,7 +107,7 @@
         Ok(fleet)
     }
 
-    /// Starts one more entry and puts it behind the balancer.
+    /// Starts another entry and adds it to the balancer; returns its address for callers.
     pub fn start_entry(&mut self, data_centre: &str) -> Result<SocketAddr, FleetError> {
         self.entries_started += 1;
         let name = format!("entry-{}", self.entries_started);
@@ -121,10 +128,10 @@
         Ok(callers)
     }
 
-    /// Stops the first entry gracefully; false when that failed.
+    /// Drains and stops the oldest entry; false if that failed.
     pub async fn stop_entry(&mut self) -> bool {
         let (name, entry) = self.entries.remove(0);
-        // The balancer sees that the entry is not ready and lets go of it.
+        // A real balancer would see that the entry isn't ready and remove it.
         entry.handle.drain();
         self.balancer.remove(entry.callers);
         let stopped = entry.handle.wait().await;
@@ -132,13 +139,14 @@
         stopped
     }
 
-    /// The members of `pool`.
+    /// The members of a pool.
     pub fn pool<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Member> {
         self.members
             .iter()
             .filter(move |member| member.pool == pool)
     }
 
+    /// Writes a plan's shared settings and starts its pools.
     async fn add(&mut self, plan: &Plan) -> Result<(), FleetError> {
         for (path, text) in &plan.settings {
             self.platform.apply(path, text);
@@ -165,7 +173,7 @@
         Ok(())
     }
 
-    /// Waits until every entry has its links.
+    /// Waits until every entry is linked to as many usable servers as its subsets hold.
     async fn wait_ready(&self, plans: &[Plan]) -> Result<(), FleetError> {
         let servers: u32 = plans
             .iter()
@@ -193,7 +201,7 @@
     }
 }
 
-/// How many usable servers an entry is linked to.
+/// The number of usable servers that an entry is linked to; 0 if the entry doesn't answer.
 async fn usable_links(client: &crate::client::Client, admin: SocketAddr) -> usize {
     let get = hyper::Method::GET;
     let timeout = Duration::from_secs(2);
--- a/standins/src/fleet/member.rs
+++ b/standins/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One backend server and the agent beside it.
+//! A backend server and its agent.
 
 use super::{
     Backend,
@@ -16,20 +16,22 @@
     table::{Instance, InstanceState}, //
 };
 
-/// A slot of a pool.
+/// A backend server of a pool, with its agent.
 pub struct Member {
+    /// `None` while the agent is stopped.
     pub agent: Option<Agent>,
     pub backend: Backend,
     pub data_centre: String,
+    /// The instance name of the agent.
     pub name: String,
     pub plan: PoolPlan,
     pub pool: String,
-    /// Stands between entries and the agent when connections are to fail.
+    /// The relay between entries and the agent, if [`Options::relayed`] is set.
     pub relay: Option<Relay>,
 }
 
 impl Member {
-    /// Starts a new agent in the slot and lists it.
+    /// Starts a new agent for the backend server and adds it to the instance table.
     pub async fn start(&mut self, platform: &Platform, options: Options) -> Result<(), DutyError> {
         let common = settings::common(&self.name, &self.data_centre, platform.address);
         let address = self.backend.address();
@@ -60,7 +62,7 @@
         Ok(())
     }
 
-    /// Stops the agent gracefully; false when it failed or there was none.
+    /// Drains and stops the agent; false if that failed or no agent was running.
     pub async fn stop(&mut self) -> bool {
         let Some(agent) = self.agent.take() else {
             return false;
@@ -69,7 +71,7 @@
         agent.handle.wait().await
     }
 
-    /// Ends the agent at once, as a crash would.
+    /// Stops the agent at once, without draining, like a crash.
     pub async fn kill(&mut self) {
         if let Some(agent) = self.agent.take() {
             agent.handle.stop();
--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A whole deployment in one process, over real loopback sockets.
+//! A whole deployment in one process: real entries and agents among stand-ins, connected
+//! over loopback sockets.
 
 mod backend;
 mod deployment;
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! A deployment as its file describes it.
+//! The description of a deployment, as read from its file.
 
 use redwingpond::settings::{
     Reader,
@@ -10,7 +10,7 @@
     path::Path, //
 };
 
-/// What stands in a pool.
+/// The kind of a pool's backend servers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PoolKind {
     Engine,
@@ -19,50 +19,60 @@
     Service,
 }
 
-/// A pool's servers.
+/// A pool of backend servers.
 #[derive(Clone, Debug)]
 pub struct PoolPlan {
+    /// The number of requests that a server runs at the same time.
     pub capacity: u32,
-    /// Whether the engines check fencing numbers.
+    /// Whether the engines check fencing tokens.
     pub checks_fence: bool,
     pub kind: PoolKind,
+    /// The length of an agent's queue.
     pub queue: usize,
+    /// The number of servers.
     pub servers: u32,
+    /// The service time of a request at a service or scorer.
     pub service_ms: u64,
 }
 
-/// What a caller sends.
+/// The kind of an application's calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CallKind {
+    /// Chat completions.
     Chat,
+    /// Requests to a service.
     #[default]
     Plain,
 }
 
-/// An application's calls.
+/// The calls of one application.
 #[derive(Clone, Debug)]
 pub struct CallerPlan {
     pub class: String,
     pub idempotent: bool,
-    /// The key shown for internal classes; empty for none.
+    /// The key sent for internal classes; empty for none.
     pub key: String,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u64,
     pub kind: CallKind,
 }
 
-/// A trainer's steps.
+/// The steps of one trainer.
 #[derive(Clone, Debug)]
 pub struct TrainerPlan {
+    /// Groups per step.
     pub groups: u32,
     pub max_tokens: u32,
+    /// Samples per group.
     pub samples: u32,
+    /// The most weight versions by which a sample may lag behind.
     pub staleness: u64,
     pub steps: u64,
+    /// The time that the trainer takes to train on one step.
     pub train_ms: u64,
 }
 
-/// One user's deployment, scaled down.
+/// A scaled-down deployment of one team.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub callers: BTreeMap<String, CallerPlan>,
@@ -75,12 +85,12 @@
 }
 
 impl Plan {
-    /// Loads and checks the file at `path`.
+    /// Loads a plan from the file at `path` and checks it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         load(path, Self::read)
     }
 
-    /// Reads the document's root.
+    /// Reads a plan from the root of a document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let settings = reader.section("settings");
         let paths = reader.keys("settings");
@@ -105,6 +115,7 @@
     }
 }
 
+/// Reads each entry of the section `key` with `read`.
 fn read_entries<T>(
     reader: &Reader<'_>,
     key: &str,
--- a/standins/src/fleet/settings.rs
+++ b/standins/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the fleet's processes are opened with.
+//! The settings of the fleet's entries and agents.
 
 use super::PoolKind;
 use redwingpond::{
@@ -19,15 +19,15 @@
     net::SocketAddr, //
 };
 
-/// The key of all in-process deployments.
+/// The key that secures the links of in-process deployments.
 pub(super) const LINK_KEY: &str = "loopback only";
 
-/// Any port of the loopback address.
+/// The loopback address with a port that the system chooses.
 pub(super) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// What every process has.
+/// The settings that entries and agents have in common.
 pub(super) fn common(instance: &str, data_centre: &str, platform: SocketAddr) -> Common {
     Common {
         admin: loopback(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// An agent before `backend`.
+/// The settings of an agent for the backend server at `address`.
 pub(super) fn agent(
     common: Common,
     pool: &str,
@@ -71,7 +71,7 @@
     }
 }
 
-/// An entry.
+/// The settings of an entry.
 pub(super) fn entry(common: Common, policy: Policy, peers: Vec<SocketAddr>) -> EntrySettings {
     EntrySettings {
         callers: loopback(),
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -1,4 +1,5 @@
-//! An engine that takes items, orders and questions as the users' engines do.
+//! A stand-in for the users' engines: it runs items, accepts weight orders and answers
+//! report requests.
 
 use super::RequestIdentity;
 use crate::server::Server;
@@ -27,39 +28,43 @@
 };
 use tokio::sync::watch;
 
-/// What goes wrong at an engine.
+/// Faults that a test injects into an engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineFaults {
-    /// Each run is cut after this many events, within the next one.
+    /// Each run is cut off in the middle of the event that follows this many whole ones.
     pub cut_after: Option<u64>,
-    /// A cut run ends as if it were whole, but for its last event.
+    /// A cut run ends its response normally instead of breaking the connection; only the
+    /// incomplete last event shows the cut.
     pub cut_cleanly: bool,
-    /// Runs with this body end it after an event's time.
+    /// The engine goes down one event time after it starts a run with this body.
     pub fatal_body: Option<String>,
-    /// It answers 500 to these items.
+    /// The ids of items that are answered with 500.
     pub failing_items: Vec<String>,
-    /// It answers 422 to these items.
+    /// The ids of items that are answered with 422.
     pub rejected_items: Vec<String>,
-    /// Orders get no answer and are carried out this much later.
+    /// Orders get no answer and are applied after this delay.
     pub order_delay: Option<Millis>,
 }
 
-/// One run of an item.
+/// One run of an item, as the engine recorded it.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Who asked for it.
+    /// The identity headers of the request.
     pub identity: RequestIdentity,
-    /// When it reached the engine, by the engine's clock.
+    /// When the request arrived, by the engine's clock.
     pub at: Millis,
-    /// The event after which it was asked to go on.
+    /// The last event of the previous attempt, when the run resumes after it.
     pub after: Option<u64>,
+    /// The id of the item.
     pub item: String,
+    /// The weight version at the start of the run.
     pub version: u64,
 }
 
-/// A running engine; dropping it ends it.
+/// A running engine; dropping it stops the server.
 pub struct Engine {
     pub address: SocketAddr,
+    /// The id of the first incarnation.
     pub id: String,
     inner: Arc<Inner>,
     server: Server,
@@ -68,35 +73,35 @@
 struct Inner {
     clock: Clock,
     state: Mutex<State>,
-    /// Brings it down and up; set once it listens.
+    /// Takes the engine down (false) or up (true); set once the server listens.
     switch: OnceLock<Arc<watch::Sender<bool>>>,
 }
 
 struct State {
-    /// What an event takes.
+    /// The time between two events of a run.
     event_time: Millis,
     faults: EngineFaults,
-    /// When its present life began.
+    /// When the current incarnation started, in Unix ms.
     started_at: Millis,
-    /// The id of its present life.
+    /// The id of the current incarnation.
     incarnation: String,
-    /// While it takes weights.
+    /// When the current load of weights ends.
     loading_until: Millis,
     model: String,
-    /// Orders that were accepted, with their holders, numbers and versions.
+    /// The accepted orders: holder, fencing token and weight version.
     orders: Vec<(String, u64, u64)>,
     runs: Vec<Run>,
     version: u64,
 }
 
-/// When the first life of every engine began, in Unix ms.
+/// When the first incarnation of every engine started, in Unix ms.
 const FIRST_START: u64 = 1_764_720_000_000;
 
-/// What a load of weights takes.
+/// The duration of a weight load.
 const LOAD_TIME: Millis = Millis(150);
 
 impl Engine {
-    /// Opens an engine with one model, on a free port.
+    /// Starts an engine with one model on a free port.
     pub async fn open(id: &str, model: &str) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             clock: Clock::open(),
@@ -126,24 +131,24 @@
         })
     }
 
-    /// Cuts the engine off (false) or brings it back (true).
+    /// The switch that takes the engine down (false) or up (true).
     pub fn switch(&self) -> Arc<watch::Sender<bool>> {
         self.server.switch()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the engine's faults from now on.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.inner.state().faults = faults;
     }
 
-    /// Sets what an event takes from now on.
+    /// Sets the time between two events from now on.
     pub fn set_event_time(&self, event_time: Millis) {
         self.inner.state().event_time = event_time;
     }
 
-    /// Starts the engine anew: it has another life called `incarnation`, which may be
-    /// the name that it had, with `model`, and has forgotten its orders. What it
-    /// ran stays silent for good, as after a loss of power.
+    /// Restarts the engine as a new incarnation with `model` and without its orders. The
+    /// id `incarnation` may be the previous one. Runs of the previous incarnation never
+    /// send anything again, and their connections stay open, as after a power failure.
     pub fn restart(&self, incarnation: &str, model: &str) {
         let mut state = self.inner.state();
         state.started_at = state.started_at + Millis(1);
@@ -152,27 +157,27 @@
         state.orders.clear();
     }
 
-    /// When its present life began.
+    /// When the current incarnation started, in Unix ms.
     pub fn started_at(&self) -> Millis {
         self.inner.state().started_at
     }
 
-    /// All runs so far.
+    /// All recorded runs, in order of arrival.
     pub fn runs(&self) -> Vec<Run> {
         self.inner.state().runs.clone()
     }
 
-    /// The accepted orders so far: holder, number, version.
+    /// The accepted orders of the current incarnation: holder, fencing token and version.
     pub fn orders(&self) -> Vec<(String, u64, u64)> {
         self.inner.state().orders.clone()
     }
 
-    /// The engine's clock.
+    /// The current time of the engine's clock.
     pub fn now(&self) -> Millis {
         self.inner.clock.now()
     }
 
-    /// The version that it holds.
+    /// The current weight version.
     pub fn version(&self) -> u64 {
         self.inner.state().version
     }
@@ -251,7 +256,7 @@
         StatusCode::ACCEPTED
     }
 
-    /// Runs an item; its body tells how many events it has.
+    /// Starts the run of an item; the body is its number of events.
     fn run(self: Arc<Self>, headers: &HeaderMap, body: &[u8]) -> Answer {
         let item = header(headers, "x-attempt-id").unwrap_or_default();
         let after = header(headers, "last-event-id").and_then(|after| after.parse().ok());
@@ -323,18 +328,21 @@
     }
 }
 
-/// The rest of one run.
+/// A run whose remaining events are still to be sent.
 struct RunStream {
-    /// The life that runs it.
+    /// The start of the incarnation that executes the run.
     started_at: Millis,
-    /// The event within which the connection is cut.
+    /// The event in the middle of which the response is cut off.
     cut_at: Option<u64>,
     engine: Arc<Inner>,
+    /// The total number of events.
     events: u64,
     item: String,
+    /// The next event to be sent.
     next: u64,
-    /// Whether the cut looks like the end.
+    /// See [`EngineFaults::cut_cleanly`].
     cut_cleanly: bool,
+    /// The weight version that the receiver has been told.
     version: u64,
 }
 
--- a/standins/src/site/faults.rs
+++ b/standins/src/site/faults.rs
@@ -1,29 +1,29 @@
-//! What goes wrong at the store.
+//! Faults that a test injects into the store.
 
 use redwingpond::base::Millis;
 
-/// How the store is away.
+/// How the store fails to answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Outage {
-    /// It answers 503 and does nothing.
+    /// Answers 503 without executing the request.
     Busy,
-    /// It answers.
+    /// Works normally.
     #[default]
     None,
-    /// It cuts every connection and does nothing.
+    /// Closes every connection without executing the request.
     Reset,
-    /// It never answers and does nothing.
+    /// Never answers and does not execute the request.
     Silent,
 }
 
-/// What goes wrong at the store at the moment.
+/// The store's current faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
-    /// Every so many writes, one is done this much later and never answered.
+    /// `(n, delay)`: every n-th write is applied after `delay` and never answered.
     pub late_writes: Option<(u64, Millis)>,
-    /// Every so many writes, one is done and its answer is lost.
+    /// `n`: every n-th write is applied, but never answered.
     pub lost_answers: Option<u64>,
     pub outage: Outage,
-    /// Each answer takes this much longer.
+    /// Added to the time of each answer.
     pub delay: Millis,
 }
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -1,6 +1,6 @@
-//! The users' platform and what runs on it: a store, engines and plain
-//! servers that speak the published protocol and fail on command, and a scene
-//! that opens gateways and runners among them.
+//! Stand-ins for the users' platform: the store, the collector of usage reports, engines
+//! and plain backend servers. They speak the published protocol and fail on command.
+//! [`TestSite`] runs real gateways and runners among them in one process.
 
 mod engine;
 mod faults;
--- a/standins/src/site/plain.rs
+++ b/standins/src/site/plain.rs
@@ -1,4 +1,4 @@
-//! A plain backend server.
+//! A stand-in for a backend server without a model: it echoes the request's body.
 
 use crate::server::Server;
 use bytes::Bytes;
@@ -27,31 +27,33 @@
 };
 use tokio::sync::watch;
 
-/// How a plain server behaves.
+/// How a plain server misbehaves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PlainFault {
-    /// It runs the request and answers 500, under its own seal.
+    /// Runs the request and answers 500 with a valid signature.
     Fails,
-    /// It runs the request, then answers with another request's id.
+    /// Runs the request and answers with the id of another request.
     Foreign,
-    /// It turns every request away.
+    /// Refuses every request without running it.
     Full,
-    /// It runs the request and never answers.
+    /// Runs the request and never answers.
     Mute,
     #[default]
     None,
-    /// It runs the request, then cuts the connection.
+    /// Runs the request and closes the connection without an answer.
     Reset,
-    /// It runs the request until its time is over and answers 504.
+    /// Runs the request and answers 504, as if its time had run out.
     TimesOut,
 }
 
-/// What a server is told of who asks.
+/// The headers of a received request that say who sent it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestIdentity {
-    /// The caller's key; no server may see it.
+    /// The caller's API key, which gateways must never forward.
     pub key: Option<String>,
+    /// The id of the request.
     pub request: String,
+    /// The workspace that the gateway names.
     pub workspace: Option<String>,
 }
 
@@ -69,9 +71,10 @@
     }
 }
 
-/// A running server; dropping it ends it.
+/// A running plain backend server; dropping it stops it.
 pub struct PlainServer {
     pub address: SocketAddr,
+    /// The id of the first incarnation.
     pub id: String,
     inner: Arc<Inner>,
     _server: Server,
@@ -79,24 +82,24 @@
 
 struct Inner {
     clock: Clock,
-    /// The body of requests that end it once they have run.
+    /// A request with this body crashes the server when its service time is over.
     fatal_body: Mutex<Option<Bytes>>,
     fault: Mutex<PlainFault>,
-    /// Its present life.
+    /// The id of the current incarnation.
     incarnation: Mutex<String>,
-    /// Requests that it works on now.
+    /// The number of requests in progress.
     open_requests: AtomicU32,
-    /// The ids of the requests that it ran, and when.
+    /// The ids of the requests that were run, and when each started.
     runs: Mutex<Vec<(String, Millis)>>,
-    /// Who asked for each of them.
+    /// The identity headers of each of these requests.
     identities: Mutex<Vec<RequestIdentity>>,
-    /// Brings it down and up; set once it listens.
+    /// Takes the server down (false) or up (true); set once it listens.
     switch: OnceLock<Arc<watch::Sender<bool>>>,
     service_time: Mutex<Millis>,
 }
 
 impl PlainServer {
-    /// Opens a server on a free port.
+    /// Starts a server on a free port.
     pub async fn open(id: &str) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             clock: Clock::open(),
@@ -122,49 +125,49 @@
         })
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets the server's behaviour from now on.
     pub fn set_fault(&self, fault: PlainFault) {
         *lock(&self.inner.fault) = fault;
     }
 
-    /// Lets each request with this body end the server.
+    /// Makes each request with this body crash the server.
     pub fn set_fatal_body(&self, body: &str) {
         *lock(&self.inner.fatal_body) = Some(Bytes::copy_from_slice(body.as_bytes()));
     }
 
-    /// Ends it, with all that it is working on.
+    /// Takes the server down; its requests in progress get no answer.
     pub fn crash(&self) {
         self.inner.set_online(false);
     }
 
-    /// Whether it runs.
+    /// Whether the server is up.
     pub fn is_up(&self) -> bool {
         self.inner.switch.get().is_some_and(|up| *up.borrow())
     }
 
-    /// Starts it again after its end, as another life.
+    /// Starts the server again after a crash, as the incarnation with this id.
     pub fn restart(&self, incarnation: &str) {
         incarnation.clone_into(&mut lock(&self.inner.incarnation));
         self.inner.set_online(true);
     }
 
-    /// Sets what a request takes from now on.
+    /// Sets the time that a request takes from now on.
     pub fn set_service_time(&self, service_time: Millis) {
         *lock(&self.inner.service_time) = service_time;
     }
 
-    /// Requests that it works on now.
+    /// The number of requests in progress.
     pub fn open_requests(&self) -> u32 {
         self.inner.open_requests.load(Ordering::Relaxed)
     }
 
-    /// How often it ran the request called `id`.
+    /// How many times the request with this id was run.
     pub fn runs_of(&self, id: &str) -> usize {
         let runs = lock(&self.inner.runs);
         runs.iter().filter(|(run, _)| run == id).count()
     }
 
-    /// How many requests it ran whose ids begin with `prefix`.
+    /// The number of runs of requests whose ids begin with `prefix`.
     pub fn runs_with_prefix(&self, prefix: &str) -> usize {
         let runs = lock(&self.inner.runs);
         runs.iter()
@@ -172,18 +175,18 @@
             .count()
     }
 
-    /// Who asked for the requests that it ran.
+    /// The identity headers of all requests that were run.
     pub fn identities(&self) -> Vec<RequestIdentity> {
         lock(&self.inner.identities).clone()
     }
 
-    /// All requests that it ran.
+    /// The number of runs of all requests.
     pub fn run_count(&self) -> usize {
         lock(&self.inner.runs).len()
     }
 }
 
-/// Counts a request as open until it is dropped.
+/// Decrements the count of open requests when it is dropped.
 struct OpenRequest<'a>(&'a AtomicU32);
 
 impl Drop for OpenRequest<'_> {
@@ -193,7 +196,7 @@
 }
 
 impl Inner {
-    /// Ends the server after `work`, whether the request's caller waits or not.
+    /// Takes the server down after `service_time`, even if the caller disconnects before.
     fn crash_after(self: &Arc<Self>, service_time: Millis) {
         let server = self.clone();
         tokio::spawn(async move {
--- a/standins/src/site/rows.rs
+++ b/standins/src/site/rows.rs
@@ -1,32 +1,34 @@
-//! The rows of the store, without the wire.
+//! The store's rows and their history, without the HTTP interface.
 
 use std::collections::BTreeMap;
 
-/// Table, part and key.
+/// The table, part and key that identify a row.
 pub type RowKey = (String, String, String);
 
-/// One change, for the feed.
+/// A row as it was written or removed at a revision.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub key: RowKey,
     pub revision: u64,
-    /// The new value in base64; `None` for a removed row.
+    /// The value in base64; `None` for a removed row.
     pub value: Option<String>,
 }
 
-/// Rows with their revisions, and the changes that are still kept.
+/// The current rows with their revisions, and the recent changes.
 #[derive(Debug, Default)]
 pub struct Rows {
     history: Vec<Change>,
-    /// Changes up to this revision are no longer kept.
+    /// Changes up to and including this revision are no longer in `history`.
     forgotten_to: u64,
+    /// The revision of the latest transaction.
     pub revision: u64,
+    /// Value in base64 and revision of each row.
     current: BTreeMap<RowKey, (String, u64)>,
 }
 
 impl Rows {
-    /// Applies all changes at one new revision, or tells the expected rows as
-    /// they are when one has another revision than expected.
+    /// Applies all changes at one new revision. If any row has another revision than
+    /// `expected`, changes nothing and returns those of the expected rows that exist.
     pub fn transact(
         &mut self,
         expected: &[(RowKey, u64)],
@@ -58,7 +60,7 @@
         Ok(self.revision)
     }
 
-    /// The row called `key`.
+    /// The current row with this key, if there is one.
     pub fn row(&self, key: &RowKey) -> Option<Change> {
         self.current.get(key).map(|(value, revision)| Change {
             key: key.clone(),
@@ -67,7 +69,7 @@
         })
     }
 
-    /// The rows of a part from a key on, and whether more than `most` follow.
+    /// At most `limit` rows of a part, beginning with key `from`, and whether there are more.
     pub fn list(&self, table: &str, part: &str, from: &str, limit: usize) -> (Vec<Change>, bool) {
         let first = (table.to_owned(), part.to_owned(), from.to_owned());
         let within = |key: &RowKey| key.0 == table && key.1 == part;
@@ -78,12 +80,12 @@
         (rows.filter_map(|key| self.row(key)).collect(), more)
     }
 
-    /// The rows of a part, in all tables.
+    /// The number of rows in a part, over all tables.
     pub fn rows_in_part(&self, part: &str) -> usize {
         self.current.keys().filter(|key| key.1 == part).count()
     }
 
-    /// The parts of a table.
+    /// The names of a table's parts.
     pub fn parts(&self, table: &str) -> Vec<String> {
         let keys = self.current.keys().filter(|key| key.0 == table);
         let mut parts: Vec<String> = keys.map(|key| key.1.clone()).collect();
@@ -91,8 +93,8 @@
         parts
     }
 
-    /// The changes of a table after a revision; `None` when some of them are
-    /// no longer kept.
+    /// The changes of a table after a revision; `None` if some of them have been
+    /// forgotten.
     pub fn changes(&self, table: &str, after: u64) -> Option<Vec<Change>> {
         if after < self.forgotten_to {
             return None;
@@ -101,7 +103,7 @@
         Some(self.history.iter().filter(wanted).cloned().collect())
     }
 
-    /// Forgets all changes made so far.
+    /// Forgets the history of changes; current rows stay.
     pub fn forget_history(&mut self) {
         self.forgotten_to = self.revision;
         self.history.clear();
--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The store over HTTP.
+//! A stand-in for the users' store, with its HTTP interface.
 
 use super::{
     Outage,
@@ -37,7 +37,7 @@
 };
 use tokio::sync::watch;
 
-/// A running store; dropping it ends it.
+/// A running store; dropping it stops the server.
 pub struct Store {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -45,14 +45,18 @@
 }
 
 struct Inner {
+    /// Counts up to wake held feed requests, after a write or a change of the faults.
     changed: watch::Sender<u64>,
     clock: Clock,
     faults: Mutex<StoreFaults>,
+    /// GET requests received.
     reads: AtomicU64,
     rows: Mutex<Rows>,
+    /// Transactions received.
     writes: AtomicU64,
 }
 
+/// The body of a transaction request.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireTransaction {
@@ -61,6 +65,7 @@
     set_keys: Vec<WireKey>,
 }
 
+/// A row in a transaction: `value` if the row is set, `ver` if its revision is expected.
 #[derive(Deserialize)]
 struct WireKey {
     key: String,
@@ -79,7 +84,7 @@
 }
 
 impl Store {
-    /// Opens an empty store on a free port.
+    /// Starts an empty store on a free port.
     pub async fn open() -> io::Result<Self> {
         let inner = Arc::new(Inner {
             changed: watch::Sender::new(0),
@@ -99,52 +104,52 @@
         })
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the store's faults from now on.
     pub fn set_faults(&self, faults: StoreFaults) {
         *lock(&self.inner.faults) = faults;
         self.inner.notify_feeds();
     }
 
-    /// Forgets the history of changes.
+    /// Forgets the history of changes; feeds that need it are answered with 410.
     pub fn forget_history(&self) {
         lock(&self.inner.rows).forget_history();
     }
 
-    /// Writes a row as the operators and the backend servers do, whatever goes
-    /// wrong; `None` removes it.
+    /// Writes a row with a JSON value as operators and backend servers do, regardless of
+    /// the faults; `None` removes the row.
     pub fn put(&self, table: &str, key: &str, value: Option<&serde_json::Value>) {
         let value = value.map(|value| BASE64_STANDARD.encode(value.to_string()));
         self.write(table, "", key, value);
     }
 
-    /// Writes a row whose value is `value` as it stands, base64 or not.
+    /// Writes a row with `value` unchanged, even if it isn't valid base64.
     pub fn put_raw(&self, table: &str, key: &str, value: &str) {
         self.write(table, "", key, Some(value.to_owned()));
     }
 
-    /// Writes a row of a part as another runner or gateway does.
+    /// Writes a row of a part as another runner or gateway would.
     pub fn put_row(&self, table: &str, part: &str, key: &str, value: &[u8]) {
         self.write(table, part, key, Some(BASE64_STANDARD.encode(value)));
     }
 
     fn write(&self, table: &str, part: &str, key: &str, value: Option<String>) {
         let row_key = (table.to_owned(), part.to_owned(), key.to_owned());
-        // Without a condition it always holds.
+        // A transaction without expected revisions can't fail.
         let _ = lock(&self.inner.rows).transact(&[], vec![(row_key, value)]);
         self.inner.notify_feeds();
     }
 
-    /// The rows of a part, in all tables.
+    /// The number of rows in a part, over all tables.
     pub fn rows_of(&self, part: &str) -> usize {
         lock(&self.inner.rows).rows_in_part(part)
     }
 
-    /// The calls that asked for rows so far.
+    /// The number of GET requests so far, answered or not.
     pub fn reads(&self) -> u64 {
         self.inner.reads.load(Ordering::Relaxed)
     }
 
-    /// The calls that asked for a write so far.
+    /// The number of transactions executed or delayed so far.
     pub fn writes(&self) -> u64 {
         self.inner.writes.load(Ordering::Relaxed)
     }
@@ -193,14 +198,14 @@
                 let after = get("startAfter").parse().unwrap_or(0);
                 let max_wait = get("waitMs").parse().unwrap_or(0);
                 let found = self.feed(get("table"), after, Millis(max_wait)).await;
-                // A store that went away meanwhile answers no held call.
+                // An outage that began meanwhile also applies to held requests.
                 Ok(self.outage_answer().await?.unwrap_or(found))
             }
             _ => Ok(status(404)),
         }
     }
 
-    /// What the store answers while it is away; `None` while it is not.
+    /// The answer during an outage; `None` if there is no outage.
     async fn outage_answer(&self) -> io::Result<Option<Answer>> {
         let outage = lock(&self.faults).outage;
         match outage {
--- a/standins/src/site/test_site.rs
+++ b/standins/src/site/test_site.rs
@@ -1,4 +1,5 @@
-//! A whole site in one process: store, servers, gateways and runners.
+//! A whole site in one process: stand-ins for the store and the servers, and real gateways
+//! and runners.
 
 use super::{
     Batch,
@@ -25,17 +26,19 @@
     time::Duration, //
 };
 
-/// How many of each a scene has.
+/// The size and the settings of a test site.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteOptions {
+    /// The number of engines, and of runners.
     pub engines: usize,
     pub gateways: usize,
+    /// The number of plain servers.
     pub plain: usize,
-    /// How long a batch can be read.
+    /// How long a batch can be read, from its acceptance.
     pub retention: Millis,
-    /// Within which time of its removal a key must stop working.
+    /// How long a removed API key may still work; `None` for no limit.
     pub revocation: Option<Millis>,
-    /// Where use is reported.
+    /// The gateways' settings for usage reports; `None` for no reports.
     pub usage: Option<UsageSettings>,
 }
 
@@ -52,32 +55,33 @@
     }
 }
 
-/// A running site; dropping it ends all of it.
+/// A running site; dropping it stops all of its parts.
 pub struct TestSite {
     pub client: Client,
     pub clock: Clock,
     pub engines: Vec<Engine>,
     pub gateways: Vec<Gateway>,
     pub plain: Vec<PlainServer>,
-    /// One for each engine; `None` while it is stopped.
+    /// The runner of each engine; `None` while it is stopped.
     pub runners: Vec<Option<Runner>>,
     retention: Millis,
     revocation: Option<Millis>,
     usage: Option<UsageSettings>,
     pub store: Store,
+    /// The version of the latest configuration.
     version: u64,
-    /// The workspaces and their keys; null where callers need none.
+    /// The workspaces and their keys in the configuration; null if callers need no key.
     workspaces: serde_json::Value,
 }
 
-/// How long the site may take to come up.
+/// How long the gateways may take to become ready.
 const READY_TIMEOUT: Millis = Millis(8_000);
 
-/// How long a request may take.
+/// How long the client waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl TestSite {
-    /// Opens a site and waits until its gateways are ready and its runners work.
+    /// Starts a site and waits until its gateways are ready.
     pub async fn open(options: SiteOptions) -> io::Result<Self> {
         let mut site = Self::open_unconfigured(options).await?;
         site.put_config(serde_json::json!([]));
@@ -85,7 +89,7 @@
         Ok(site)
     }
 
-    /// Opens a site to which no configuration was given yet.
+    /// Starts a site without a configuration, and doesn't wait for it.
     pub async fn open_unconfigured(options: SiteOptions) -> io::Result<Self> {
         let store = Store::open().await?;
         let mut engines = Vec::new();
@@ -122,7 +126,7 @@
         Ok(site)
     }
 
-    /// Starts the runner beside an engine.
+    /// Starts the runner of an engine.
     pub fn start_runner(&mut self, index: usize) -> io::Result<()> {
         let settings = RunnerSettings {
             common: self.common(&format!("runner-{index}")),
@@ -142,7 +146,8 @@
         self.wait_ready().await
     }
 
-    /// The same for one that reaches the store at another address.
+    /// Starts another gateway that uses the store at this address, and waits until it is
+    /// ready.
     pub async fn start_gateway_via(&mut self, store: SocketAddr) -> io::Result<()> {
         let mut settings = self.gateway_settings(self.gateways.len());
         settings.common.store = store;
@@ -151,7 +156,7 @@
         self.wait_ready().await
     }
 
-    /// Announces all servers as ready.
+    /// Announces all engines and plain servers as ready.
     pub fn announce_all(&self) {
         for engine in &self.engines {
             self.announce_engine(engine, "ready");
@@ -161,25 +166,25 @@
         }
     }
 
-    /// Announces an engine.
+    /// Announces an engine with the given state.
     pub fn announce_engine(&self, engine: &Engine, state: &str) {
         announce_engine(&self.store, engine, state);
     }
 
-    /// Announces a server.
+    /// Announces a server of `service` under `id` with the given state.
     pub fn announce(&self, id: &str, service: &str, address: SocketAddr, state: &str) {
         let entry = server_entry(service, address, state);
         self.store.put("servers", id, Some(&entry));
     }
 
-    /// Writes a configuration that is newer than the one before: the routes
-    /// that every scene has, and `more`.
+    /// Writes a newer configuration, with the routes that every site has and those in
+    /// `more`, a JSON array.
     pub fn put_config(&mut self, more: serde_json::Value) {
         self.version += 3;
         put_config(&self.store, self.version, &more, &self.workspaces);
     }
 
-    /// Writes a newer configuration with these workspaces: names and keys.
+    /// Writes a newer configuration with these workspaces, each with its name and its API keys.
     pub fn put_workspaces(&mut self, workspaces: &[(&str, &[&str])]) {
         let each = workspaces
             .iter()
@@ -188,13 +193,13 @@
         self.put_config(serde_json::json!([]));
     }
 
-    /// Names a weight version as a trainer does.
+    /// Writes a named weight version as a trainer does; engines then load it.
     pub fn name_version(&self, version: u64) {
         let named = serde_json::json!({"model": "m0", "version": version});
         self.store.put("op", "version/m0", Some(&named));
     }
 
-    /// Sends a request to a gateway.
+    /// Sends a request to a gateway; `None` if there was no answer.
     pub async fn send(
         &self,
         gateway: usize,
@@ -212,7 +217,7 @@
         answer.await.ok()
     }
 
-    /// Submits a batch; the status, or `None` when there was no answer.
+    /// Submits a batch; returns the status, or `None` if there was no answer.
     pub async fn submit(&self, gateway: usize, batch: &Batch) -> Option<u16> {
         let path = format!("/roll/{}", batch.id);
         let headers = [("x-attempt-id", batch.id.as_str())];
@@ -220,7 +225,7 @@
         Some(answer.await?.status.as_u16())
     }
 
-    /// Reads a page of results.
+    /// Reads a page of results, beginning with position `from`; `None` unless the status is 200.
     pub async fn read_page(
         &self,
         gateway: usize,
@@ -233,7 +238,8 @@
         (answer.status == 200).then(|| ResultPage::read(&answer))
     }
 
-    /// Reads results until `count` are there or `within` has passed.
+    /// Reads results through all gateways in turn until there are `count` or `within` has
+    /// passed.
     pub async fn read_results(
         &self,
         batch: &Batch,
@@ -252,7 +258,7 @@
         results
     }
 
-    /// Ends a batch; the status.
+    /// Ends a batch; returns the status, or `None` if there was no answer.
     pub async fn end_batch(&self, gateway: usize, batch: &Batch) -> Option<u16> {
         let path = format!("/redwingpond/lots/{}", batch.id);
         let answer = self.send(gateway, Method::DELETE, &path, &[], "").await?;
@@ -267,7 +273,9 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        Err(io::Error::other("the site did not come up"))
+        Err(io::Error::other(
+            "the gateways did not become ready in time",
+        ))
     }
 
     async fn is_ready(&self) -> bool {
@@ -311,14 +319,14 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Writes an engine's announcement.
+/// Announces an engine with the given state in the store.
 pub fn announce_engine(store: &Store, engine: &Engine, state: &str) {
     let mut entry = server_entry("engines", engine.address, state);
     entry["born"] = engine.started_at().0.into();
     store.put("servers", &engine.id, Some(&entry));
 }
 
-/// A server's announcement.
+/// The announcement of a server, as JSON.
 pub fn server_entry(service: &str, address: SocketAddr, state: &str) -> serde_json::Value {
     serde_json::json!({
         "service": service,
@@ -332,8 +340,8 @@
     })
 }
 
-/// Writes the configuration `version`: the routes that every site of the tests
-/// has, and `more`. Only scorers' requests need no key where there are `workspaces`.
+/// Writes configuration `version` with the routes that every test site has and those in
+/// `more`. If `workspaces` is not null, all routes but the scorers' need an API key.
 pub fn put_config(
     store: &Store,
     version: u64,
--- a/standins/src/site/trainer.rs
+++ b/standins/src/site/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer's batches and what it reads of them.
+//! Batches as a trainer submits them, and results as it reads them.
 
 use crate::client::Answered;
 use base64::{
@@ -6,21 +6,24 @@
     prelude::BASE64_STANDARD, //
 };
 
-/// A batch to be submitted: groups of items, each with its number of events.
+/// A batch of groups of items; the stand-in engines make a given number of events of each
+/// item.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// The events of each item, by group.
+    /// The number of events of each item, by group.
     pub groups: Vec<Vec<u64>>,
     pub id: String,
+    /// The lowest weight version that may make the items' results.
     pub least_version: u64,
     pub model: String,
     /// Whether each item has a scorer.
     pub scored: bool,
+    /// The number of the training step.
     pub step: u64,
 }
 
 impl Batch {
-    /// A batch of `groups` groups of `size` items with `events` events each.
+    /// A scored batch of `groups` groups of `size` items with `events` events each.
     pub fn new(id: &str, groups: usize, size: usize, events: u64) -> Self {
         Self {
             groups: vec![vec![events; size]; groups],
@@ -32,7 +35,7 @@
         }
     }
 
-    /// The ids of its items.
+    /// The ids of all items, group by group.
     pub fn item_ids(&self) -> Vec<String> {
         let sizes = self.groups.iter().map(Vec::len);
         let numbered = sizes.enumerate();
@@ -42,12 +45,12 @@
             .collect()
     }
 
-    /// The id of an item.
+    /// The id of the item at position `item` of a group.
     pub fn item_id(&self, group: usize, item: usize) -> String {
         format!("{}x{group}x{item}", self.id)
     }
 
-    /// The whole text that its engine makes of an item.
+    /// The complete text that an engine makes of the item with this id.
     pub fn expected_text(&self, item: &str) -> String {
         let mut numbers = item.rsplit('x').map(|part| part.parse().unwrap_or(0));
         let index: usize = numbers.next().unwrap_or(0);
@@ -57,7 +60,7 @@
         lines.join("\n")
     }
 
-    /// The batch as it is sent.
+    /// The JSON body of the batch's submission.
     pub fn body(&self) -> String {
         let mut items = Vec::new();
         for (group, events) in self.groups.iter().enumerate() {
@@ -93,26 +96,30 @@
     }
 }
 
-/// One result as a trainer reads it.
+/// The result of one item as a trainer reads it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ItemResult {
     pub id: String,
     pub score: Option<String>,
+    /// `succeeded` or `terminated`.
     pub state: String,
     pub text: String,
+    /// The weight versions that made the text.
     pub versions: Vec<u64>,
 }
 
 /// A page of results.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ResultPage {
+    /// The position at which the next page begins.
     pub next: usize,
     pub results: Vec<ItemResult>,
+    /// The number of items in the batch.
     pub total: usize,
 }
 
 impl ResultPage {
-    /// Reads a page from an answer.
+    /// Parses a page from an answer's JSON body.
     pub fn read(answer: &Answered) -> Self {
         let json = answer.json();
         let results = json["results"].as_array().cloned().unwrap_or_default();
--- a/standins/src/site/usage_collector.rs
+++ b/standins/src/site/usage_collector.rs
@@ -1,4 +1,6 @@
-//! The platform's side of duties that one instance does for all: it takes reports of use.
+//! A stand-in for the platform's endpoint that receives usage reports.
+//!
+//! At any time one gateway, the holder of a lease, reports for all gateways.
 
 use super::plain::lock;
 use crate::server::Server;
@@ -19,31 +21,35 @@
     sync::{Arc, Mutex}, //
 };
 
-/// How the platform behaves.
+/// How the collector misbehaves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CollectorFault {
-    /// It turns calls away.
+    /// Answers 429 and records nothing.
     Busy,
-    /// It takes calls and does not answer.
+    /// Records reports but never answers.
     Lost,
     #[default]
     None,
-    /// It cuts every connection and takes nothing.
+    /// Closes every connection and records nothing.
     Reset,
 }
 
-/// A report that the platform took.
+/// A usage report that the collector has received.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UsageReport {
-    /// When it came, by the platform's clock.
+    /// When the report arrived, by the collector's clock.
     pub at: Millis,
+    /// Requests by workspace.
     pub counts: BTreeMap<String, u64>,
+    /// The fencing token of the holder's lease.
     pub fence: u64,
+    /// The instance that sent the report.
     pub holder: String,
+    /// The number of the time window that the report covers.
     pub window: u64,
 }
 
-/// A running platform; dropping it ends it.
+/// A running collector; dropping it stops the server.
 pub struct UsageCollector {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -57,7 +63,7 @@
 }
 
 impl UsageCollector {
-    /// Opens it on a free port.
+    /// Starts a collector on a free port.
     pub async fn open() -> io::Result<Self> {
         let inner = Arc::new(Inner {
             reports: Mutex::default(),
@@ -74,17 +80,17 @@
         })
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets the collector's behaviour from now on.
     pub fn set_fault(&self, fault: CollectorFault) {
         *lock(&self.inner.fault) = fault;
     }
 
-    /// All that it took, in order.
+    /// All received reports, in order of arrival.
     pub fn reports(&self) -> Vec<UsageReport> {
         lock(&self.inner.reports).clone()
     }
 
-    /// What was reported of each window, at first.
+    /// The counts of the first report for each window.
     pub fn counts_by_window(&self) -> BTreeMap<u64, BTreeMap<String, u64>> {
         let mut windows = BTreeMap::new();
         for report in self.reports() {
@@ -93,8 +99,8 @@
         windows
     }
 
-    /// Where a rule of the platform was broken: two reports of one window that differ, a
-    /// number that falls, or one that two holders use.
+    /// Violations of the platform's rules: two reports for one window that differ, a
+    /// fencing token that decreases, or one that two holders use.
     pub fn violations(&self) -> Vec<String> {
         let windows = self.counts_by_window();
         let mut violations = Vec::new();
@@ -102,15 +108,18 @@
         let mut highest = 0;
         for report in self.reports() {
             if report.fence < highest {
-                violations.push(format!("the number {highest} falls to {}", report.fence));
+                violations.push(format!(
+                    "fencing token decreased from {highest} to {}",
+                    report.fence
+                ));
             }
             highest = highest.max(report.fence);
             let holder = holders.entry(report.fence).or_insert(report.holder.clone());
             if *holder != report.holder {
-                violations.push(format!("two holders have the number {}", report.fence));
+                violations.push(format!("two holders use fencing token {}", report.fence));
             }
             if windows.get(&report.window) != Some(&report.counts) {
-                violations.push(format!("two reports of window {} differ", report.window));
+                violations.push(format!("two reports for window {} differ", report.window));
             }
         }
         violations
