--- a/standins/src/site/test_site.rs
+++ b/standins/src/site/test_site.rs
@@ -34,7 +34,7 @@
     pub gateways: usize,
     /// The number of plain servers.
     pub plain: usize,
-    /// How long a batch can be read, from its acceptance.
+    /// How long a batch stays readable after its submission.
     pub retention: Millis,
     /// How long a removed API key may still work; `None` for no limit.
     pub revocation: Option<Millis>,
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of plain services, and what they may never see.
+//! Calls of plain services, and the checks of their answers and of what servers received.
 
 use super::keys::{
     Keys,
@@ -18,39 +18,40 @@
     time::Duration, //
 };
 
-/// One call and its answer; `None` when there was none.
+/// One call and its answer; `body` and `status` are `None` if there was no answer.
 #[derive(Clone, Debug)]
 struct Call {
-    /// When it was sent and when it was over.
+    /// When the call was sent and when it ended.
     span: (Millis, Millis),
     body: Option<bytes::Bytes>,
     id: String,
     key: String,
+    /// Whether the route allows at most one run.
     once: bool,
     status: Option<u16>,
 }
 
-/// Who calls, and with which key.
+/// The request id and the API key that a call is sent with.
 #[derive(Clone, Debug)]
 pub(super) struct Credentials {
     pub(super) id: String,
     pub(super) key: String,
 }
 
-/// The body of the calls that end each server that runs them.
+/// The body of calls that crash each server that runs them.
 pub(super) const FATAL_BODY: &str = "fatal";
 
-/// All calls so far.
+/// The calls made so far, without those that crash their servers.
 #[derive(Debug, Default)]
 pub(super) struct Callers {
     calls: Vec<Call>,
 }
 
-/// How long a caller waits.
+/// How long a caller waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Callers {
-    /// Makes one call.
+    /// Makes one call and records its answer.
     pub(super) async fn call(
         &mut self,
         client: &Client,
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Makes the call that ends its server; nobody looks at its answer.
+    /// Makes a call that crashes the servers that run it, and ignores the answer.
     pub(super) async fn call_fatal(
         client: &Client,
         gateway: SocketAddr,
@@ -105,8 +106,8 @@
         let _ = answer.await;
     }
 
-    /// What was broken: a call that ran twice, a refusal that was not true, an
-    /// answer of another call.
+    /// Returns the calls that ran twice though they may run only once, ran though they were
+    /// refused, got the answer of another call, or were told that there is no route.
     pub(super) fn violations(&self, servers: &[PlainServer]) -> Vec<String> {
         let mut violations = Vec::new();
         for call in &self.calls {
@@ -115,33 +116,36 @@
                 violations.push(format!("call {} ran {runs} times", call.id));
             }
             if call.once && call.status == Some(503) && runs > 0 {
-                violations.push(format!("call {} was refused and ran", call.id));
+                violations.push(format!("call {} ran though it was refused", call.id));
             }
             let own = format!("body of {}", call.id);
             if call.status == Some(200) && call.body.as_deref() != Some(own.as_bytes()) {
-                violations.push(format!("call {} got another answer", call.id));
+                violations.push(format!("call {} got the answer of another call", call.id));
             }
             if call.status == Some(404) {
-                violations.push(format!("call {} was told that it has no route", call.id));
+                violations.push(format!(
+                    "call {} was answered 404 though its route exists",
+                    call.id
+                ));
             }
         }
         violations
     }
 
-    /// What was broken of keys: one that reached a server, a request that ran in
-    /// another's name, a key that worked after its time or was turned away in its time.
+    /// Returns the keys that reached a server, the requests that ran under a wrong
+    /// workspace, and the calls that ran with a removed key or were denied with a valid one.
     pub(super) fn key_violations(&self, servers: &[PlainServer], keys: &Keys) -> Vec<String> {
         let mut violations = Vec::new();
         for identity in servers.iter().flat_map(PlainServer::identities) {
             let request = &identity.request;
             if identity.key.is_some() {
-                violations.push(format!("a server saw the key of call {request}"));
+                violations.push(format!("a server received the key of call {request}"));
             }
             let call = self.calls.iter().find(|call| call.id == *request);
             let workspace = call.and_then(|call| call.key.split('-').next());
             if call.is_some() && identity.workspace.as_deref() != workspace {
                 let workspace = identity.workspace;
-                violations.push(format!("call {request} ran in the name of {workspace:?}"));
+                violations.push(format!("call {request} ran under workspace {workspace:?}"));
             }
         }
         for call in &self.calls {
@@ -149,23 +153,17 @@
             let removed = keys.removed_at(&call.key);
             let runs: usize = servers.iter().map(|server| server.runs_of(&call.id)).sum();
             if removed.is_some_and(|removed| sent >= removed + REVOCATION_LIMIT) && runs > 0 {
-                violations.push(format!(
-                    "call {} ran with a key that was taken away",
-                    call.id
-                ));
+                violations.push(format!("call {} ran with a removed key", call.id));
             }
             let was_valid = removed.is_none_or(|removed| ended < removed);
             if was_valid && call.status == Some(401) {
-                violations.push(format!(
-                    "call {} was turned away with a key that is held",
-                    call.id
-                ));
+                violations.push(format!("call {} was denied with a valid key", call.id));
             }
         }
         violations
     }
 
-    /// Calls made, and calls answered with success.
+    /// The number of calls made, and of calls answered with 200.
     pub(super) fn counts(&self) -> (usize, usize) {
         let served = self.calls.iter().filter(|call| call.status == Some(200));
         (self.calls.len(), served.count())
--- a/standins/src/soak/command.rs
+++ b/standins/src/soak/command.rs
@@ -12,20 +12,20 @@
     process::ExitCode, //
 };
 
-/// Runs the real gateways and runners as processes among stand-ins, injects the
-/// faults that the seed draws, and checks what callers, trainers and servers
-/// see. Exits with 1 if a promise was broken; the files are kept then.
+/// Runs real gateways and runners as processes among stand-ins, injects faults drawn
+/// from the seed, and checks what callers, trainers and servers observe. If a check
+/// fails, exits with 1 and keeps the settings and logs.
 #[derive(FromArgs)]
 struct SoakCommand {
-    /// how many seeds are run, from `--seed` on (default: 1)
+    /// number of consecutive seeds to run, beginning with `--seed` (default: 1)
     #[argh(option, default = "1")]
     count: u64,
 
-    /// where settings and logs are written (default: a folder for temporary files)
+    /// folder for settings and logs (default: the system's folder for temporary files)
     #[argh(option)]
     folder: Option<PathBuf>,
 
-    /// how long faults are injected for each seed, in seconds (default: 10)
+    /// how long faults are injected per seed, in seconds (default: 10)
     #[argh(option, default = "10")]
     seconds: u64,
 
@@ -34,7 +34,7 @@
     seed: u64,
 }
 
-/// Runs the program; returns its exit code.
+/// Runs the program and returns its exit code.
 pub fn soak_main() -> ExitCode {
     let command: SoakCommand = match parse() {
         Ok(command) => command,
--- a/standins/src/soak/fault.rs
+++ b/standins/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! What the soak does to the site, drawn from its seed.
+//! The faults that the soak injects into the site, drawn from its seed.
 
 use super::keys::WORKSPACES;
 use crate::{
@@ -8,67 +8,71 @@
 use rand::Rng;
 use redwingpond::base::Millis;
 
-/// How many of each a soak has.
+/// The number of engines, and of runners.
 pub(super) const ENGINES: usize = 4;
+
+/// The number of gateways.
 pub(super) const GATEWAYS: usize = 3;
+
+/// The number of plain servers.
 pub(super) const PLAIN: usize = 3;
 
-/// One fault. Processes are counted gateways first, then runners.
+/// One fault. Processes are numbered gateways first, then runners.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
-    /// The platform that takes reports of use misbehaves for a while.
+    /// The collector of usage reports misbehaves for `duration`.
     UsageCollector {
         fault: CollectorFault,
         duration: Millis,
     },
-    /// The engine cuts its streams within events for a while.
+    /// The engine cuts its streams off in the middle of an event for `duration`.
     CutStreams { engine: usize, duration: Millis },
-    /// The engine is gone for a while.
+    /// The engine is down for `duration`.
     EngineDown { engine: usize, duration: Millis },
-    /// A caller sends the call that ends each server that runs it, at one gateway
-    /// after the other.
+    /// A caller keeps sending a call that crashes each server that runs it, to random
+    /// gateways, for `duration`.
     FatalCalls { duration: Millis },
-    /// A trainer submits a batch with an item that ends each engine that runs it.
+    /// A trainer submits a batch with an item that crashes each engine that runs it.
     FatalItem,
-    /// The store forgets its history.
+    /// The store forgets its history of changes.
     ForgetHistory,
-    /// The operators take a workspace's key away and give it another one.
+    /// The operators replace a workspace's key with a new one.
     RotateKey { workspace: usize },
-    /// SIGHUP.
+    /// The process receives SIGHUP.
     Hangup { process: usize },
-    /// The engine starts again under its id, at once; what it ran is silent.
+    /// The engine restarts at once under the same id; its runs go silent.
     EngineRestart { engine: usize },
-    /// SIGKILL; it starts again after the pause.
+    /// The process receives SIGKILL and is started again after `pause`.
     Kill { process: usize, pause: Millis },
-    /// SIGSTOP, and SIGCONT after a while.
+    /// The process receives SIGSTOP, and SIGCONT after `duration`.
     Pause { process: usize, duration: Millis },
-    /// The plain server misbehaves for a while.
+    /// The plain server misbehaves for `duration`.
     PlainServer {
         fault: PlainFault,
         duration: Millis,
         server: usize,
     },
-    /// The process's connections to the store go silent; new ones work.
+    /// The process's current connections to the store go silent; new ones work.
     Silence { process: usize, silence: Silence },
-    /// The store misbehaves for a while.
+    /// The store misbehaves for `duration`.
     Store {
         faults: StoreFaults,
         duration: Millis,
     },
-    /// SIGTERM; it starts again once it has ended.
+    /// The process receives SIGTERM and is started again once it has exited.
     Stop { process: usize },
-    /// Another writer's entries stand among the announcements for a while, with
-    /// the engine's address.
+    /// For `duration`, entries by another writer stand among the servers' announcements,
+    /// some of them with the engine's address.
     ForeignEntries { engine: usize, duration: Millis },
 }
 
-/// Draws a plan for `duration`: faults in series that overlap.
+/// Draws the times and faults of a soak that lasts `duration`; faults may overlap.
 pub(super) fn draw_faults(rng: &mut impl Rng, duration: Millis) -> Vec<(Millis, Fault)> {
     let mut plan = Vec::new();
     let mut at = 300;
     while at < duration.0 {
         plan.push((Millis(at), draw_fault(rng)));
-        // A third of them follow on the last one's heels.
+        // A third of the faults follow the previous one within 80 ms.
         at += match rng.random_range(0..3) {
             0 => rng.random_range(10..80),
             _ => rng.random_range(300..1_200),
@@ -77,8 +81,8 @@
     plan
 }
 
-/// Draws changes of keys and faults of the platform that takes reports. They come
-/// beside the others, whose plans stay what they were for each seed.
+/// Draws replacements of keys and faults of the usage collector. They have a generator of
+/// their own, so that each seed keeps its plan of the other faults.
 pub(super) fn draw_duty_faults(rng: &mut impl Rng, duration: Millis) -> Vec<(Millis, Fault)> {
     let mut plan = Vec::new();
     let mut at = rng.random_range(300..1_500);
--- a/standins/src/soak/keys.rs
+++ b/standins/src/soak/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the soak's workspaces, which the operators change while it runs.
+//! The API keys of the soak's workspaces, which are replaced while the soak runs.
 
 use crate::site::{
     Store,
@@ -6,24 +6,26 @@
 };
 use redwingpond::base::Millis;
 
-/// The workspaces; trainers belong to the first.
+/// The names of the workspaces; all trainers belong to the first.
 pub(super) const WORKSPACES: [&str; 2] = ["foam", "springs"];
 
-/// Within which time of its removal a key must stop working.
+/// How long a removed key may still work.
 pub(super) const REVOCATION_LIMIT: Millis = Millis(2_000);
 
-/// All keys so far.
+/// The current and removed keys of all workspaces.
 pub(super) struct Keys {
-    /// The key of each workspace.
+    /// The current key of each workspace.
     current: [String; WORKSPACES.len()],
+    /// The number of replacement keys so far; numbers their texts.
     issued: u64,
-    /// Keys that were taken away, and when.
+    /// The removed keys, and when each was removed.
     removed: Vec<(String, Millis)>,
+    /// The version of the latest configuration.
     version: u64,
 }
 
 impl Keys {
-    /// Gives each workspace its first key, in the first configuration.
+    /// Gives each workspace its first key and writes the first configuration.
     pub(super) fn open(store: &Store) -> Self {
         let mut keys = Self {
             current: WORKSPACES.map(|name| format!("{name}-key-0")),
@@ -35,32 +37,33 @@
         keys
     }
 
-    /// Takes the key of `workspace` away and gives it another one.
+    /// Replaces the key of `workspace` with a new one.
     pub(super) fn rotate(&mut self, store: &Store, workspace: usize, now: Millis) {
         self.issued += 1;
         let next = format!("{}-key-{}", WORKSPACES[workspace], self.issued);
         let old = std::mem::replace(&mut self.current[workspace], next);
         self.write_config(store);
-        // From when the store has taken it.
+        // The removal counts from the write of the new configuration.
         self.removed.push((old, now));
     }
 
-    /// The key of `workspace`.
+    /// The current key of `workspace`.
     pub(super) fn current(&self, workspace: usize) -> &str {
         &self.current[workspace]
     }
 
-    /// The key that was taken away last.
+    /// The key that was removed last.
     pub(super) fn last_removed(&self) -> Option<&str> {
         self.removed.last().map(|(key, _)| key.as_str())
     }
 
-    /// When `key` was taken away.
+    /// When `key` was removed; `None` if it is valid.
     pub(super) fn removed_at(&self, key: &str) -> Option<Millis> {
         let found = self.removed.iter().find(|(removed, _)| removed == key);
         found.map(|(_, at)| *at)
     }
 
+    /// Writes a newer configuration with the current keys.
     fn write_config(&mut self, store: &Store) {
         self.version += 1;
         let named = WORKSPACES.iter().zip(&self.current);
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded soak: the real programs as processes among stand-ins, faults from
-//! outside, and the promises checked by what callers and servers see.
+//! A seeded soak test: real gateways and runners as processes among stand-ins, with faults
+//! injected from outside. It checks what callers, trainers and servers observe.
 
 mod callers;
 mod command;
--- a/standins/src/soak/process.rs
+++ b/standins/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! One of the real programs as a process.
+//! A real gateway or runner as a process.
 
 use super::keys::REVOCATION_LIMIT;
 use crate::relay::Relay;
@@ -16,23 +16,25 @@
     sync::atomic::{AtomicU32, Ordering}, //
 };
 
-/// A program, its settings, and its process while it runs. Dropping it ends the
-/// process that it started, and no other.
+/// A program with its settings, and its process while it runs. Dropping this kills only
+/// the process that it started itself.
 pub(super) struct Process {
+    /// `None` before the start and after the process has exited.
     child: Option<Child>,
     pub(super) name: String,
     program: PathBuf,
-    /// Where callers reach it; a runner has no such address.
+    /// The address for callers; `None` for a runner.
     pub(super) callers: Option<SocketAddr>,
-    /// Its way to the store.
+    /// The relay through which the process reaches the store.
     pub(super) relay: Relay,
+    /// The file with the process's settings.
     settings: PathBuf,
-    /// How often it was started.
+    /// How many times the process was started; numbers its log files.
     starts: u32,
 }
 
 impl Process {
-    /// Prepares a gateway in `folder`.
+    /// Prepares a gateway, without starting it, and writes its settings into `folder`.
     pub(super) async fn gateway(
         folder: &Path,
         number: usize,
@@ -49,7 +51,7 @@
         Self::new(folder, &name, store, &listen, &extra, Some(callers)).await
     }
 
-    /// Prepares a runner in `folder`.
+    /// Prepares a runner, without starting it, and writes its settings into `folder`.
     pub(super) async fn runner(
         folder: &Path,
         number: usize,
@@ -91,7 +93,7 @@
         })
     }
 
-    /// Starts the process, with its log beside its settings.
+    /// Starts the process; its log goes into the folder of its settings.
     pub(super) fn start(&mut self) -> io::Result<()> {
         self.starts += 1;
         let log = self.settings.with_extension(format!("{}.log", self.starts));
@@ -105,7 +107,7 @@
         Ok(())
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process is running.
     pub(super) fn signal(&mut self, signal: Signal) {
         if !self.is_running() {
             return;
@@ -117,11 +119,11 @@
         if let Some(pid) = pid
             && let Err(error) = kill_process(pid, signal)
         {
-            eprintln!("{}: {signal:?} was not sent: {error}", self.name);
+            eprintln!("{}: can't send {signal:?}: {error}", self.name);
         }
     }
 
-    /// Whether the process runs; reaps it when it has ended.
+    /// Whether the process is running; reaps it if it has exited.
     pub(super) fn is_running(&mut self) -> bool {
         let Some(child) = &mut self.child else {
             return false;
@@ -137,18 +139,20 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // It may have ended by itself just now.
+            // An error means that the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// The ports that processes listen at: below those that the system gives to
-/// outgoing connections, one of which could take the port of a process that is
-/// being started again.
+/// The range of ports that processes listen at. It lies below the ports that the system
+/// gives to outgoing connections, so that none of these takes the port of a process that is
+/// being restarted.
 const PORTS: std::ops::Range<u32> = 12_000..32_000;
 
+/// Finds a free port. The search begins at a port that depends on the soak's process id,
+/// so that concurrent soaks rarely meet.
 fn free_port() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let start = std::process::id().wrapping_mul(61);
--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One soak from its start to its verdict.
+//! Runs one soak and reports what it found.
 
 use super::{
     callers::{Callers, Credentials, FATAL_BODY},
@@ -40,62 +40,73 @@
     time::Duration, //
 };
 
-/// What a soak found.
+/// The result of a soak.
 #[derive(Debug, Default)]
 pub(super) struct SoakReport {
+    /// The number of accepted batches.
     pub(super) batches: usize,
+    /// The promises that were broken.
     pub(super) violations: Vec<String>,
+    /// The number of calls made, and of calls answered with 200.
     pub(super) calls: (usize, usize),
+    /// The number of injected faults.
     pub(super) faults: usize,
 }
 
-/// Something to be undone or done again later.
+/// An action that is due at a later time.
 enum Deferred {
     EndFault(Fault),
     RestartEngine(usize),
     RestartPlain(usize),
+    /// Starts the process once it has exited.
     StartProcess(usize),
 }
 
-/// The site and everything under way.
+/// The running site and the state of the soak.
 struct Soak {
+    /// Violations found so far, besides those that callers, batches and stand-ins record.
     violations: Vec<String>,
     callers: Callers,
     client: Client,
     clock: Clock,
     collector: UsageCollector,
     engines: Vec<Engine>,
-    /// Until when the fatal call is made, and how often it was.
+    /// Until when fatal calls are made, and how many were made.
     fatal_calls: (Millis, usize),
     keys: Keys,
+    /// Actions with the times at which they are due.
     deferred: Vec<(Millis, Deferred)>,
-    /// The present life of each plain server.
+    /// The current incarnation of each plain server.
     plain_incarnations: Vec<String>,
     plain: Vec<PlainServer>,
+    /// Gateways first, then runners.
     processes: Vec<Process>,
     rng: ChaCha8Rng,
     store: Store,
     submitted: Vec<SubmittedBatch>,
+    /// The newest named weight version.
     version: u64,
 }
 
-/// The step of the soak's loop; each makes a call and reads a batch.
+/// The pause between two steps; each step makes a call and reads a batch.
 const STEP_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A batch every so many steps, and a weight version.
+/// A batch is submitted every this many steps.
 const STEPS_PER_BATCH: usize = 24;
+
+/// A weight version is named every this many steps.
 const STEPS_PER_VERSION: usize = 90;
 
-/// Every so many steps a caller shows a key that was taken away.
+/// A call uses a removed key every this many steps.
 const STEPS_PER_REMOVED_KEY: usize = 7;
 
-/// How long accepted batches may take once all faults are over.
+/// How long accepted batches may take after all faults have ended.
 const FINISH_TIMEOUT: Millis = Millis(30_000);
 
-/// How long the processes have to come up before the first fault.
+/// How long the processes have to start before the first fault.
 const STARTUP_TIME: Duration = Duration::from_millis(1_500);
 
-/// Runs the plan of `seed` for `duration`, with its files in `folder`.
+/// Runs the faults drawn from `seed` for `duration`; writes settings and logs to `folder`.
 pub(super) async fn run(seed: u64, duration: Millis, folder: &Path) -> io::Result<SoakReport> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut plan = draw_faults(&mut rng, duration);
@@ -122,22 +133,22 @@
     Ok(soak.report(next))
 }
 
-/// How long a server is down that ended under a request.
+/// How long a server stays down after a request has crashed it.
 const RESTART_DELAY: Millis = Millis(700);
 
-/// The servers that may end under one request.
+/// The number of crashes after which a request is quarantined.
 const MAX_CRASHES: usize = 3;
 
-/// How often a request in quarantine may be tried within 10 minutes.
+/// The most trials of a quarantined request within 10 minutes.
 const MAX_TRIALS: usize = 1;
 
-/// The events of an item that ends its engine; others have fewer.
+/// An item with this number of events crashes its engine; other items have fewer events.
 const FATAL_EVENTS: u64 = 41;
 
-/// How soon all gateways have to know of a crash.
+/// The time within which all gateways must learn of a crash.
 const CRASH_SYNC_TIME: Duration = Duration::from_secs(3);
 
-/// How an engine behaves when nothing goes wrong there.
+/// An engine's faults while none is injected: it crashes under fatal items only.
 fn default_engine_faults() -> EngineFaults {
     EngineFaults {
         fatal_body: Some(FATAL_EVENTS.to_string()),
@@ -145,13 +156,14 @@
     }
 }
 
-/// Entries of another writer: key, service and state.
+/// Announcements by another writer: key, service and state.
 const FOREIGN_ENTRIES: [(&str, &str, &str); 2] = [
     ("stranger-of-others", "others", "ready"),
     ("stranger-state", "engines", "resting"),
 ];
 
 impl Soak {
+    /// Starts the site; its processes may not be ready yet.
     async fn open(rng: ChaCha8Rng, folder: &Path) -> io::Result<Self> {
         let store = Store::open().await?;
         let collector = UsageCollector::open().await?;
@@ -205,6 +217,7 @@
         })
     }
 
+    /// Injects a fault and schedules its end.
     fn inject(&mut self, fault: Fault) {
         let now = self.clock.now();
         match fault {
@@ -281,7 +294,7 @@
         }
     }
 
-    /// Undoes what is over, and starts processes that have ended.
+    /// Executes the deferred actions that are due.
     fn run_deferred(&mut self) -> io::Result<()> {
         let now = self.clock.now();
         let (due, deferred): (Vec<_>, Vec<_>) = std::mem::take(&mut self.deferred)
@@ -300,7 +313,7 @@
                 Deferred::RestartPlain(number) => self.restart_plain(number),
                 Deferred::EndFault(fault) => self.end_fault(fault),
                 Deferred::StartProcess(process) if self.processes[process].is_running() => {
-                    // It is still stopping.
+                    // The process is still stopping.
                     self.deferred.push((now, Deferred::StartProcess(process)));
                 }
                 Deferred::StartProcess(process) => self.processes[process].start()?,
@@ -309,7 +322,7 @@
         Ok(())
     }
 
-    /// Has servers that ended under a request started again after a while.
+    /// Schedules a restart of each server that is down and has none scheduled.
     fn schedule_restarts(&mut self, now: Millis) {
         let is_scheduled = |deferred: &[(Millis, Deferred)], number| {
             let restarts = |deferred: &Deferred| match deferred {
@@ -334,7 +347,7 @@
         }
     }
 
-    /// Starts a plain server again, as another life at its address.
+    /// Restarts a plain server as a new incarnation at the same address.
     fn restart_plain(&mut self, number: usize) {
         let plain = &self.plain[number];
         self.store
@@ -346,7 +359,8 @@
             .put("servers", &self.plain_incarnations[number], Some(&entry));
     }
 
-    /// Hands in a batch with an item that ends its engines, beside others.
+    /// Creates a batch with an item that crashes its engines, beside normal ones. A later step
+    /// submits it.
     fn submit_fatal(&mut self) {
         let id = format!("f{}", self.submitted.len());
         let mut batch = Batch::new(&id, 2, 3, 12);
@@ -358,7 +372,7 @@
         self.submitted.push(submitted);
     }
 
-    /// How often the fatal call ran.
+    /// The number of runs of fatal calls.
     fn fatal_runs(&self) -> usize {
         let runs = self
             .plain
@@ -367,6 +381,7 @@
         runs.sum()
     }
 
+    /// Ends a fault that lasts for some time.
     fn end_fault(&mut self, fault: Fault) {
         match fault {
             Fault::UsageCollector { .. } => self.collector.set_fault(CollectorFault::None),
@@ -397,7 +412,7 @@
         }
     }
 
-    /// One step of the trainers and callers.
+    /// Executes one step of the trainers and callers.
     async fn run_step(&mut self, seed: u64, step: usize) {
         if step % STEPS_PER_VERSION == STEPS_PER_VERSION - 1 {
             self.version += 1;
@@ -428,7 +443,7 @@
         let reader = self.rng.random_range(0..self.submitted.len());
         let overlap = self.rng.random_range(0..4);
         let reading = self.submitted[reader].read(&self.client, gateway, key, overlap);
-        // A paused gateway answers nobody; the soak goes on meanwhile.
+        // A paused gateway doesn't answer; the soak continues without the answer.
         let _ = tokio::time::timeout(timeout, reading).await;
         if self.clock.now() < self.fatal_calls.0 {
             self.fatal_calls.1 += 1;
@@ -447,18 +462,20 @@
         let _ = tokio::time::timeout(timeout, calling).await;
     }
 
+    /// The credentials of a call with the current key of `workspace`.
     fn credentials(&self, id: String, workspace: usize) -> Credentials {
         let key = self.keys.current(workspace).to_owned();
         Credentials { id, key }
     }
 
+    /// Draws a gateway; returns its address for callers.
     fn gateway(&mut self) -> SocketAddr {
         let number = self.rng.random_range(0..GATEWAYS);
         let callers = self.processes[number].callers;
         callers.unwrap_or(self.store.address)
     }
 
-    /// Ends all faults and reads every accepted batch to its end.
+    /// Ends all faults and reads every accepted batch until its results are complete.
     async fn finish(&mut self) -> io::Result<()> {
         for (_, what) in std::mem::take(&mut self.deferred) {
             match what {
@@ -487,8 +504,8 @@
         self.check_fatal().await
     }
 
-    /// Once all is calm and known to all, a call under which three servers have
-    /// ended reaches one more at most, for its trial, whichever gateway it comes to.
+    /// Checks that a call that has crashed three servers crashes at most one more, in its
+    /// trial, after all gateways have learnt of the crashes, whichever gateway receives it.
     async fn check_fatal(&mut self) -> io::Result<()> {
         self.run_deferred()?;
         tokio::time::sleep(CRASH_SYNC_TIME).await;
@@ -505,12 +522,14 @@
         }
         let crashes = self.fatal_runs() - before;
         if crashes > MAX_TRIALS {
-            let violation = format!("{crashes} servers ended under a call after {before} had");
+            let violation =
+                format!("a call crashed {crashes} more servers after it had crashed {before}");
             self.violations.push(violation);
         }
         Ok(())
     }
 
+    /// Collects the violations and counts; `faults` is the number of injected faults.
     fn report(&self, faults: usize) -> SoakReport {
         let mut violations = self.callers.violations(&self.plain);
         violations.extend(self.violations.clone());
@@ -520,7 +539,10 @@
             if run.identity.key.is_some()
                 || run.identity.workspace.as_deref() != Some(WORKSPACES[0])
             {
-                violations.push(format!("item {} ran as {:?}", run.item, run.identity));
+                violations.push(format!(
+                    "item {} ran under a wrong identity: {:?}",
+                    run.item, run.identity
+                ));
             }
         }
         for batch in &self.submitted {
@@ -533,7 +555,7 @@
             if orders.windows(2).any(decreases) || orders.iter().any(|order| order.0 != orders[0].0)
             {
                 violations.push(format!(
-                    "engine {} had orders that fall: {orders:?}",
+                    "engine {} accepted orders of two holders or with a decreasing token or version: {orders:?}",
                     engine.id
                 ));
             }
--- a/standins/src/soak/trainer.rs
+++ b/standins/src/soak/trainer.rs
@@ -1,4 +1,4 @@
-//! Trainers' batches, and what a trainer may never see.
+//! Batches that trainers submit, and the checks of what trainers read.
 
 use crate::{
     client::{Answered, Client},
@@ -11,23 +11,24 @@
     time::Duration, //
 };
 
-/// A batch, how its submissions were answered and what was read of it.
+/// A batch, the answers to its submissions and the results read so far.
 pub(super) struct SubmittedBatch {
+    /// Whether any submission was answered with 202.
     pub(super) accepted: bool,
     pub(super) batch: Batch,
     pub(super) violations: Vec<String>,
-    /// The item that ends each engine that runs it, and is given up.
+    /// The item that crashes each engine that runs it; it may be terminated.
     pub(super) fatal_item: Option<String>,
-    /// Whether each submission was refused: then it may never exist.
+    /// Whether every submission so far was refused; the batch must not exist then.
     refused: bool,
     results: Vec<ItemResult>,
 }
 
-/// How long a trainer waits.
+/// How long a trainer waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 impl SubmittedBatch {
-    /// A batch that was not submitted yet.
+    /// A batch that hasn't been submitted yet.
     pub(super) fn new(batch: Batch) -> Self {
         Self {
             accepted: false,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Submits it through a gateway.
+    /// Submits the batch through a gateway.
     pub(super) async fn submit(&mut self, client: &Client, gateway: SocketAddr, key: &str) {
         let path = format!("/roll/{}", self.batch.id);
         let headers = [
@@ -62,11 +63,11 @@
         if matches!(status, Some(400..=428)) {
             let id = &self.batch.id;
             self.violations
-                .push(format!("batch {id} was denied: {status:?}"));
+                .push(format!("submission of batch {id} was denied: {status:?}"));
         }
     }
 
-    /// Reads on, from a position before the last one read.
+    /// Reads further results; `overlap` of those known are read again and compared.
     pub(super) async fn read(
         &mut self,
         client: &Client,
@@ -88,12 +89,13 @@
         self.check(&answer, from);
     }
 
+    /// Compares a page with the results read before, and adds its new results.
     fn check(&mut self, answer: &Answered, from: usize) {
         let id = &self.batch.id;
         match (answer.status.as_u16(), self.accepted) {
             (200, _) if self.refused => self
                 .violations
-                .push(format!("batch {id} was refused and is")),
+                .push(format!("batch {id} exists though it was refused")),
             (404, true) => self
                 .violations
                 .push(format!("accepted batch {id} is unknown")),
@@ -106,8 +108,10 @@
                 for (offset, result) in page.results.into_iter().enumerate() {
                     match self.results.get(from + offset) {
                         Some(known) if *known != result => {
-                            self.violations
-                                .push(format!("batch {id} changed at {}", from + offset));
+                            self.violations.push(format!(
+                                "batch {id} has another result than before at position {}",
+                                from + offset
+                            ));
                         }
                         Some(_) => {}
                         None => self.results.push(result),
@@ -118,12 +122,12 @@
         }
     }
 
-    /// Whether all results are there.
+    /// Whether all results have been read; true for a batch that wasn't accepted.
     pub(super) fn is_done(&self) -> bool {
         !self.accepted || self.results.len() >= self.batch.item_ids().len()
     }
 
-    /// What is wrong with what was read, once all is.
+    /// All violations, including those that show only once reading has finished.
     pub(super) fn violations(&self) -> Vec<String> {
         let mut violations = self.violations.clone();
         let id = &self.batch.id;
@@ -144,13 +148,16 @@
                 continue;
             }
             if result.state != "succeeded" {
-                violations.push(format!("item {} was given up", result.id));
+                violations.push(format!("item {} was terminated", result.id));
             } else if result.text != self.batch.expected_text(&result.id) {
                 violations.push(format!("item {} has a wrong text", result.id));
             }
             let least = self.batch.least_version;
             if result.versions.iter().any(|version| *version < least) {
-                violations.push(format!("item {} is older than {least}", result.id));
+                violations.push(format!(
+                    "item {} was made by weights older than version {least}",
+                    result.id
+                ));
             }
         }
         violations
