--- a/standins/tests/integration/site.rs
+++ b/standins/tests/integration/site.rs
@@ -700,7 +700,7 @@
 /// All runners and gateways die at once, right after a batch was accepted, and
 /// come back. The batch is whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_batch_survives_the_restart_of_all_processes() {
+async fn an_accepted_batch_survives_the_restart_of_all_runners() {
     let mut site = TestSite::open(SiteOptions::default()).await.unwrap();
     let batch = Batch::new("outlives", 4, 2, 10);
     assert_eq!(site.submit(0, &batch).await, Some(202));
