--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A whole deployment in one process, over real loopback sockets.
+//! A whole deployment in one process: real entries and agents among stand-ins, connected
+//! over loopback sockets.
 
 mod backend;
 mod deployment;
@@ -10,5 +11,5 @@
     backend::Backend,
     deployment::{Fleet, FleetError, Options},
     member::Member,
-    plan::{CallerPlan, Plan, PoolKind, PoolPlan, TrainerPlan, Work}, //
+    plan::{CallKind, CallerPlan, Plan, PoolKind, PoolPlan, TrainerPlan}, //
 };
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! A deployment as its file describes it.
+//! The description of a deployment, as read from its file.
 
 use redwingpond::settings::{
     Reader,
@@ -10,7 +10,7 @@
     path::Path, //
 };
 
-/// What stands in a pool.
+/// The kind of a pool's backend servers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PoolKind {
     Engine,
@@ -19,50 +19,60 @@
     Service,
 }
 
-/// A pool's servers.
+/// A pool of backend servers.
 #[derive(Clone, Debug)]
 pub struct PoolPlan {
+    /// The number of requests that a server runs at the same time.
     pub capacity: u32,
-    /// Whether the engines check fencing numbers.
+    /// Whether the engines check fencing tokens.
     pub checks_fence: bool,
     pub kind: PoolKind,
+    /// The length of an agent's queue.
     pub queue: usize,
+    /// The number of servers.
     pub servers: u32,
+    /// The service time of a request at a service or scorer.
     pub service_ms: u64,
 }
 
-/// What a caller sends.
+/// The kind of an application's calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Work {
+pub enum CallKind {
+    /// Chat completions.
     Chat,
+    /// Requests to a service.
     #[default]
     Plain,
 }
 
-/// An application's calls.
+/// The calls of one application.
 #[derive(Clone, Debug)]
 pub struct CallerPlan {
     pub class: String,
     pub idempotent: bool,
-    /// The key shown for internal classes; empty for none.
+    /// The key sent for internal classes; empty for none.
     pub key: String,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u64,
-    pub work: Work,
+    pub kind: CallKind,
 }
 
-/// A trainer's steps.
+/// The steps of one trainer.
 #[derive(Clone, Debug)]
 pub struct TrainerPlan {
+    /// Groups per step.
     pub groups: u32,
     pub max_tokens: u32,
+    /// Samples per group.
     pub samples: u32,
+    /// The most weight versions by which a sample may lag behind.
     pub staleness: u64,
     pub steps: u64,
+    /// The time that the trainer takes to train on one step.
     pub train_ms: u64,
 }
 
-/// One user's deployment, scaled down.
+/// A scaled-down deployment of one team.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub callers: BTreeMap<String, CallerPlan>,
@@ -75,19 +85,19 @@
 }
 
 impl Plan {
-    /// Loads and checks the file at `path`.
+    /// Loads a plan from the file at `path` and checks it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         load(path, Self::read)
     }
 
-    /// Reads the document's root.
+    /// Reads a plan from the root of a document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let settings = reader.section("settings");
         let paths = reader.keys("settings");
         let plan = Self {
-            callers: each(reader, "callers", caller),
+            callers: read_entries(reader, "callers", read_caller),
             data_centres: reader.texts("data_centres"),
-            pools: each(reader, "pools", pool),
+            pools: read_entries(reader, "pools", read_pool),
             settings: paths
                 .into_iter()
                 .map(|path| {
@@ -96,7 +106,7 @@
                 })
                 .collect(),
             team: reader.text("team", None),
-            trainers: each(reader, "trainers", trainer),
+            trainers: read_entries(reader, "trainers", read_trainer),
         };
         if plan.data_centres.is_empty() {
             reader.reject("data_centres", "at least one", "none");
@@ -105,7 +115,12 @@
     }
 }
 
-fn each<T>(reader: &Reader<'_>, key: &str, read: impl Fn(&Reader<'_>) -> T) -> BTreeMap<String, T> {
+/// Reads each entry of the section `key` with `read`.
+fn read_entries<T>(
+    reader: &Reader<'_>,
+    key: &str,
+    read: impl Fn(&Reader<'_>) -> T,
+) -> BTreeMap<String, T> {
     let entries = reader.sections(key).into_iter();
     let all = entries.map(|(name, section)| {
         let value = read(&section);
@@ -115,20 +130,20 @@
     all.collect()
 }
 
-fn caller(section: &Reader<'_>) -> CallerPlan {
-    let words = [("chat", Work::Chat), ("plain", Work::Plain)];
+fn read_caller(section: &Reader<'_>) -> CallerPlan {
+    let words = [("chat", CallKind::Chat), ("plain", CallKind::Plain)];
     CallerPlan {
         class: section.text("class", None),
         idempotent: section.value("idempotent", "true or false", Some(true)),
         key: section.value("key", "a text", Some(String::new())),
         rate: section.number("rate", 0..=100_000, Some(10)),
-        work: section
-            .choice("work", &words, Some(Work::Plain))
+        kind: section
+            .choice("work", &words, Some(CallKind::Plain))
             .unwrap_or_default(),
     }
 }
 
-fn pool(section: &Reader<'_>) -> PoolPlan {
+fn read_pool(section: &Reader<'_>) -> PoolPlan {
     let words = [
         ("engine", PoolKind::Engine),
         ("scorer", PoolKind::Scorer),
@@ -144,7 +159,7 @@
     }
 }
 
-fn trainer(section: &Reader<'_>) -> TrainerPlan {
+fn read_trainer(section: &Reader<'_>) -> TrainerPlan {
     TrainerPlan {
         groups: section.number("groups", 1..=10_000, Some(8)) as u32,
         max_tokens: section.number("max_tokens", 1..=100_000, Some(200)) as u32,
--- a/standins/src/fleet/settings.rs
+++ b/standins/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the fleet's processes are opened with.
+//! The settings of the fleet's entries and agents.
 
 use super::PoolKind;
 use redwingpond::{
@@ -19,15 +19,15 @@
     net::SocketAddr, //
 };
 
-/// The key of all in-process deployments.
-pub(super) const KEY: &str = "loopback only";
+/// The key that secures the links of in-process deployments.
+pub(super) const LINK_KEY: &str = "loopback only";
 
-/// Any port of the loopback address.
+/// The loopback address with a port that the system chooses.
 pub(super) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// What every process has.
+/// The settings that entries and agents have in common.
 pub(super) fn common(instance: &str, data_centre: &str, platform: SocketAddr) -> CommonSettings {
     CommonSettings {
         admin: loopback(),
@@ -37,7 +37,7 @@
             close_delay: Millis(500),
         },
         instance: instance.to_owned(),
-        key: KEY.to_owned(),
+        key: LINK_KEY.to_owned(),
         links: loopback(),
         log: LogFormat::Text,
         log_level: "warn".to_owned(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// An agent before `backend`.
+/// The settings of an agent for the backend server at `address`.
 pub(super) fn agent(
     common: CommonSettings,
     pool: &str,
@@ -71,7 +71,7 @@
     }
 }
 
-/// An entry.
+/// The settings of an entry.
 pub(super) fn entry(
     common: CommonSettings,
     policy: Policy,
--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -1,10 +1,10 @@
-//! The store over HTTP.
+//! A stand-in for the users' store, with its HTTP interface.
 
 use super::{
     Outage,
     Rows,
     StoreFaults,
-    rows::{Change, Name}, //
+    rows::{Change, RowKey}, //
 };
 use crate::server::Server;
 use base64::{
@@ -37,7 +37,7 @@
 };
 use tokio::sync::watch;
 
-/// A running store; dropping it ends it.
+/// A running store; dropping it stops the server.
 pub struct Store {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -45,14 +45,18 @@
 }
 
 struct Inner {
+    /// Counts up to wake held feed requests, after a write or a change of the faults.
     changed: watch::Sender<u64>,
     clock: Clock,
     faults: Mutex<StoreFaults>,
+    /// GET requests received.
     reads: AtomicU64,
     rows: Mutex<Rows>,
+    /// Transactions received.
     writes: AtomicU64,
 }
 
+/// The body of a transaction request.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireTransaction {
@@ -61,6 +65,7 @@
     set_keys: Vec<WireKey>,
 }
 
+/// A row in a transaction: `value` if the row is set, `ver` if its revision is expected.
 #[derive(Deserialize)]
 struct WireKey {
     key: String,
@@ -73,13 +78,13 @@
 }
 
 impl WireKey {
-    fn name(&self) -> Name {
+    fn row_key(&self) -> RowKey {
         (self.table.clone(), self.part.clone(), self.key.clone())
     }
 }
 
 impl Store {
-    /// Opens an empty store on a free port.
+    /// Starts an empty store on a free port.
     pub async fn open() -> io::Result<Self> {
         let inner = Arc::new(Inner {
             changed: watch::Sender::new(0),
@@ -99,52 +104,52 @@
         })
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the store's faults from now on.
     pub fn set_faults(&self, faults: StoreFaults) {
         *lock(&self.inner.faults) = faults;
-        self.inner.tell();
+        self.inner.notify_feeds();
     }
 
-    /// Forgets the history of changes.
+    /// Forgets the history of changes; feeds that need it are answered with 410.
     pub fn forget_history(&self) {
         lock(&self.inner.rows).forget_history();
     }
 
-    /// Writes a row as the operators and the backend servers do, whatever goes
-    /// wrong; `None` removes it.
+    /// Writes a row with a JSON value as operators and backend servers do, regardless of
+    /// the faults; `None` removes the row.
     pub fn put(&self, table: &str, key: &str, value: Option<&serde_json::Value>) {
         let value = value.map(|value| BASE64_STANDARD.encode(value.to_string()));
         self.write(table, "", key, value);
     }
 
-    /// Writes a row whose value is `value` as it stands, base64 or not.
+    /// Writes a row with `value` unchanged, even if it isn't valid base64.
     pub fn put_raw(&self, table: &str, key: &str, value: &str) {
         self.write(table, "", key, Some(value.to_owned()));
     }
 
-    /// Writes a row of a part as another runner or gateway does.
+    /// Writes a row of a part as another runner or gateway would.
     pub fn put_row(&self, table: &str, part: &str, key: &str, value: &[u8]) {
         self.write(table, part, key, Some(BASE64_STANDARD.encode(value)));
     }
 
     fn write(&self, table: &str, part: &str, key: &str, value: Option<String>) {
-        let name = (table.to_owned(), part.to_owned(), key.to_owned());
-        // Without a condition it always holds.
-        let _ = lock(&self.inner.rows).transact(&[], vec![(name, value)]);
-        self.inner.tell();
+        let row_key = (table.to_owned(), part.to_owned(), key.to_owned());
+        // A transaction without expected revisions can't fail.
+        let _ = lock(&self.inner.rows).transact(&[], vec![(row_key, value)]);
+        self.inner.notify_feeds();
     }
 
-    /// The rows of a part, in all tables.
+    /// The number of rows in a part, over all tables.
     pub fn rows_of(&self, part: &str) -> usize {
-        lock(&self.inner.rows).count(part)
+        lock(&self.inner.rows).rows_in_part(part)
     }
 
-    /// The calls that asked for rows so far.
+    /// The number of GET requests so far, answered or not.
     pub fn reads(&self) -> u64 {
         self.inner.reads.load(Ordering::Relaxed)
     }
 
-    /// The calls that asked for a write so far.
+    /// The number of transactions executed or delayed so far.
     pub fn writes(&self) -> u64 {
         self.inner.writes.load(Ordering::Relaxed)
     }
@@ -166,18 +171,18 @@
             self.reads.fetch_add(1, Ordering::Relaxed);
         }
         let faults = *lock(&self.faults);
-        if let Some(answer) = self.away().await? {
+        if let Some(answer) = self.outage_answer().await? {
             return Ok(answer);
         }
-        tokio::time::sleep(faults.slow.as_duration()).await;
+        tokio::time::sleep(faults.delay.as_duration()).await;
 
         let get = |name: &str| query.get(name).map_or("", String::as_str);
         match (head.method, head.uri.path()) {
             (Method::POST, "/redwingpond/rows-tx") => self.transact(&body, faults).await,
             (Method::GET, "/redwingpond/rows-get") => {
-                let most = get("limit").parse().unwrap_or(500);
+                let limit = get("limit").parse().unwrap_or(500);
                 let rows = lock(&self.rows);
-                let (found, more) = rows.list(get("table"), get("part"), get("from"), most);
+                let (found, more) = rows.list(get("table"), get("part"), get("from"), limit);
                 Ok(self.listing(StatusCode::OK, &rows, &found, more))
             }
             (Method::GET, "/redwingpond/rows-parts") => {
@@ -191,17 +196,17 @@
             }
             (Method::GET, "/redwingpond/rows-feed") => {
                 let after = get("startAfter").parse().unwrap_or(0);
-                let hold = get("waitMs").parse().unwrap_or(0);
-                let found = self.feed(get("table"), after, Millis(hold)).await;
-                // A store that went away meanwhile answers no held call.
-                Ok(self.away().await?.unwrap_or(found))
+                let max_wait = get("waitMs").parse().unwrap_or(0);
+                let found = self.feed(get("table"), after, Millis(max_wait)).await;
+                // An outage that began meanwhile also applies to held requests.
+                Ok(self.outage_answer().await?.unwrap_or(found))
             }
             _ => Ok(status(404)),
         }
     }
 
-    /// What the store answers while it is away; `None` while it is not.
-    async fn away(&self) -> io::Result<Option<Answer>> {
+    /// The answer during an outage; `None` if there is no outage.
+    async fn outage_answer(&self) -> io::Result<Option<Answer>> {
         let outage = lock(&self.faults).outage;
         match outage {
             Outage::Busy => Ok(Some(status(503))),
@@ -215,9 +220,9 @@
         let wire: WireTransaction = serde_json::from_slice(body).map_err(io::Error::other)?;
         let count = self.writes.fetch_add(1, Ordering::Relaxed) + 1;
         let due = |every: u64| count.is_multiple_of(every.max(1));
-        if let Some((_, later)) = faults.late_writes.filter(|(every, _)| due(*every)) {
+        if let Some((_, delay)) = faults.late_writes.filter(|(every, _)| due(*every)) {
             tokio::spawn(async move {
-                tokio::time::sleep(later.as_duration()).await;
+                tokio::time::sleep(delay.as_duration()).await;
                 self.apply(&wire);
             });
             return std::future::pending().await;
@@ -230,16 +235,16 @@
     }
 
     fn apply(&self, wire: &WireTransaction) -> Answer {
-        let expected: Vec<(Name, u64)> = wire
+        let expected: Vec<(RowKey, u64)> = wire
             .expected_rev
             .iter()
-            .map(|key| (key.name(), key.ver))
+            .map(|key| (key.row_key(), key.ver))
             .collect();
         let set = wire
             .set_keys
             .iter()
-            .map(|key| (key.name(), key.value.clone()));
-        let removed = wire.remove.iter().map(|key| (key.name(), None));
+            .map(|key| (key.row_key(), key.value.clone()));
+        let removed = wire.remove.iter().map(|key| (key.row_key(), None));
         let changes = set.chain(removed).collect();
         let mut rows = lock(&self.rows);
         let answer = match rows.transact(&expected, changes) {
@@ -247,12 +252,12 @@
             Err(found) => self.listing(StatusCode::PRECONDITION_FAILED, &rows, &found, false),
         };
         drop(rows);
-        self.tell();
+        self.notify_feeds();
         answer
     }
 
-    async fn feed(&self, table: &str, after: u64, hold: Millis) -> Answer {
-        let until = self.clock.now() + hold;
+    async fn feed(&self, table: &str, after: u64, max_wait: Millis) -> Answer {
+        let deadline = self.clock.now() + max_wait;
         let mut changed = self.changed.subscribe();
         loop {
             {
@@ -265,9 +270,9 @@
                     Some(_) => {}
                 }
             }
-            let left = until.since(self.clock.now());
-            let away = lock(&self.faults).outage != Outage::None;
-            if left == Millis(0) || away {
+            let left = deadline.since(self.clock.now());
+            let unreachable = lock(&self.faults).outage != Outage::None;
+            if left == Millis(0) || unreachable {
                 return self.listing(StatusCode::OK, &lock(&self.rows), &[], false);
             }
             let _ = tokio::time::timeout(left.as_duration(), changed.changed()).await;
@@ -283,13 +288,13 @@
         text(status, "application/json", body.to_string())
     }
 
-    fn tell(&self) {
+    fn notify_feeds(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 }
 
 fn record(change: &Change) -> serde_json::Value {
-    let (table, part, key) = &change.name;
+    let (table, part, key) = &change.key;
     let mut record = serde_json::json!(
         {"table": table, "part": part, "key": key, "ver": change.revision}
     );
--- a/standins/src/site/scene.rs
+++ b/standins/src/site/test_site.rs
@@ -1,11 +1,12 @@
-//! A whole site in one process: store, servers, gateways and runners.
+//! A whole site in one process: stand-ins for the store and the servers, and real gateways
+//! and runners.
 
 use super::{
     Batch,
     Engine,
-    Plain,
-    Reply,
-    ScenePage,
+    ItemResult,
+    PlainServer,
+    ResultPage,
     Store, //
 };
 use crate::client::{
@@ -25,21 +26,23 @@
     time::Duration, //
 };
 
-/// How many of each a scene has.
+/// The size and the settings of a test site.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct SiteOptions {
+    /// The number of engines, and of runners.
     pub engines: usize,
     pub gateways: usize,
+    /// The number of plain servers.
     pub plain: usize,
-    /// How long a batch can be read.
+    /// How long a batch stays readable after its submission.
     pub retention: Millis,
-    /// Within which time of its removal a key must stop working.
+    /// How long a removed API key may still work; `None` for no limit.
     pub revocation: Option<Millis>,
-    /// Where use is reported.
+    /// The gateways' settings for usage reports; `None` for no reports.
     pub usage: Option<UsageSettings>,
 }
 
-impl Default for Shape {
+impl Default for SiteOptions {
     fn default() -> Self {
         Self {
             engines: 3,
@@ -52,85 +55,86 @@
     }
 }
 
-/// A running site; dropping it ends all of it.
-pub struct Scene {
+/// A running site; dropping it stops all of its parts.
+pub struct TestSite {
     pub client: Client,
     pub clock: Clock,
     pub engines: Vec<Engine>,
     pub gateways: Vec<Gateway>,
-    pub plain: Vec<Plain>,
-    /// One for each engine; `None` while it is stopped.
+    pub plain: Vec<PlainServer>,
+    /// The runner of each engine; `None` while it is stopped.
     pub runners: Vec<Option<Runner>>,
     retention: Millis,
     revocation: Option<Millis>,
     usage: Option<UsageSettings>,
     pub store: Store,
+    /// The version of the latest configuration.
     version: u64,
-    /// The workspaces and their keys; null where callers need none.
+    /// The workspaces and their keys in the configuration; null if callers need no key.
     workspaces: serde_json::Value,
 }
 
-/// How long the site may take to come up.
-const UP: Millis = Millis(8_000);
+/// How long the gateways may take to become ready.
+const READY_TIMEOUT: Millis = Millis(8_000);
 
-/// How long a request may take.
-const WITHIN: Duration = Duration::from_secs(10);
+/// How long the client waits for an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-impl Scene {
-    /// Opens a site and waits until its gateways are ready and its runners work.
-    pub async fn open(shape: Shape) -> io::Result<Self> {
-        let mut scene = Self::open_unconfigured(shape).await?;
-        scene.put_config(serde_json::json!([]));
-        scene.wait_up().await?;
-        Ok(scene)
+impl TestSite {
+    /// Starts a site and waits until its gateways are ready.
+    pub async fn open(options: SiteOptions) -> io::Result<Self> {
+        let mut site = Self::open_unconfigured(options).await?;
+        site.put_config(serde_json::json!([]));
+        site.wait_ready().await?;
+        Ok(site)
     }
 
-    /// Opens a site to which no configuration was given yet.
-    pub async fn open_unconfigured(shape: Shape) -> io::Result<Self> {
+    /// Starts a site without a configuration, and doesn't wait for it.
+    pub async fn open_unconfigured(options: SiteOptions) -> io::Result<Self> {
         let store = Store::open().await?;
         let mut engines = Vec::new();
-        for number in 0..shape.engines {
-            engines.push(Engine::open(&format!("engine-{number}"), "m0").await?);
+        for index in 0..options.engines {
+            engines.push(Engine::open(&format!("engine-{index}"), "m0").await?);
         }
         let mut plain = Vec::new();
-        for number in 0..shape.plain {
-            plain.push(Plain::open(&format!("plain-{number}")).await?);
+        for index in 0..options.plain {
+            plain.push(PlainServer::open(&format!("plain-{index}")).await?);
         }
-        let mut scene = Self {
+        let mut site = Self {
             client: Client::default(),
             clock: Clock::open(),
             engines,
             gateways: Vec::new(),
             plain,
             runners: Vec::new(),
-            retention: shape.retention,
-            revocation: shape.revocation,
-            usage: shape.usage,
+            retention: options.retention,
+            revocation: options.revocation,
+            usage: options.usage,
             store,
             version: 0,
             workspaces: serde_json::Value::Null,
         };
-        scene.announce_all();
-        for number in 0..shape.gateways {
-            let gateway = Gateway::open(scene.gateway_settings(number));
-            scene.gateways.push(gateway.map_err(io::Error::other)?);
+        site.announce_all();
+        for index in 0..options.gateways {
+            let gateway = Gateway::open(site.gateway_settings(index));
+            site.gateways.push(gateway.map_err(io::Error::other)?);
         }
-        for number in 0..shape.engines {
-            scene.runners.push(None);
-            scene.start_runner(number)?;
+        for index in 0..options.engines {
+            site.runners.push(None);
+            site.start_runner(index)?;
         }
-        Ok(scene)
+        Ok(site)
     }
 
-    /// Starts the runner beside an engine.
-    pub fn start_runner(&mut self, number: usize) -> io::Result<()> {
+    /// Starts the runner of an engine.
+    pub fn start_runner(&mut self, index: usize) -> io::Result<()> {
         let settings = RunnerSettings {
-            common: self.common(&format!("runner-{number}")),
-            engine: self.engines[number].address,
+            common: self.common(&format!("runner-{index}")),
+            engine: self.engines[index].address,
             service: "engines".to_owned(),
         };
         let runner = Runner::open(settings).map_err(io::Error::other)?;
-        self.runners[number] = Some(runner);
+        self.runners[index] = Some(runner);
         Ok(())
     }
 
@@ -139,19 +143,20 @@
         let settings = self.gateway_settings(self.gateways.len());
         let gateway = Gateway::open(settings).map_err(io::Error::other)?;
         self.gateways.push(gateway);
-        self.wait_up().await
+        self.wait_ready().await
     }
 
-    /// The same for one that reaches the store at another address.
+    /// Starts another gateway that uses the store at this address, and waits until it is
+    /// ready.
     pub async fn start_gateway_via(&mut self, store: SocketAddr) -> io::Result<()> {
         let mut settings = self.gateway_settings(self.gateways.len());
         settings.common.store = store;
         let gateway = Gateway::open(settings).map_err(io::Error::other)?;
         self.gateways.push(gateway);
-        self.wait_up().await
+        self.wait_ready().await
     }
 
-    /// Announces all servers as ready.
+    /// Announces all engines and plain servers as ready.
     pub fn announce_all(&self) {
         for engine in &self.engines {
             self.announce_engine(engine, "ready");
@@ -161,25 +166,25 @@
         }
     }
 
-    /// Announces an engine.
+    /// Announces an engine with the given state.
     pub fn announce_engine(&self, engine: &Engine, state: &str) {
         announce_engine(&self.store, engine, state);
     }
 
-    /// Announces a server.
+    /// Announces a server of `service` under `id` with the given state.
     pub fn announce(&self, id: &str, service: &str, address: SocketAddr, state: &str) {
         let entry = server_entry(service, address, state);
         self.store.put("servers", id, Some(&entry));
     }
 
-    /// Writes a configuration that is newer than the one before: the routes
-    /// that every scene has, and `more`.
+    /// Writes a newer configuration, with the routes that every site has and those in
+    /// `more`, a JSON array.
     pub fn put_config(&mut self, more: serde_json::Value) {
         self.version += 3;
         put_config(&self.store, self.version, &more, &self.workspaces);
     }
 
-    /// Writes a newer configuration with these workspaces: names and keys.
+    /// Writes a newer configuration with these workspaces, each with its name and its API keys.
     pub fn put_workspaces(&mut self, workspaces: &[(&str, &[&str])]) {
         let each = workspaces
             .iter()
@@ -188,13 +193,13 @@
         self.put_config(serde_json::json!([]));
     }
 
-    /// Names a weight version as a trainer does.
+    /// Writes a named weight version as a trainer does; engines then load it.
     pub fn name_version(&self, version: u64) {
         let named = serde_json::json!({"model": "m0", "version": version});
         self.store.put("op", "version/m0", Some(&named));
     }
 
-    /// Sends a request to a gateway.
+    /// Sends a request to a gateway; `None` if there was no answer.
     pub async fn send(
         &self,
         gateway: usize,
@@ -206,11 +211,13 @@
         let address = self.gateways[gateway].callers;
         let mut all = vec![("host", "site.example")];
         all.extend_from_slice(headers);
-        let answer = self.client.call(method, address, path, &all, body, WITHIN);
+        let answer = self
+            .client
+            .call(method, address, path, &all, body, REQUEST_TIMEOUT);
         answer.await.ok()
     }
 
-    /// Submits a batch; the status, or `None` when there was no answer.
+    /// Submits a batch; returns the status, or `None` if there was no answer.
     pub async fn submit(&self, gateway: usize, batch: &Batch) -> Option<u16> {
         let path = format!("/roll/{}", batch.id);
         let headers = [("x-attempt-id", batch.id.as_str())];
@@ -218,21 +225,32 @@
         Some(answer.await?.status.as_u16())
     }
 
-    /// Reads a page of results.
-    pub async fn page(&self, gateway: usize, batch: &Batch, from: usize) -> Option<ScenePage> {
+    /// Reads a page of results, beginning with position `from`; `None` unless the status is 200.
+    pub async fn read_page(
+        &self,
+        gateway: usize,
+        batch: &Batch,
+        from: usize,
+    ) -> Option<ResultPage> {
         let path = format!("/redwingpond/lots/{}?startAfter={from}", batch.id);
         let headers = [("x-wait-ms", "200")];
         let answer = self.send(gateway, Method::GET, &path, &headers, "").await?;
-        (answer.status == 200).then(|| ScenePage::read(&answer))
+        (answer.status == 200).then(|| ResultPage::read(&answer))
     }
 
-    /// Reads results until `count` are there or `within` has passed.
-    pub async fn read(&self, batch: &Batch, count: usize, within: Millis) -> Vec<Reply> {
-        let until = self.clock.now() + within;
+    /// Reads results through all gateways in turn until there are `count` or `within` has
+    /// passed.
+    pub async fn read_results(
+        &self,
+        batch: &Batch,
+        count: usize,
+        within: Millis,
+    ) -> Vec<ItemResult> {
+        let deadline = self.clock.now() + within;
         let mut results = Vec::new();
-        while results.len() < count && self.clock.now() < until {
+        while results.len() < count && self.clock.now() < deadline {
             let gateway = results.len() % self.gateways.len();
-            match self.page(gateway, batch, results.len()).await {
+            match self.read_page(gateway, batch, results.len()).await {
                 Some(page) => results.extend(page.results),
                 None => tokio::time::sleep(Duration::from_millis(50)).await,
             }
@@ -240,28 +258,32 @@
         results
     }
 
-    /// Ends a batch; the status.
-    pub async fn end(&self, gateway: usize, batch: &Batch) -> Option<u16> {
+    /// Ends a batch; returns the status, or `None` if there was no answer.
+    pub async fn end_batch(&self, gateway: usize, batch: &Batch) -> Option<u16> {
         let path = format!("/redwingpond/lots/{}", batch.id);
         let answer = self.send(gateway, Method::DELETE, &path, &[], "").await?;
         Some(answer.status.as_u16())
     }
 
-    async fn wait_up(&self) -> io::Result<()> {
-        let until = self.clock.now() + UP;
-        while self.clock.now() < until {
-            if self.is_up().await {
+    async fn wait_ready(&self) -> io::Result<()> {
+        let deadline = self.clock.now() + READY_TIMEOUT;
+        while self.clock.now() < deadline {
+            if self.is_ready().await {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        Err(io::Error::other("the site did not come up"))
+        Err(io::Error::other(
+            "the gateways did not become ready in time",
+        ))
     }
 
-    async fn is_up(&self) -> bool {
+    async fn is_ready(&self) -> bool {
         for gateway in &self.gateways {
             let (method, ready) = (Method::GET, gateway.ready);
-            let asked = self.client.call(method, ready, "/readyz", &[], "", WITHIN);
+            let asked = self
+                .client
+                .call(method, ready, "/readyz", &[], "", REQUEST_TIMEOUT);
             if !asked.await.is_ok_and(|answer| answer.status == 200) {
                 return false;
             }
@@ -269,10 +291,10 @@
         true
     }
 
-    fn gateway_settings(&self, number: usize) -> GatewaySettings {
+    fn gateway_settings(&self, index: usize) -> GatewaySettings {
         GatewaySettings {
             callers: any_port(),
-            common: self.common(&format!("gateway-{number}")),
+            common: self.common(&format!("gateway-{index}")),
             ready: any_port(),
             revocation: self.revocation,
             usage: self.usage,
@@ -297,14 +319,14 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Writes an engine's announcement.
+/// Announces an engine with the given state in the store.
 pub fn announce_engine(store: &Store, engine: &Engine, state: &str) {
     let mut entry = server_entry("engines", engine.address, state);
-    entry["born"] = engine.born().0.into();
+    entry["born"] = engine.started_at().0.into();
     store.put("servers", &engine.id, Some(&entry));
 }
 
-/// A server's announcement.
+/// The announcement of a server, as JSON.
 pub fn server_entry(service: &str, address: SocketAddr, state: &str) -> serde_json::Value {
     serde_json::json!({
         "service": service,
@@ -318,8 +340,8 @@
     })
 }
 
-/// Writes the configuration `version`: the routes that every site of the tests
-/// has, and `more`. Only scorers' requests need no key where there are `workspaces`.
+/// Writes configuration `version` with the routes that every test site has and those in
+/// `more`. If `workspaces` is not null, all routes but the scorers' need an API key.
 pub fn put_config(
     store: &Store,
     version: u64,
--- a/standins/tests/integration/bad_input.rs
+++ b/standins/tests/integration/bad_input.rs
@@ -1,3 +1,5 @@
+//! Malformed, incomplete and foreign input at the ports of entries and agents.
+
 use redwing_standins::fleet::{Fleet, Options, Plan};
 use redwingpond::{
     base::Incarnation,
@@ -11,6 +13,7 @@
     runtime::Runtime,
 };
 
+/// A deployment with one service, and a class whose pool doesn't exist.
 const PLAN: &str = "
 team: plant
 data_centres: [hall]
@@ -36,8 +39,9 @@
     Fleet::open(&[plan], options).await.unwrap()
 }
 
-/// Sends raw bytes and reads until the other end closes or falls quiet.
-async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes to `address` and returns what is received until the peer closes the connection
+/// or sends nothing for 400 ms.
+async fn exchange_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
@@ -52,20 +56,22 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn still_serves(fleet: &Fleet) {
+/// Checks that a valid call still succeeds.
+async fn check_serves(fleet: &Fleet) {
     let entry = fleet.balancer.next().unwrap();
     let good = "POST /v1/app/plant/entry/work HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nok";
-    let answer = raw(entry, good.as_bytes()).await;
+    let answer = exchange_raw(entry, good.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-/// Requests of every bad kind reach an entry. Its user must get a clear 4xx
-/// that says that nothing ran, and its other users must not notice.
+/// An entry receives malformed requests. The answers must name the mistake, and later valid
+/// calls must succeed.
 #[test]
-fn bad_requests() {
+fn bad_requests_get_a_4xx() {
     struct Test {
         request: String,
-        told: &'static str,
+        /// A part of the expected answer.
+        expected: &'static str,
     }
 
     let post = |path: &str, headers: &str, body: &str| {
@@ -77,30 +83,30 @@
     let tests = [
         Test {
             request: "nonsense\r\n\r\n".into(),
-            told: "HTTP/1.1 400",
+            expected: "HTTP/1.1 400",
         },
         Test {
             request: format!(
                 "GET / HTTP/1.1\r\nhost: x\r\nbig: {}\r\n\r\n",
                 "x".repeat(80_000)
             ),
-            told: "HTTP/1.1 431",
+            expected: "HTTP/1.1 431",
         },
         Test {
             request: post("/elsewhere", "", ""),
-            told: "urn:redwing:problem:not-found",
+            expected: "urn:redwing:problem:not-found",
         },
         Test {
             request: post("/v1/app/nobody/entry/work", "", ""),
-            told: "no team `nobody`",
+            expected: "no team `nobody`",
         },
         Test {
             request: post("/v1/app/plant/none/work", "", ""),
-            told: "no class `none`",
+            expected: "no class `none`",
         },
         Test {
             request: post("/v1/app/plant/nowhere/work", "", ""),
-            told: "no pool `missing`",
+            expected: "no pool `missing`",
         },
         Test {
             request: post(
@@ -108,7 +114,7 @@
                 "redwing-deadline-ms: soon\r\n",
                 "",
             ),
-            told: "expected 1 to 3600000",
+            expected: "expected 1 to 3600000",
         },
         Test {
             request: post(
@@ -116,7 +122,7 @@
                 "redwing-idempotent: maybe\r\n",
                 "",
             ),
-            told: "expected true or false",
+            expected: "expected true or false",
         },
         Test {
             request: post(
@@ -124,15 +130,15 @@
                 "redwing-request-key: a b\r\n",
                 "",
             ),
-            told: "visible characters",
+            expected: "visible characters",
         },
         Test {
             request: post("/v1/teams/plant/trainers/t/steps/1", "", "{}"),
-            told: "may_have_run\":false",
+            expected: "may_have_run\":false",
         },
         Test {
             request: post("/v1/teams/plant/trainers/t/steps/one", "", "{}"),
-            told: "missing field",
+            expected: "missing field",
         },
         Test {
             request: post(
@@ -140,7 +146,7 @@
                 "",
                 "{\"have\":\"xyz\",\"weight_version\":1}",
             ),
-            told: "no bitmap",
+            expected: "no bitmap",
         },
         Test {
             request: post(
@@ -148,29 +154,29 @@
                 "",
                 "{\"model\":\"m\",\"weight_version\":1}",
             ),
-            told: "no team `nobody` with rollouts",
+            expected: "no team `nobody` with rollouts",
         },
     ];
     Runtime::new().unwrap().block_on(async {
         let fleet = open().await;
         let entry = fleet.balancer.next().unwrap();
         for test in tests {
-            let answer = raw(entry, test.request.as_bytes()).await;
+            let answer = exchange_raw(entry, test.request.as_bytes()).await;
             let start: String = test.request.chars().take(60).collect();
-            assert!(answer.contains(test.told), "{start}: {answer}");
+            assert!(answer.contains(test.expected), "{start}: {answer}");
         }
-        still_serves(&fleet).await;
+        check_serves(&fleet).await;
     });
 }
 
-/// Clients send half a request and stall, or open many connections and send
-/// nothing. Others' calls go on meanwhile.
+/// Clients open many connections and send nothing or half a request. Calls of other clients
+/// must still be served.
 #[test]
-fn half_sent_requests() {
+fn half_sent_requests_block_nobody() {
     Runtime::new().unwrap().block_on(async {
         let fleet = open().await;
         let entry = fleet.balancer.next().unwrap();
-        let mut held = Vec::new();
+        let mut streams = Vec::new();
         for bytes in [
             &b""[..],
             b"POST /v1/app/plant",
@@ -179,19 +185,18 @@
             for _ in 0..50 {
                 let mut stream = TcpStream::connect(entry).await.unwrap();
                 stream.write_all(bytes).await.unwrap();
-                held.push(stream);
+                streams.push(stream);
             }
         }
-        still_serves(&fleet).await;
+        check_serves(&fleet).await;
     });
 }
 
-/// Somebody who is not of the deployment reaches an agent's link port: with
-/// garbage, with another version, with a huge announced length, or with a
-/// well-formed hello but another key. Nothing gets through, and the entries'
-/// links stay up.
+/// Foreign clients connect to an agent's link port: with random bytes, another protocol
+/// version, a huge frame length, a valid hello with a wrong key, or a message without a hello.
+/// The entries' links must stay up.
 #[test]
-fn bad_links() {
+fn foreign_link_connections_are_refused() {
     Runtime::new().unwrap().block_on(async {
         let fleet = open().await;
         let links = fleet.members[0].agent.as_ref().unwrap().links;
@@ -203,20 +208,20 @@
             role: Role::Entry,
         };
         encode(&Frame::Message(hello), &mut forged).unwrap();
-        let order = Frame::Message(ToAgent::Cancel {
+        let cancel = Frame::Message(ToAgent::Cancel {
             slot: redwingpond::wire::Slot(1),
         });
-        let mut unasked = bytes::BytesMut::new();
-        encode(&order, &mut unasked).unwrap();
+        let mut no_hello = bytes::BytesMut::new();
+        encode(&cancel, &mut no_hello).unwrap();
         for bytes in [
             &[0xff; 64][..],
             &[2, 0, 0, 0, 9, 0],
             &[0xff, 0xff, 0xff, 0x7f, 1],
             &forged,
-            &unasked,
+            &no_hello,
         ] {
-            raw(links, bytes).await;
+            exchange_raw(links, bytes).await;
         }
-        still_serves(&fleet).await;
+        check_serves(&fleet).await;
     });
 }
