--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -5,10 +5,10 @@
     CallOutcome,
     Dispatcher,
     attempt::{AttemptOutcome, classify},
-    crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE}, //
+    crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE},
     dispatcher::{
         MAX_REFUSALS, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt,
-    },
+    }, //
 };
 use crate::{
     base::{Millis, Verdict},
--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -7,9 +7,9 @@
     StreamAttempt,
     StreamOutcome,
     attempt::{AttemptOutcome, is_refusal},
-    call_run::CallRun, //
+    call_run::CallRun,
     crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE},
-    server_records::ServerRecords,
+    server_records::ServerRecords, //
 };
 use crate::{
     base::{Clock, Millis, stable_hash},
--- a/src/calls/stream_attempt.rs
+++ b/src/calls/stream_attempt.rs
@@ -2,8 +2,8 @@
 
 use super::{
     attempt::ServerStatus,
-    dispatcher::{Dispatcher, SentAttempt}, //
-    server_records::LostRequest,
+    dispatcher::{Dispatcher, SentAttempt},
+    server_records::LostRequest, //
 };
 use crate::{
     base::{Fingerprint, Millis},
