--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -11,7 +11,7 @@
         fences::{FenceCheck, Fences},
         lease::{LEASE_PREFIX, Lease}, //
     },
-    table::{Platform, Row, Tag},
+    table::{EntityTag, PlatformClient, Row},
     wire::{EngineState, FromAgent, Order, OrderKind, Slot}, //
 };
 use std::{
@@ -58,7 +58,7 @@
 /// Lets an order pass only if no newer one is known.
 async fn rule(
     fences: &Rc<RefCell<Fences>>,
-    platform: &Platform,
+    platform: &PlatformClient,
     order: &Order,
 ) -> Result<(), Failure> {
     let version = match order.kind {
@@ -95,8 +95,8 @@
 }
 
 /// The epoch of each trainer's lease, by the path of its row.
-async fn epochs(platform: &Platform) -> Result<Vec<(String, Fence)>, Failure> {
-    let listing = platform.list(LEASE_PREFIX, &mut Tag::default()).await;
+async fn epochs(platform: &PlatformClient) -> Result<Vec<(String, Fence)>, Failure> {
+    let listing = platform.list(LEASE_PREFIX, &mut EntityTag::default()).await;
     let listing = listing.map_err(|error| Failure::not_run(Cause::StoreDown, error.to_string()))?;
     let rows = listing.map(|listing| listing.rows).unwrap_or_default();
     let epoch = |(path, row): (String, Row)| {
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -18,7 +18,7 @@
         ledger::Ledger, //
     },
     settings::{AgentSettings, BackendKind},
-    table::Platform,
+    table::PlatformClient,
     wire::{FromAgent, Link, LinkEvent, Report, Slot, ToAgent}, //
 };
 use slotmap::SlotMap;
@@ -58,7 +58,7 @@
     leaving: Option<Millis>,
     pub(super) ledger: Ledger,
     pub(super) links: HashMap<LinkKey, LinkState>,
-    pub(super) platform: Platform,
+    pub(super) platform: PlatformClient,
     pub(super) queue: AgentQueue<JobKey>,
     reported: (Millis, Report),
     pub(super) service: ServiceClient,
@@ -135,7 +135,7 @@
             leaving: None,
             ledger: Ledger::new(MAX_ACCOUNTS),
             links: HashMap::new(),
-            platform: Platform::open(settings.common.platform),
+            platform: PlatformClient::open(settings.common.platform),
             queue: AgentQueue::new(settings.policy, backend.capacity, backend.queue),
             reported: (Millis(0), Report::default()),
             service: run_call::client(),
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -4,7 +4,7 @@
     base::{Cause, Failure, Millis, RequestId, stable_hash},
     duty::{Context, Phase},
     policy::claim_batch::{Batch, ClaimOutcome, ClaimQueue, PendingClaim}, //
-    table::{Platform, Transaction, Write, Written},
+    table::{PlatformClient, Transaction, TransactionOutcome, Write},
 };
 use serde::{
     Deserialize,
@@ -54,7 +54,7 @@
         claims: ClaimQueue::new(WINDOW),
         context: context.clone(),
         instance,
-        platform: Platform::open(platform),
+        platform: PlatformClient::open(platform),
         replies: HashMap::new(),
         written: 0,
     };
@@ -83,7 +83,7 @@
     claims: ClaimQueue,
     context: Context,
     instance: String,
-    platform: Platform,
+    platform: PlatformClient,
     replies: HashMap<RequestId, oneshot::Sender<Result<(), Failure>>>,
     written: u64,
 }
@@ -117,14 +117,14 @@
     async fn write(&mut self, batch: Batch) {
         let transaction = self.transaction(&batch);
         match self.platform.transact(&transaction).await {
-            Ok(Written::Committed(versions)) => {
+            Ok(TransactionOutcome::Committed(versions)) => {
                 let now = self.context.clock.now();
                 self.claims.committed(now, &batch, &versions);
                 for wanted in &batch.claims {
                     self.settle(wanted, ClaimOutcome::Granted);
                 }
             }
-            Ok(Written::Conflict { path, .. }) => {
+            Ok(TransactionOutcome::Conflict { path, .. }) => {
                 if let Some(lost) = self.claims.conflicted(batch, &path) {
                     let owner = self.owner(&path).await;
                     self.settle(&lost, ClaimOutcome::Taken(owner));
--- a/src/entry/learner.rs
+++ b/src/entry/learner.rs
@@ -10,7 +10,7 @@
     duty::{Context, Phase},
     policy::subset,
     settings::{EntrySettings, ROOT}, //
-    table::{Platform, Tag},
+    table::{EntityTag, PlatformClient},
 };
 use std::{
     net::SocketAddr,
@@ -39,9 +39,9 @@
     directory: watch::Sender<Arc<Directory>>,
 ) {
     context.drained();
-    let platform = Platform::open(settings.common.platform);
+    let platform = PlatformClient::open(settings.common.platform);
     let mut failed = 0;
-    let mut tags = (Tag::default(), Tag::default());
+    let mut tags = (EntityTag::default(), EntityTag::default());
     loop {
         let known = directory.borrow().clone();
         let peer = peer(&settings, &known, failed);
@@ -72,11 +72,11 @@
 }
 
 async fn learn(
-    platform: &Platform,
+    platform: &PlatformClient,
     forward: &Forward,
     known: &Directory,
     peer: Option<SocketAddr>,
-    tags: &mut (Tag, Tag),
+    tags: &mut (EntityTag, EntityTag),
 ) -> Option<News> {
     if let Some(peer) = peer {
         let (revision, stamp) = (known.revision(), known.stamp());
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -7,7 +7,7 @@
 use crate::{
     base::{Cause, Failure, Millis, stable_hash},
     policy::lease::{Claimant, LEASE_DURATION, LEASE_PREFIX, Lease, LeaseAction, LeaseWatch}, //
-    table::{Platform, StoreError, Transaction, Write, Written},
+    table::{PlatformClient, PlatformError, Transaction, TransactionOutcome, Write},
 };
 
 /// How long a look at the row counts as fresh.
@@ -23,7 +23,7 @@
 pub(super) struct Look {
     /// The row, and whether this entry wrote it just now; an error when the
     /// table gave no answer.
-    found: Result<(Option<Lease>, bool), StoreError>,
+    found: Result<(Option<Lease>, bool), PlatformError>,
 }
 
 impl Rollout {
@@ -158,12 +158,12 @@
     clock: crate::base::Clock,
     me: Claimant,
     path: String,
-    platform: Platform,
+    platform: PlatformClient,
     watch: LeaseWatch,
 }
 
 impl Looker {
-    async fn run(mut self) -> Result<(Option<Lease>, bool), StoreError> {
+    async fn run(mut self) -> Result<(Option<Lease>, bool), PlatformError> {
         let row = self.platform.get(&self.path).await?;
         let version = row.as_ref().map_or(0, |row| row.version);
         let lease = row.and_then(|row| serde_json::from_str::<Lease>(&row.value).ok());
@@ -175,18 +175,18 @@
         let content = (next.epoch, next.renewals);
         let write = write(&self.path, version, &next, &self.me, content);
         match self.platform.transact(&write).await? {
-            Written::Committed(_) => Ok((Some(next), true)),
-            Written::Conflict { .. } => Ok((lease, false)),
+            TransactionOutcome::Committed(_) => Ok((Some(next), true)),
+            TransactionOutcome::Conflict { .. } => Ok((lease, false)),
         }
     }
 }
 
 async fn give_back(
-    platform: &Platform,
+    platform: &PlatformClient,
     path: &str,
     me: &Claimant,
     epoch: u64,
-) -> Result<(), StoreError> {
+) -> Result<(), PlatformError> {
     let Some(row) = platform.get(path).await? else {
         return Ok(());
     };
--- a/src/entry/rollout.rs
+++ b/src/entry/rollout.rs
@@ -19,7 +19,7 @@
         step_spec::StepSpec, //
     },
     settings::RolloutSettings,
-    table::Platform,
+    table::PlatformClient,
 };
 use ractor::ActorRef;
 use serde_json::{
@@ -90,7 +90,7 @@
     pub(super) draining: bool,
     pub(super) issue: Issue,
     pub(super) me: Claimant,
-    pub(super) platform: Platform,
+    pub(super) platform: PlatformClient,
     pub(super) told: mpsc::Sender<Told>,
     pub(super) traffic: mpsc::Sender<Command>,
     pub(super) trainers: BTreeMap<TrainerKey, Trainer>,
@@ -123,7 +123,7 @@
                 draining: false,
                 issue: self.issue,
                 me: self.me,
-                platform: Platform::open(self.platform),
+                platform: PlatformClient::open(self.platform),
                 told,
                 traffic: self.traffic,
                 trainers: BTreeMap::new(),
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -8,7 +8,7 @@
 use crate::{
     base::{Clock, stable_hash},
     settings::{PoolSettings, SettingsError, TEAMS, TeamSettings, read}, //
-    table::{Platform, Transaction, Write, Written},
+    table::{PlatformClient, Transaction, TransactionOutcome, Write},
 };
 use argh::FromArgs;
 use snafu::ResultExt;
@@ -64,7 +64,7 @@
     pub(super) async fn run(self) -> Result<(), OperatorError> {
         let path = row(&self.path)?;
         let text = checked(&self.path, &self.file)?;
-        let platform = Platform::open(self.platform);
+        let platform = PlatformClient::open(self.platform);
         let expect = match self.expect {
             Some(expect) => expect,
             None => platform.get(&path).await?.map_or(0, |row| row.version),
@@ -85,12 +85,12 @@
             }],
         };
         match platform.transact(&transaction).await? {
-            Written::Committed(versions) => {
+            TransactionOutcome::Committed(versions) => {
                 let version = versions.first().copied().unwrap_or_default();
                 println!("`{}` accepted as version {version}", self.path);
                 Ok(())
             }
-            Written::Conflict { version, .. } => ConflictSnafu {
+            TransactionOutcome::Conflict { version, .. } => ConflictSnafu {
                 expected: expect,
                 path: self.path,
                 version,
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::Millis,
-    table::{JsonClient, Platform, Tag}, //
+    table::{EntityTag, JsonClient, PlatformClient}, //
 };
 use argh::FromArgs;
 use hyper::Method;
@@ -60,8 +60,8 @@
 ) -> Result<Vec<SocketAddr>, OperatorError> {
     let mut all = named;
     if let Some(platform) = platform {
-        let listed = Platform::open(platform)
-            .instances(&mut Tag::default())
+        let listed = PlatformClient::open(platform)
+            .instances(&mut EntityTag::default())
             .await?;
         let entries = listed
             .unwrap_or_default()
--- a/src/operator/shared_settings.rs
+++ b/src/operator/shared_settings.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     settings::{POOLS, ROOT, TEAMS}, //
-    table::{Platform, Tag},
+    table::{EntityTag, PlatformClient},
 };
 use argh::FromArgs;
 use snafu::{
@@ -53,7 +53,9 @@
 
 impl GetCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        let found = Platform::open(self.platform).get(&row(&self.path)?).await?;
+        let found = PlatformClient::open(self.platform)
+            .get(&row(&self.path)?)
+            .await?;
         let found = found.context(NoSettingsSnafu { path: self.path })?;
         println!("# version {}", found.version);
         println!("{}", found.value.trim_end());
@@ -63,8 +65,8 @@
 
 impl ListCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        let listing = Platform::open(self.platform)
-            .list(ROOT, &mut Tag::default())
+        let listing = PlatformClient::open(self.platform)
+            .list(ROOT, &mut EntityTag::default())
             .await?;
         for (path, row) in listing.unwrap_or_default().rows {
             let path = path.strip_prefix(ROOT).unwrap_or(&path);
--- a/src/table/client.rs
+++ b/src/table/client.rs
@@ -3,10 +3,10 @@
 use super::{
     Instance,
     JsonClient,
-    StoreError,
+    PlatformError,
     Transaction,
-    Written,
-    store_error::{AnswerSnafu, StatusSnafu, UnavailableSnafu}, //
+    TransactionOutcome,
+    platform_error::{InvalidMessageSnafu, StatusSnafu, UnreachableSnafu}, //
 };
 use crate::base::Millis;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
 
 /// Names what was read last, so that it is sent again only when it changed.
 #[derive(Clone, Debug, Default)]
-pub struct Tag(Option<HeaderValue>);
+pub struct EntityTag(Option<HeaderValue>);
 
 /// Rows as of one revision.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -47,77 +47,90 @@
 
 /// A client of the platform's services.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct PlatformClient {
     http: JsonClient,
 }
 
 /// How long one request may take.
-const TIMEOUT: Millis = Millis(1_000);
+const REQUEST_TIMEOUT: Millis = Millis(1_000);
 
 /// How often a transaction is asked for until its outcome is known.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
-impl Platform {
+impl PlatformClient {
     /// A client of the platform at `address`.
     pub fn open(address: SocketAddr) -> Self {
         Self {
-            http: JsonClient::open(address, TIMEOUT),
+            http: JsonClient::open(address, REQUEST_TIMEOUT),
         }
     }
 
     /// The row at `path`.
-    pub async fn get(&self, path: &str) -> Result<Option<Row>, StoreError> {
-        self.read(&format!("/table/{path}")).await
+    pub async fn get(&self, path: &str) -> Result<Option<Row>, PlatformError> {
+        self.get_json(&format!("/table/{path}")).await
     }
 
     /// The list of instances, unless it still is what `tag` names.
-    pub async fn instances(&self, tag: &mut Tag) -> Result<Option<Vec<Instance>>, StoreError> {
-        self.changed("/instances", tag).await
+    pub async fn instances(
+        &self,
+        tag: &mut EntityTag,
+    ) -> Result<Option<Vec<Instance>>, PlatformError> {
+        self.get_if_changed("/instances", tag).await
     }
 
     /// All rows whose path begins with `prefix`, unless they still are what
     /// `tag` names.
-    pub async fn list(&self, prefix: &str, tag: &mut Tag) -> Result<Option<Listing>, StoreError> {
-        self.changed(&format!("/table?prefix={prefix}"), tag).await
+    pub async fn list(
+        &self,
+        prefix: &str,
+        tag: &mut EntityTag,
+    ) -> Result<Option<Listing>, PlatformError> {
+        self.get_if_changed(&format!("/table?prefix={prefix}"), tag)
+            .await
     }
 
     /// The object `key`.
-    pub async fn object(&self, key: &str) -> Result<Option<Bytes>, StoreError> {
+    pub async fn object(&self, key: &str) -> Result<Option<Bytes>, PlatformError> {
         let path = format!("/objects/{key}");
         let (status, body) = self.call(Method::GET, &path, Vec::new()).await?;
         match status {
             StatusCode::OK => Ok(Some(body)),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => unexpected(&path, status),
+            _ => unexpected_status(&path, status),
         }
     }
 
     /// Stores an object unless one of that name exists; tells whether it did.
-    pub async fn put_object(&self, key: &str, content: Vec<u8>) -> Result<bool, StoreError> {
+    pub async fn put_object(&self, key: &str, content: Vec<u8>) -> Result<bool, PlatformError> {
         let path = format!("/objects/{key}");
         let (status, _) = self.call(Method::PUT, &path, content).await?;
         match status {
             StatusCode::CREATED => Ok(true),
             StatusCode::CONFLICT => Ok(false),
-            _ => unexpected(&path, status),
+            _ => unexpected_status(&path, status),
         }
     }
 
     /// Does `transaction`, asking again with its token while the outcome is unknown.
-    pub async fn transact(&self, transaction: &Transaction) -> Result<Written, StoreError> {
+    pub async fn transact(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, PlatformError> {
         let path = "/table";
-        let body = serde_json::to_vec(transaction).context(AnswerSnafu { path })?;
-        let mut tries = 0;
+        let body = serde_json::to_vec(transaction).context(InvalidMessageSnafu { path })?;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             // An answer can be lost after the write took effect. The same
             // token makes the repeat return the first outcome.
             match self.call(Method::POST, path, body.clone()).await {
                 Ok((StatusCode::OK, answer)) => {
-                    return serde_json::from_slice(&answer).context(AnswerSnafu { path });
+                    return serde_json::from_slice(&answer).context(InvalidMessageSnafu { path });
+                }
+                Ok((status, _)) if attempts >= MAX_ATTEMPTS => {
+                    return unexpected_status(path, status);
                 }
-                Ok((status, _)) if tries >= TRIES => return unexpected(path, status),
-                Err(error) if tries >= TRIES => return Err(error),
+                Err(error) if attempts >= MAX_ATTEMPTS => return Err(error),
                 Ok(_) | Err(_) => {}
             }
         }
@@ -128,49 +141,49 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<(StatusCode, Bytes), StoreError> {
-        count(&method);
+    ) -> Result<(StatusCode, Bytes), PlatformError> {
+        count_request(&method);
         let answer = self.http.call(method, path, body).await;
-        answer.context(UnavailableSnafu)
+        answer.context(UnreachableSnafu)
     }
 
-    async fn changed<T: DeserializeOwned>(
+    async fn get_if_changed<T: DeserializeOwned>(
         &self,
         path: &str,
-        tag: &mut Tag,
-    ) -> Result<Option<T>, StoreError> {
-        count(&Method::GET);
-        let answer = self.http.get_changed(path, tag.0.as_ref()).await;
-        let (status, body, now) = answer.context(UnavailableSnafu)?;
+        tag: &mut EntityTag,
+    ) -> Result<Option<T>, PlatformError> {
+        count_request(&Method::GET);
+        let answer = self.http.get_if_changed(path, tag.0.as_ref()).await;
+        let (status, body, new_tag) = answer.context(UnreachableSnafu)?;
         match status {
             StatusCode::NOT_MODIFIED => Ok(None),
             StatusCode::OK => {
-                let value = serde_json::from_slice(&body).context(AnswerSnafu { path })?;
-                tag.0 = now;
+                let value = serde_json::from_slice(&body).context(InvalidMessageSnafu { path })?;
+                tag.0 = new_tag;
                 Ok(Some(value))
             }
-            _ => unexpected(path, status),
+            _ => unexpected_status(path, status),
         }
     }
 
-    async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<Option<T>, StoreError> {
+    async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<Option<T>, PlatformError> {
         let (status, body) = self.call(Method::GET, path, Vec::new()).await?;
         match status {
             StatusCode::OK => serde_json::from_slice(&body)
-                .context(AnswerSnafu { path })
+                .context(InvalidMessageSnafu { path })
                 .map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => unexpected(path, status),
+            _ => unexpected_status(path, status),
         }
     }
 }
 
-fn count(method: &Method) {
+fn count_request(method: &Method) {
     let method = method.to_string();
     metrics::counter!("redwing_platform_requests_total", "method" => method).increment(1);
 }
 
-fn unexpected<T>(path: &str, status: StatusCode) -> Result<T, StoreError> {
+fn unexpected_status<T>(path: &str, status: StatusCode) -> Result<T, PlatformError> {
     StatusSnafu {
         path,
         status: status.as_u16(),
--- a/src/table/json_client.rs
+++ b/src/table/json_client.rs
@@ -44,7 +44,7 @@
 }
 
 /// The largest answer that is read.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_BODY: usize = 64 * 1024 * 1024;
 
 impl JsonClient {
     /// A client of `address` that waits at most `timeout` for a whole answer.
@@ -77,15 +77,15 @@
         }
     }
 
-    /// Reads `path` unless it still is what `tag` names (RFC 9110, `ETag`).
-    pub async fn get_changed(
+    /// Reads `path` unless it still is what `etag` names (RFC 9110, `ETag`).
+    pub async fn get_if_changed(
         &self,
         path: &str,
-        tag: Option<&HeaderValue>,
+        etag: Option<&HeaderValue>,
     ) -> Result<(StatusCode, Bytes, Option<HeaderValue>), HttpError> {
         let mut builder = self.builder(Method::GET, path);
-        if let Some(tag) = tag {
-            builder = builder.header(IF_NONE_MATCH, tag);
+        if let Some(etag) = etag {
+            builder = builder.header(IF_NONE_MATCH, etag);
         }
         let answer = self.exchange(builder, path, Vec::new());
         match tokio::time::timeout(self.timeout.as_duration(), answer).await {
@@ -129,10 +129,10 @@
             self.error(path, verdict, &error)
         })?;
         let status = answer.status();
-        let tag = answer.headers().get(ETAG).cloned();
-        let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+        let etag = answer.headers().get(ETAG).cloned();
+        let body = Limited::new(answer.into_body(), MAX_BODY).collect().await;
         let body = body.map_err(|error| self.error(path, Verdict::MayHaveRun, &error))?;
-        Ok((status, body.to_bytes(), tag))
+        Ok((status, body.to_bytes(), etag))
     }
 
     fn error(&self, path: &str, verdict: Verdict, message: &dyn ToString) -> HttpError {
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -3,13 +3,13 @@
 mod client;
 mod instance;
 mod json_client;
-mod store_error;
+mod platform_error;
 mod write;
 
 pub use self::{
-    client::{Listing, Platform, Row, Tag},
+    client::{EntityTag, Listing, PlatformClient, Row},
     instance::{Instance, InstanceState},
     json_client::{HttpError, JsonClient},
-    store_error::StoreError,
-    write::{Transaction, Write, Written}, //
+    platform_error::PlatformError,
+    write::{Transaction, TransactionOutcome, Write}, //
 };
--- a/src/table/write.rs
+++ b/src/table/write.rs
@@ -28,7 +28,7 @@
 /// The outcome of a transaction.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Written {
+pub enum TransactionOutcome {
     /// The new version of each row, in the order of the writes.
     Committed(Vec<u64>),
     /// A row had another version than expected; nothing was changed.
--- a/standins/src/platform/table.rs
+++ b/standins/src/platform/table.rs
@@ -4,7 +4,7 @@
     Listing,
     Row,
     Transaction,
-    Written, //
+    TransactionOutcome, //
 };
 use std::collections::{
     BTreeMap,
@@ -14,7 +14,7 @@
 /// Rows by path, and the outcomes of operations by their token.
 #[derive(Debug, Default)]
 pub struct Table {
-    outcomes: HashMap<String, Written>,
+    outcomes: HashMap<String, TransactionOutcome>,
     revision: u64,
     rows: BTreeMap<String, Row>,
 }
@@ -39,7 +39,7 @@
     }
 
     /// Does all writes or none; a repeated token returns the first outcome.
-    pub fn transact(&mut self, transaction: Transaction) -> Written {
+    pub fn transact(&mut self, transaction: Transaction) -> TransactionOutcome {
         if let Some(outcome) = self.outcomes.get(&transaction.token) {
             return outcome.clone();
         }
@@ -48,12 +48,12 @@
         outcome
     }
 
-    fn write(&mut self, transaction: &Transaction) -> Written {
+    fn write(&mut self, transaction: &Transaction) -> TransactionOutcome {
         for write in &transaction.writes {
             let version = self.rows.get(&write.path).map_or(0, |row| row.version);
             if version != write.expect {
                 let path = write.path.clone();
-                return Written::Conflict { path, version };
+                return TransactionOutcome::Conflict { path, version };
             }
         }
 
@@ -72,7 +72,7 @@
                 }
             }
         }
-        Written::Committed(vec![self.revision; transaction.writes.len()])
+        TransactionOutcome::Committed(vec![self.revision; transaction.writes.len()])
     }
 }
 
@@ -96,10 +96,10 @@
     fn a_repeated_token_returns_the_first_outcome() {
         let mut table = Table::default();
         let first = table.transact(transaction("one", 0));
-        assert_eq!(first, Written::Committed(vec![1]));
+        assert_eq!(first, TransactionOutcome::Committed(vec![1]));
         assert_eq!(table.transact(transaction("one", 0)), first);
         let path = "a".to_owned();
-        let conflict = Written::Conflict { path, version: 1 };
+        let conflict = TransactionOutcome::Conflict { path, version: 1 };
         assert_eq!(table.transact(transaction("two", 0)), conflict);
     }
 }
