--- a/src/agent/job_io.rs
+++ b/src/agent/job_io.rs
@@ -4,8 +4,8 @@
     FromAgent,
     Link,
     MESSAGE_COST,
+    STREAM_WINDOW, //
     Slot,
-    WINDOW, //
 };
 use std::sync::Arc;
 use tokio::sync::Semaphore;
@@ -21,7 +21,7 @@
 impl JobIo {
     pub(super) fn new(link: Link<FromAgent>, slot: Slot) -> Self {
         Self {
-            credit: Arc::new(Semaphore::new(WINDOW as usize)),
+            credit: Arc::new(Semaphore::new(STREAM_WINDOW as usize)),
             link,
             slot,
         }
@@ -40,14 +40,14 @@
     /// The entry took `bytes` more.
     pub(super) fn give(&self, bytes: u32) {
         // A peer could otherwise add credit until the counter overflows.
-        let room = (WINDOW as usize).saturating_sub(self.credit.available_permits());
+        let room = (STREAM_WINDOW as usize).saturating_sub(self.credit.available_permits());
         self.credit.add_permits(room.min(bytes as usize));
     }
 
     /// Sends `message`, waiting for credit for `payload` bytes, so that one
     /// slow caller holds up its own stream only.
     pub(super) async fn send(&self, payload: usize, message: FromAgent) {
-        let cost = (payload as u32 + MESSAGE_COST).min(WINDOW);
+        let cost = (payload as u32 + MESSAGE_COST).min(STREAM_WINDOW);
         let Ok(permit) = self.credit.acquire_many(cost).await else {
             return;
         };
--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -14,14 +14,14 @@
         agent_queue::{self, Item, OfferOutcome},
         claims::KeyClaim, //
     },
-    wire::{FromAgent, Slot, Start, WINDOW, Work as Task}, //
+    wire::{FromAgent, STREAM_WINDOW, Slot, Start, Work as Task}, //
 };
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
 /// The body parts that may wait for the backend server. The window bounds
 /// them by bytes, and each costs at least `MESSAGE_COST` of it.
-const PARTS: usize = (WINDOW / crate::wire::MESSAGE_COST) as usize;
+const PARTS: usize = (STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize;
 
 /// How long after its deadline a call with nobody waiting may still run.
 const LINGER: Millis = Millis(30_000);
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -7,7 +7,7 @@
 use crate::{
     base::{Cause, Failure, Millis, Priority, Span, Tokens, Verdict, WeightVersion},
     engine::{Completion, EngineEvent, TokenStream},
-    wire::{EngineState, Finish, FromAgent, Generation}, //
+    wire::{EngineState, FinishReason, FromAgent, Generation}, //
 };
 use std::sync::Arc;
 use tokio::{
@@ -46,7 +46,7 @@
 enum Turn {
     /// The state changed under the tokens: those in doubt are void.
     Doubt,
-    Finished(Finish),
+    Finished(FinishReason),
     /// The weights are about to change: all tokens so far are labelled.
     Paused,
 }
@@ -166,7 +166,7 @@
         Ok(true)
     }
 
-    async fn finish(self, finish: Finish) -> Vec<Span> {
+    async fn finish(self, finish: FinishReason) -> Vec<Span> {
         let slot = self.io.slot;
         let finish = Some(finish);
         self.io.finish(FromAgent::End { slot, finish }).await;
--- a/src/engine/stream.rs
+++ b/src/engine/stream.rs
@@ -3,7 +3,7 @@
 use super::Chunk;
 use crate::{
     base::{Cause, Failure},
-    wire::Finish, //
+    wire::FinishReason, //
 };
 use hyper::body::Incoming;
 use sse_stream::SseStream;
@@ -16,7 +16,7 @@
 /// An event of an engine's stream.
 #[derive(Debug, PartialEq)]
 pub enum EngineEvent {
-    Finished(Finish),
+    Finished(FinishReason),
     Token(String),
 }
 
@@ -26,7 +26,7 @@
 pub struct TokenStream {
     events: Pin<Box<Events>>,
     /// The finish reason, once it was received.
-    finish: Option<Finish>,
+    finish: Option<FinishReason>,
 }
 
 /// The data of the event that marks the end of a complete answer.
@@ -71,8 +71,8 @@
             return Ok(None);
         };
         match choice.finish_reason.as_deref() {
-            Some("length") => self.finish = Some(Finish::Length),
-            Some(_) => self.finish = Some(Finish::Stop),
+            Some("length") => self.finish = Some(FinishReason::Length),
+            Some(_) => self.finish = Some(FinishReason::Stop),
             None => {}
         }
         Ok(choice.text.filter(|text| !text.is_empty()))
--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -17,7 +17,7 @@
     duty::{Answer, problem, text},
     policy::claim_batch::PendingClaim,
     settings::BackendKind,
-    wire::{CallHead, WINDOW, Work}, //
+    wire::{CallHead, STREAM_WINDOW, Work}, //
 };
 use bytes::Bytes;
 use hyper::{
@@ -242,7 +242,7 @@
             request,
             ring,
             traffic: self.traffic.clone(),
-            window: Arc::new(Semaphore::new(WINDOW as usize)),
+            window: Arc::new(Semaphore::new(STREAM_WINDOW as usize)),
         })
     }
 }
--- a/src/entry/chat_api.rs
+++ b/src/entry/chat_api.rs
@@ -12,7 +12,7 @@
     base::{Cause, Failure, RequestId, Span, Tokens},
     duty::details,
     engine::{Choice, Delta, Message},
-    wire::{Finish, Generation, Sampling}, //
+    wire::{FinishReason, Generation, Sampling}, //
 };
 use bytes::Bytes;
 use http_body_util::{
@@ -107,7 +107,7 @@
         }
     }
 
-    fn choice(self, text: String, stream: bool, finish: Option<Finish>) -> Choice {
+    fn choice(self, text: String, stream: bool, finish: Option<FinishReason>) -> Choice {
         let finish_reason = finish.map(|finish| finish.word().to_owned());
         let empty = Choice {
             finish_reason,
@@ -261,7 +261,7 @@
             match reply {
                 Some(Reply::End(finish)) => {
                     self.ended = Some(true);
-                    let last = self.event(String::new(), finish.or(Some(Finish::Stop)));
+                    let last = self.event(String::new(), finish.or(Some(FinishReason::Stop)));
                     self.replies.whole();
                     return Next::Events(format!("{last}data: [DONE]\n\n"));
                 }
@@ -293,7 +293,7 @@
         }
     }
 
-    fn event(&self, text: String, finish: Option<Finish>) -> String {
+    fn event(&self, text: String, finish: Option<FinishReason>) -> String {
         let call = &self.call;
         let provenance = finish.map(|_| provenance(self.replies.request, &self.spans));
         let answer = Answer {
--- a/src/entry/command.rs
+++ b/src/entry/command.rs
@@ -7,7 +7,7 @@
 use crate::{
     base::{Failure, Millis, Priority, RequestId, Span, Tokens, WeightVersion},
     policy::{admission::Limits, explanation::Explanation},
-    wire::{EngineState, Finish, Order, Work}, //
+    wire::{EngineState, FinishReason, Order, Work}, //
 };
 use bytes::Bytes;
 use tokio::sync::{
@@ -40,7 +40,7 @@
     /// The agent took this much of the request's body.
     Credit(u32),
     Data(Bytes),
-    End(Option<Finish>),
+    End(Option<FinishReason>),
     Failed(Failure),
     Head {
         status: u16,
@@ -53,7 +53,8 @@
 
 /// The replies that may wait for one call; the window bounds them by bytes,
 /// and each costs at least `MESSAGE_COST` of it.
-pub(super) const REPLIES: usize = (crate::wire::WINDOW / crate::wire::MESSAGE_COST) as usize + 8;
+pub(super) const REPLIES: usize =
+    (crate::wire::STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize + 8;
 
 /// A command to the traffic duty.
 pub(super) enum Command {
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -47,8 +47,8 @@
 /// beat slowly; a silent end is found in time for settings to be learned
 /// elsewhere within 8 s.
 pub(super) const TUNING: LinkTuning = LinkTuning {
-    beat: Millis(2_500),
-    silence: Millis(6_000),
+    heartbeat_interval: Millis(2_500),
+    silence_timeout: Millis(6_000),
 };
 
 /// The largest answer that is passed on.
--- a/src/entry/peer_door.rs
+++ b/src/entry/peer_door.rs
@@ -17,9 +17,9 @@
         LinkEvent,
         MAX_CHUNK,
         MESSAGE_COST,
+        STREAM_WINDOW,
         Slot,
         ToAgent,
-        WINDOW,
         Work,
         handshake,
         run_link, //
@@ -158,7 +158,7 @@
         headers,
     })
     .await;
-    let mut credit = WINDOW;
+    let mut credit = STREAM_WINDOW;
     while !body.is_empty() {
         let bytes = body.split_to(body.len().min(MAX_CHUNK));
         let cost = bytes.len() as u32 + MESSAGE_COST;
@@ -167,7 +167,7 @@
                 Some(LinkEvent::Message {
                     message: ToAgent::Credit { bytes, .. },
                     ..
-                }) => credit = (credit + bytes).min(WINDOW),
+                }) => credit = (credit + bytes).min(STREAM_WINDOW),
                 Some(LinkEvent::Message { .. }) => {}
                 Some(LinkEvent::Down { .. } | LinkEvent::Up { .. }) | None => return,
             }
--- a/src/entry/reply_body.rs
+++ b/src/entry/reply_body.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     base::RequestId,
-    wire::{MESSAGE_COST, WINDOW}, //
+    wire::{MESSAGE_COST, STREAM_WINDOW}, //
 };
 use bytes::Bytes;
 use http_body_util::{
@@ -49,7 +49,8 @@
         loop {
             match self.ring.recv().await? {
                 Reply::Credit(bytes) => {
-                    let room = (WINDOW as usize).saturating_sub(self.window.available_permits());
+                    let room =
+                        (STREAM_WINDOW as usize).saturating_sub(self.window.available_permits());
                     self.window.add_permits(room.min(bytes as usize));
                 }
                 reply => return Some(reply),
@@ -61,7 +62,7 @@
     /// of it in larger parts.
     pub(super) async fn took(&mut self, payload: usize) {
         self.owed += payload as u32 + MESSAGE_COST;
-        if self.owed < WINDOW / 2 {
+        if self.owed < STREAM_WINDOW / 2 {
             return;
         }
         let credit = Command::Credit {
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -17,7 +17,7 @@
         WeightVersion, //
     },
     policy::{admission::Limits, step::Sample},
-    wire::{CallHead, Finish, Generation, MESSAGE_COST, Work}, //
+    wire::{CallHead, FinishReason, Generation, MESSAGE_COST, Work}, //
 };
 use bytes::{
     Bytes,
@@ -58,7 +58,7 @@
 
 /// A generation that came to its end.
 struct Made {
-    finish: Finish,
+    finish: FinishReason,
     spans: Vec<Span>,
     tokens: Tokens,
 }
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -25,7 +25,7 @@
 pub const MAX_FRAME: usize = 256 * 1024;
 
 const LENGTH_BYTES: usize = 4;
-const VERSION: u8 = 1;
+const PROTOCOL_VERSION: u8 = 1;
 
 /// Takes one message off the front of `buffer`; `None` until it is whole.
 ///
@@ -54,9 +54,9 @@
     let body = buffer.split_to(length);
     let version = body[0];
     ensure!(
-        version == VERSION,
+        version == PROTOCOL_VERSION,
         VersionSnafu {
-            expected: VERSION,
+            expected: PROTOCOL_VERSION,
             version,
         }
     );
@@ -69,7 +69,7 @@
 pub fn encode<T: Serialize>(value: &T, buffer: &mut BytesMut) -> Result<(), MessageError> {
     let start = buffer.len();
     buffer.put_u32_le(0);
-    buffer.put_u8(VERSION);
+    buffer.put_u8(PROTOCOL_VERSION);
 
     let written = postcard::to_io(value, (&mut *buffer).writer()).map(|_| ());
     let length = buffer.len() - start - LENGTH_BYTES;
--- a/src/wire/from_agent.rs
+++ b/src/wire/from_agent.rs
@@ -2,7 +2,7 @@
 
 use super::{
     EngineState,
-    Finish,
+    FinishReason,
     Report,
     Slot, //
 };
@@ -39,7 +39,7 @@
     /// The answer is whole. `finish` is set for generations only.
     End {
         slot: Slot,
-        finish: Option<Finish>,
+        finish: Option<FinishReason>,
     },
     Failed {
         slot: Slot,
--- a/src/wire/generation.rs
+++ b/src/wire/generation.rs
@@ -17,12 +17,12 @@
 /// Why a generation ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Finish {
+pub enum FinishReason {
     Length,
     Stop,
 }
 
-impl Finish {
+impl FinishReason {
     /// The word used in the completions protocol.
     pub fn word(self) -> &'static str {
         match self {
--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -22,7 +22,7 @@
 
 /// A connection whose other end has shown that it belongs to the deployment.
 #[derive(Debug)]
-pub struct Opened {
+pub struct PeerConnection {
     pub hello: Hello,
     /// What arrived behind the hello.
     pub(super) rest: BytesMut,
@@ -33,33 +33,33 @@
 #[derive(Debug, Snafu)]
 pub enum HandshakeError {
     #[snafu(display("the connection broke: {source}"))]
-    Broken { source: std::io::Error },
+    Io { source: std::io::Error },
     #[snafu(display("the other end closed the connection"))]
     Closed,
     #[snafu(display("`{instance}` does not know this deployment's key"))]
-    Key { instance: String },
+    WrongKey { instance: String },
     #[snafu(display("{source}"))]
     Message { source: MessageError },
     #[snafu(display("no hello came in time"))]
-    Slow,
+    TimedOut,
 }
 
 /// How long the other end may take.
-const TIMEOUT: Millis = Millis(2_000);
+const HANDSHAKE_TIMEOUT: Millis = Millis(2_000);
 
 /// Sends `mine` and waits for the other end's hello.
-pub async fn handshake(stream: TcpStream, mine: &Hello) -> Result<Opened, HandshakeError> {
-    match timeout(TIMEOUT.as_duration(), exchange(stream, mine)).await {
-        Ok(opened) => opened,
-        Err(_) => SlowSnafu.fail(),
+pub async fn handshake(stream: TcpStream, mine: &Hello) -> Result<PeerConnection, HandshakeError> {
+    match timeout(HANDSHAKE_TIMEOUT.as_duration(), exchange(stream, mine)).await {
+        Ok(connection) => connection,
+        Err(_) => TimedOutSnafu.fail(),
     }
 }
 
-async fn exchange(mut stream: TcpStream, mine: &Hello) -> Result<Opened, HandshakeError> {
-    stream.set_nodelay(true).context(BrokenSnafu)?;
+async fn exchange(mut stream: TcpStream, mine: &Hello) -> Result<PeerConnection, HandshakeError> {
+    stream.set_nodelay(true).context(IoSnafu)?;
     let mut out = BytesMut::new();
     encode(&Frame::Message(mine), &mut out).context(MessageSnafu)?;
-    stream.write_all(&out).await.context(BrokenSnafu)?;
+    stream.write_all(&out).await.context(IoSnafu)?;
 
     let mut rest = BytesMut::with_capacity(1_024);
     let hello: Hello = loop {
@@ -68,12 +68,12 @@
             Some(Frame::Beat) => continue,
             None => {}
         }
-        let read = stream.read_buf(&mut rest).await.context(BrokenSnafu)?;
+        let read = stream.read_buf(&mut rest).await.context(IoSnafu)?;
         ensure!(read > 0, ClosedSnafu);
     };
     let instance = hello.instance.clone();
-    ensure!(hello.key == mine.key, KeySnafu { instance });
-    Ok(Opened {
+    ensure!(hello.key == mine.key, WrongKeySnafu { instance });
+    Ok(PeerConnection {
         hello,
         rest,
         stream,
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -6,7 +6,7 @@
     MAX_FRAME,
     decode,
     encode,
-    handshake::Opened, //
+    handshake::PeerConnection, //
 };
 use crate::base::{
     Clock,
@@ -32,16 +32,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LinkTuning {
     /// A beat is sent when nothing else was sent for this long.
-    pub beat: Millis,
+    pub heartbeat_interval: Millis,
     /// A link on which nothing was heard for this long is given up.
-    pub silence: Millis,
+    pub silence_timeout: Millis,
 }
 
 impl Default for LinkTuning {
     fn default() -> Self {
         Self {
-            beat: Millis(750),
-            silence: Millis(2_500),
+            heartbeat_interval: Millis(750),
+            silence_timeout: Millis(2_500),
         }
     }
 }
@@ -97,18 +97,18 @@
 }
 
 /// The messages that may wait for one link's writer.
-const OUT_RING: usize = 4_096;
+const MAX_WAITING_MESSAGES: usize = 4_096;
 
 /// The room made in the buffer before each read.
-const READ_ROOM: usize = 8 * 1024;
+const MIN_READ_SPACE: usize = 8 * 1024;
 
 /// The bytes that are gathered into one write.
-const WRITE_BATCH: usize = 64 * 1024;
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
-/// Runs a link over `opened` until it breaks, falls silent or all its senders
+/// Runs a link over `connection` until it breaks, falls silent or all its senders
 /// are dropped; what happens on it goes to `inbox` under the name `link`.
 pub async fn run_link<K, In, Out>(
-    opened: Opened,
+    connection: PeerConnection,
     link: K,
     inbox: mpsc::Sender<LinkEvent<K, In, Out>>,
     tuning: LinkTuning,
@@ -117,12 +117,12 @@
     In: DeserializeOwned,
     Out: Serialize,
 {
-    let (reader, writer) = opened.stream.into_split();
-    let (out, ring) = mpsc::channel(OUT_RING);
+    let (reader, writer) = connection.stream.into_split();
+    let (out, queue) = mpsc::channel(MAX_WAITING_MESSAGES);
     let clock = Clock::open();
-    let heard = AtomicU64::new(clock.now().0);
+    let last_received = AtomicU64::new(clock.now().0);
     let up = LinkEvent::Up {
-        hello: opened.hello,
+        hello: connection.hello,
         link: link.clone(),
         sender: Link { out },
     };
@@ -131,8 +131,8 @@
     }
 
     let reason = tokio::select! {
-        reason = read(reader, opened.rest, &link, &inbox, clock, &heard) => reason,
-        reason = write(writer, ring, clock, &heard, tuning) => reason,
+        reason = read(reader, connection.rest, &link, &inbox, clock, &last_received) => reason,
+        reason = write(writer, queue, clock, &last_received, tuning) => reason,
     };
     let _ = inbox.send(LinkEvent::Down { link, reason }).await;
 }
@@ -143,7 +143,7 @@
     link: &K,
     inbox: &mpsc::Sender<LinkEvent<K, In, Out>>,
     clock: Clock,
-    heard: &AtomicU64,
+    last_received: &AtomicU64,
 ) -> &'static str {
     loop {
         loop {
@@ -156,7 +156,7 @@
                     if inbox.send(event).await.is_err() {
                         return "no longer wanted";
                     }
-                    heard.store(clock.now().0, Ordering::Relaxed);
+                    last_received.store(clock.now().0, Ordering::Relaxed);
                 }
                 Err(error) => {
                     tracing::warn!(%error, "closing a link that sent no message");
@@ -165,10 +165,10 @@
             }
         }
 
-        buffer.reserve(READ_ROOM);
+        buffer.reserve(MIN_READ_SPACE);
         match reader.read_buf(&mut buffer).await {
             Ok(0) => return "closed by the peer",
-            Ok(_) => heard.store(clock.now().0, Ordering::Relaxed),
+            Ok(_) => last_received.store(clock.now().0, Ordering::Relaxed),
             Err(_) => return "broken",
         }
     }
@@ -176,30 +176,30 @@
 
 async fn write<Out: Serialize>(
     mut writer: OwnedWriteHalf,
-    mut ring: mpsc::Receiver<Out>,
+    mut queue: mpsc::Receiver<Out>,
     clock: Clock,
-    heard: &AtomicU64,
+    last_received: &AtomicU64,
     tuning: LinkTuning,
 ) -> &'static str {
     let mut buffer = BytesMut::with_capacity(16 * 1024);
-    let mut beat = interval(tuning.beat.as_duration());
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    beat.reset();
+    let mut heartbeat = interval(tuning.heartbeat_interval.as_duration());
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    heartbeat.reset();
 
     loop {
         tokio::select! {
-            message = ring.recv() => match message {
-                Some(message) => push(&Frame::Message(message), &mut buffer),
+            message = queue.recv() => match message {
+                Some(message) => encode_frame(&Frame::Message(message), &mut buffer),
                 None => {
                     let _ = writer.shutdown().await;
                     return "no longer wanted";
                 }
             },
-            _ = beat.tick() => push(&Frame::<Out>::Beat, &mut buffer),
+            _ = heartbeat.tick() => encode_frame(&Frame::<Out>::Beat, &mut buffer),
         }
-        while buffer.len() < WRITE_BATCH {
-            match ring.try_recv() {
-                Ok(message) => push(&Frame::Message(message), &mut buffer),
+        while buffer.len() < WRITE_BATCH_BYTES {
+            match queue.try_recv() {
+                Ok(message) => encode_frame(&Frame::Message(message), &mut buffer),
                 Err(_) => break,
             }
         }
@@ -208,14 +208,19 @@
         // between the two ends has lost track of it. It shows as nothing
         // heard, or as a write that doesn't end. Both ends beat, so silence
         // in either direction is found by one of them within the bound.
-        let heard_at = Millis(heard.load(Ordering::Relaxed));
-        if clock.now().since(heard_at) > tuning.silence {
+        let received_at = Millis(last_received.load(Ordering::Relaxed));
+        if clock.now().since(received_at) > tuning.silence_timeout {
             return "silent";
         }
-        match timeout(tuning.silence.as_duration(), writer.write_all(&buffer)).await {
+        match timeout(
+            tuning.silence_timeout.as_duration(),
+            writer.write_all(&buffer),
+        )
+        .await
+        {
             Ok(Ok(())) => {
                 buffer.clear();
-                beat.reset();
+                heartbeat.reset();
             }
             Ok(Err(_)) => return "broken",
             Err(_) => return "silent",
@@ -226,7 +231,7 @@
     }
 }
 
-fn push<T: Serialize>(frame: &Frame<T>, buffer: &mut BytesMut) {
+fn encode_frame<T: Serialize>(frame: &Frame<T>, buffer: &mut BytesMut) {
     if let Err(error) = encode(frame, buffer) {
         tracing::error!(%error, "dropping a message that can't be sent");
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -17,8 +17,8 @@
     codec::{MAX_FRAME, decode, encode},
     frame::Frame,
     from_agent::FromAgent,
-    generation::{Finish, Generation, Sampling},
-    handshake::{HandshakeError, Opened, handshake},
+    generation::{FinishReason, Generation, Sampling},
+    handshake::{HandshakeError, PeerConnection, handshake},
     hello::{Hello, Role},
     link::{Link, LinkEvent, LinkTuning, run_link},
     message_error::MessageError,
@@ -41,7 +41,7 @@
 pub struct Slot(pub u64);
 
 /// The bytes that a stream's sender may have under way before it needs credit.
-pub const WINDOW: u32 = 64 * 1024;
+pub const STREAM_WINDOW: u32 = 64 * 1024;
 
 /// What a message costs of its stream's window beside its payload, so that
 /// many tiny messages are bounded too.
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -8,7 +8,7 @@
 use crate::truth;
 use redwingpond::{
     base::{Fence, WeightVersion},
-    wire::{EngineState, Finish, ModelState}, //
+    wire::{EngineState, FinishReason, ModelState}, //
 };
 use std::collections::{
     BTreeMap,
@@ -20,7 +20,7 @@
 /// What a sequence's stream carries.
 #[derive(Debug)]
 pub(super) enum Produced {
-    Finished(Finish),
+    Finished(FinishReason),
     Token(String),
 }
 
@@ -151,8 +151,8 @@
             return true;
         }
         let finish = match self.length < self.max {
-            true => Finish::Stop,
-            false => Finish::Length,
+            true => FinishReason::Stop,
+            false => FinishReason::Length,
         };
         self.out.try_send(Produced::Finished(finish)).is_err() && !self.out.is_closed()
     }
--- a/tests/integration/messages.rs
+++ b/tests/integration/messages.rs
@@ -6,7 +6,7 @@
         Tokens, Verdict, WeightVersion,
     },
     wire::{
-        CallHead, EngineState, Finish, Frame, FromAgent, Generation, Hello, MAX_FRAME, Order,
+        CallHead, EngineState, FinishReason, Frame, FromAgent, Generation, Hello, MAX_FRAME, Order,
         OrderKind, Report, Role, Sampling, Slot, Start, ToAgent, Work, decode, encode,
     },
 };
@@ -110,7 +110,7 @@
         },
         FromAgent::End {
             slot,
-            finish: Some(Finish::Stop),
+            finish: Some(FinishReason::Stop),
         },
         FromAgent::Failed {
             slot,
