--- a/src/agent/accounts.rs
+++ b/src/agent/accounts.rs
@@ -20,29 +20,29 @@
 }
 
 /// The questions that may wait; further ones are refused.
-pub(super) const RING: usize = 16;
+pub(super) const MAX_WAITING_QUERIES: usize = 16;
 
 #[derive(Serialize)]
-struct Known {
+struct AccountAnswer {
     account: Option<Account>,
 }
 
 /// The agent's own routes on the operators' HTTP.
-pub(super) fn route(ring: mpsc::Sender<Query>) -> Route {
+pub(super) fn admin_route(queries: mpsc::Sender<Query>) -> Route {
     Arc::new(move |request| {
-        let ring = ring.clone();
+        let queries = queries.clone();
         let path = request.uri().path().to_owned();
         Box::pin(async move {
             if path == "/v1/report" {
                 let (reply, answer) = oneshot::channel();
-                ring.try_send(Query::Report(reply)).ok()?;
+                queries.try_send(Query::Report(reply)).ok()?;
                 return Some(json(StatusCode::OK, &answer.await.ok()?));
             }
             let id = path.strip_prefix("/v1/account/")?.parse().ok()?;
             let (reply, answer) = oneshot::channel();
-            ring.try_send(Query::Account(id, reply)).ok()?;
+            queries.try_send(Query::Account(id, reply)).ok()?;
             let account = answer.await.ok()?;
-            Some(json(StatusCode::OK, &Known { account }))
+            Some(json(StatusCode::OK, &AccountAnswer { account }))
         })
     })
 }
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -2,7 +2,7 @@
 
 use super::{
     accounts,
-    door,
+    link_listener,
     work::{self, WorkEvent}, //
 };
 use crate::{
@@ -29,14 +29,14 @@
 
 /// The events that may wait for the work duty. When the ring is full the
 /// links stop reading, which their entries see as ordinary back-pressure.
-const WORK_RING: usize = 4_096;
+const MAX_WAITING_EVENTS: usize = 4_096;
 
 impl Agent {
     /// Starts an agent.
     pub fn open(settings: AgentSettings) -> Result<Self, DutyError> {
         let mut handle = Handle::open(settings.common.drain.bound)?;
         let admin = HttpServer::bind(settings.common.admin, Limits::default())?;
-        let listener = door::bind(settings.common.links)?;
+        let listener = link_listener::bind(settings.common.links)?;
         let (admin_address, links) = (admin.address, listener.address);
         let incarnation = Incarnation::at(Clock::open().now());
         let hello = Hello {
@@ -46,8 +46,8 @@
             role: Role::Agent,
         };
         let usable = Arc::new(AtomicBool::new(false));
-        let (work_ring, work_inbox) = mpsc::channel::<WorkEvent>(WORK_RING);
-        let (query_ring, queries) = mpsc::channel(accounts::RING);
+        let (event_sender, events) = mpsc::channel::<WorkEvent>(MAX_WAITING_EVENTS);
+        let (query_sender, queries) = mpsc::channel(accounts::MAX_WAITING_QUERIES);
         tracing::info!(
             instance = settings.common.instance,
             backend = %settings.backend.address,
@@ -58,16 +58,22 @@
 
         let supervisor = handle.supervisor().clone();
         handle.add(duty::spawn("door", &supervisor, move |context| {
-            door::run(context, listener, hello, work_ring)
+            link_listener::run(context, listener, hello, event_sender)
         })?);
         handle.add(duty::spawn("work", &supervisor, {
             let usable = usable.clone();
-            move |context| work::run(context, settings, work_inbox, queries, usable)
+            move |context| work::run(context, settings, events, queries, usable)
         })?);
         let health = handle.health();
         handle.add(duty::spawn("admin", &supervisor, move |context| {
             let ready = move || usable.load(Ordering::Relaxed);
-            duty::admin(context, admin, health, ready, accounts::route(query_ring))
+            duty::admin(
+                context,
+                admin,
+                health,
+                ready,
+                accounts::admin_route(query_sender),
+            )
         })?);
         Ok(Self {
             admin: admin_address,
--- a/src/agent/job.rs
+++ b/src/agent/job.rs
@@ -1,8 +1,8 @@
 //! One request in an agent.
 
 use super::{
-    door::LinkKey,
     job_io::JobIo, //
+    link_listener::LinkKey,
 };
 use crate::{
     base::{Millis, Span},
@@ -25,21 +25,21 @@
 /// A request that waits or runs.
 pub(super) struct Job {
     /// Where body parts go; `None` once the body is whole.
-    pub(super) body: Option<mpsc::Sender<BodyPart>>,
+    pub(super) body_sender: Option<mpsc::Sender<BodyPart>>,
     pub(super) deadline: Millis,
     pub(super) io: JobIo,
     pub(super) link: LinkKey,
-    /// The receiving end of `body` until the job starts.
-    pub(super) parts: Option<mpsc::Receiver<BodyPart>>,
+    /// The receiving end of `body_sender` until the job starts.
+    pub(super) body_receiver: Option<mpsc::Receiver<BodyPart>>,
     pub(super) start: Box<Start>,
-    pub(super) started: Option<Millis>,
+    pub(super) started_at: Option<Millis>,
     pub(super) task: Option<JoinHandle<()>>,
     /// A hash of the team's name.
     pub(super) team: u64,
 }
 
 /// What a job's task tells when it ends.
-pub(super) struct Done {
+pub(super) struct JobEnd {
     pub(super) key: JobKey,
     pub(super) outcome: Result<Vec<Span>, crate::base::Failure>,
 }
--- a/src/agent/job_io.rs
+++ b/src/agent/job_io.rs
@@ -38,7 +38,7 @@
     }
 
     /// The entry took `bytes` more.
-    pub(super) fn give(&self, bytes: u32) {
+    pub(super) fn add_credit(&self, bytes: u32) {
         // A peer could otherwise add credit until the counter overflows.
         let room = (STREAM_WINDOW as usize).saturating_sub(self.credit.available_permits());
         self.credit.add_permits(room.min(bytes as usize));
@@ -52,18 +52,18 @@
             return;
         };
         permit.forget();
-        self.finish(message).await;
+        self.send_last(message).await;
     }
 
     /// Sends a stream's last message, which needs no credit.
-    pub(super) async fn finish(&self, message: FromAgent) {
+    pub(super) async fn send_last(&self, message: FromAgent) {
         if !self.is_discarded() {
             self.link.send(message).await;
         }
     }
 
     /// Sends without waiting, from the duty's own loop.
-    pub(super) fn tell(&self, message: FromAgent) -> bool {
+    pub(super) fn try_send(&self, message: FromAgent) -> bool {
         self.is_discarded() || self.link.try_send(message)
     }
 }
--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -1,12 +1,12 @@
 //! How the work duty takes, runs and ends jobs.
 
 use super::{
-    door::LinkKey,
-    job::{Done, Job, JobKey},
+    job::{Job, JobEnd, JobKey},
     job_io::JobIo,
+    link_listener::LinkKey,
     run_call::run_call,
-    run_generation::Run,
-    work::Work, //
+    run_generation::GenerationRun,
+    work::Worker, //
 };
 use crate::{
     base::{Cause, Event, Failure, Millis, Span, Verdict, stable_hash},
@@ -14,22 +14,22 @@
         agent_queue::{self, Item, OfferOutcome},
         claims::KeyClaim, //
     },
-    wire::{FromAgent, STREAM_WINDOW, Slot, Start, Work as Task}, //
+    wire::{FromAgent, STREAM_WINDOW, Slot, Start, Work}, //
 };
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
 /// The body parts that may wait for the backend server. The window bounds
 /// them by bytes, and each costs at least `MESSAGE_COST` of it.
-const PARTS: usize = (STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize;
+const MAX_BODY_PARTS: usize = (STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize;
 
 /// How long after its deadline a call with nobody waiting may still run.
-const LINGER: Millis = Millis(30_000);
+const ABANDONED_CALL_TIMEOUT: Millis = Millis(30_000);
 
 /// The weight of the latest request in the moving average of service time.
-const NEWEST: f64 = 0.1;
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-impl Work {
+impl Worker {
     /// Takes a request in.
     pub(super) fn start(&mut self, link: LinkKey, start: Box<Start>) {
         let now = self.context.clock.now();
@@ -39,29 +39,29 @@
         };
         let io = JobIo::new(state.sender.clone(), slot);
         self.ledger.open(request, &start.team, &start.class);
-        if let Err(failure) = self.claim(now, &start) {
+        if let Err(failure) = self.claim_key(now, &start) {
             self.reject(now, &io, &start, failure);
             return;
         }
 
-        let (body, parts) = match &start.work {
-            Task::Call(head) if !head.whole => {
-                let (sender, receiver) = mpsc::channel(PARTS);
+        let (body_sender, body_receiver) = match &start.work {
+            Work::Call(head) if !head.whole => {
+                let (sender, receiver) = mpsc::channel(MAX_BODY_PARTS);
                 (Some(sender), Some(receiver))
             }
-            Task::Call(_) | Task::Generate(_) => (None, None),
+            Work::Call(_) | Work::Generate(_) => (None, None),
         };
         let deadline = now + start.budget;
         let (attempt, priority) = (start.attempt, start.priority);
         let team = stable_hash(&[start.team.as_bytes()]);
         let key = self.jobs.insert(Job {
-            body,
+            body_sender,
             deadline,
             io,
             link,
-            parts,
+            body_receiver,
             start,
-            started: None,
+            started_at: None,
             task: None,
             team,
         });
@@ -94,25 +94,25 @@
     }
 
     /// A job's task has ended.
-    pub(super) fn on_done(&mut self, done: Done) {
-        let Some(job) = self.remove(done.key) else {
+    pub(super) fn on_job_end(&mut self, end: JobEnd) {
+        let Some(job) = self.remove(end.key) else {
             return;
         };
         let now = self.context.clock.now();
         self.queue.finish(job.team);
-        if let Some(started) = job.started {
+        if let Some(started) = job.started_at {
             let taken = now.since(started).0 as f64;
-            self.service_time += NEWEST * (taken - self.service_time);
+            self.service_time += SERVICE_TIME_WEIGHT * (taken - self.service_time);
         }
         let request = job.start.request;
-        match done.outcome {
+        match end.outcome {
             Ok(spans) => {
                 self.note_versions(now, &job, spans);
                 self.ledger.note(now, request, Event::Finished);
             }
             Err(failure) => {
                 if failure.verdict == Verdict::NotRun {
-                    self.release(&job.start);
+                    self.release_key(&job.start);
                 }
                 self.note_failure(now, &job.start, &failure);
             }
@@ -137,10 +137,10 @@
             return;
         };
         job.io.discard();
-        if job.started.is_some() && !job.start.idempotent && job.body.is_none() {
+        if job.started_at.is_some() && !job.start.idempotent && job.body_sender.is_none() {
             return;
         }
-        let started = job.started.is_some();
+        let started = job.started_at.is_some();
         self.queue.withdraw(job.start.request);
         if let Some(job) = self.remove(key) {
             self.end_early(&job, started, Cause::Cancelled);
@@ -149,11 +149,11 @@
 
     /// Ends the running jobs whose deadline has passed.
     pub(super) fn expire(&mut self, now: Millis) {
-        self.cut_lingering(now);
+        self.stop_abandoned(now);
         let late: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.started.is_some() && job.deadline <= now)
+            .filter(|(_, job)| job.started_at.is_some() && job.deadline <= now)
             .filter(|(_, job)| !job.io.is_discarded())
             .map(|(key, _)| key)
             .collect();
@@ -162,7 +162,7 @@
                 let detail = "the deadline passed while the request ran";
                 let failure = Failure::may_have_run(Cause::DeadlinePassed, detail);
                 let slot = job.io.slot;
-                job.io.tell(FromAgent::Failed { slot, failure });
+                job.io.try_send(FromAgent::Failed { slot, failure });
             }
             self.abandon(key);
         }
@@ -173,12 +173,12 @@
         let Some(job) = self.job(link, slot) else {
             return;
         };
-        let taken = match &job.body {
+        let taken = match &job.body_sender {
             Some(body) => body.try_send(Ok(bytes)).is_ok(),
             None => false,
         };
         if last {
-            job.body = None;
+            job.body_sender = None;
         }
         if !taken {
             // An entry that keeps to its window never gets here.
@@ -192,17 +192,19 @@
             return;
         };
         let now = self.context.clock.now();
-        self.release(&job.start);
+        self.release_key(&job.start);
         self.reject(now, &job.io, &job.start, failure);
     }
 
     /// Cuts the calls that go on with nobody waiting, once they have had long
     /// enough: a service that never answers would keep its places for good.
-    fn cut_lingering(&mut self, now: Millis) {
+    fn stop_abandoned(&mut self, now: Millis) {
         let lingering: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.io.is_discarded() && job.deadline + LINGER <= now)
+            .filter(|(_, job)| {
+                job.io.is_discarded() && job.deadline + ABANDONED_CALL_TIMEOUT <= now
+            })
             .map(|(key, _)| key)
             .collect();
         for key in lingering {
@@ -212,13 +214,16 @@
         }
     }
 
-    fn claim(&mut self, now: Millis, start: &Start) -> Result<(), Failure> {
+    fn claim_key(&mut self, now: Millis, start: &Start) -> Result<(), Failure> {
         let Some(key) = start.key.as_deref().filter(|_| !start.idempotent) else {
             return Ok(());
         };
         // A key is claimed in the table before its call is handed over. This
         // is a second guard, for an entry that was paused between the two.
-        match self.claims.claim(now, &scoped(start, key), start.request) {
+        match self
+            .seen_keys
+            .claim(now, &team_key(start, key), start.request)
+        {
             KeyClaim::Fresh => Ok(()),
             KeyClaim::Full => {
                 let detail = "too many request keys within the window";
@@ -239,7 +244,7 @@
             self.note_failure(now, &job.start, &failure);
             self.run_next();
         } else {
-            self.release(&job.start);
+            self.release_key(&job.start);
             self.note_failure(now, &job.start, &Failure::not_run(cause, ""));
         }
     }
@@ -249,36 +254,38 @@
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.started = Some(now);
+        job.started_at = Some(now);
         let server = self.settings.common.instance.clone();
         let started = Event::Started { server };
         self.ledger.note(now, job.start.request, started);
 
-        let (io, parts, start) = (job.io.clone(), job.parts.take(), job.start.clone());
+        let (io, parts, start) = (job.io.clone(), job.body_receiver.take(), job.start.clone());
         let address = self.settings.backend.address;
-        let done = self.done.clone();
-        let gate = self.gate.clone();
+        let job_ends = self.job_ends.clone();
+        let engine_access = self.engine_access.clone();
         let service = self.service.clone();
         job.task = Some(tokio::task::spawn_local(async move {
-            let outcome = match (&start.work, gate) {
-                (Task::Call(head), None) => {
+            let outcome = match (&start.work, engine_access) {
+                (Work::Call(head), None) => {
                     run_call(&service, address, &start, head.clone(), parts, &io)
                         .await
                         .map(|()| Vec::new())
                 }
-                (Task::Generate(generation), Some(gate)) => {
-                    Run::new(&gate, generation, start.priority, &io).run().await
+                (Work::Generate(generation), Some(engine_access)) => {
+                    GenerationRun::new(&engine_access, generation, start.priority, &io)
+                        .run()
+                        .await
                 }
-                (Task::Call(_) | Task::Generate(_), _) => {
+                (Work::Call(_) | Work::Generate(_), _) => {
                     let detail = "the backend server is of another kind";
                     Err(Failure::not_run(Cause::BadRequest, detail))
                 }
             };
             if let Err(failure) = &outcome {
                 let (slot, failure) = (io.slot, failure.clone());
-                io.finish(FromAgent::Failed { slot, failure }).await;
+                io.send_last(FromAgent::Failed { slot, failure }).await;
             }
-            let _ = done.send(Done { key, outcome }).await;
+            let _ = job_ends.send(JobEnd { key, outcome }).await;
         }));
     }
 
@@ -289,7 +296,7 @@
     }
 
     fn note_versions(&mut self, now: Millis, job: &Job, spans: Vec<Span>) {
-        if let Task::Generate(generation) = &job.start.work {
+        if let Work::Generate(generation) = &job.start.work {
             let model = generation.model.clone();
             let event = Event::Versions { model, spans };
             self.ledger.note(now, job.start.request, event);
@@ -299,12 +306,12 @@
     fn reject(&mut self, now: Millis, io: &JobIo, start: &Start, failure: Failure) {
         self.note_failure(now, start, &failure);
         let slot = io.slot;
-        io.tell(FromAgent::Failed { slot, failure });
+        io.try_send(FromAgent::Failed { slot, failure });
     }
 
-    fn release(&mut self, start: &Start) {
+    fn release_key(&mut self, start: &Start) {
         if let Some(key) = &start.key {
-            self.claims.release(&scoped(start, key), start.request);
+            self.seen_keys.release(&team_key(start, key), start.request);
         }
     }
 
@@ -340,6 +347,6 @@
 }
 
 /// A key as one team's: two teams may use the same text.
-fn scoped(start: &Start, key: &str) -> String {
+fn team_key(start: &Start, key: &str) -> String {
     format!("{}/{key}", start.team)
 }
--- a/src/agent/door.rs
+++ b/src/agent/link_listener.rs
@@ -40,27 +40,27 @@
     context: Context,
     listener: Listener,
     hello: Hello,
-    work: mpsc::Sender<WorkEvent>,
+    events: mpsc::Sender<WorkEvent>,
 ) {
     context.drained();
     let Ok(listener) = TcpListener::from_std(listener.listener) else {
         return;
     };
-    let room = Arc::new(Semaphore::new(MAX_LINKS));
-    let mut last = 0;
+    let permits = Arc::new(Semaphore::new(MAX_LINKS));
+    let mut last_key = 0;
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => accepted,
             () = context.reached(Phase::Stopped) => return,
         };
-        let (Ok((stream, peer)), Ok(permit)) = (stream, room.clone().try_acquire_owned()) else {
+        let (Ok((stream, peer)), Ok(permit)) = (stream, permits.clone().try_acquire_owned()) else {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             continue;
         };
-        last += 1;
-        let (key, hello, work) = (LinkKey(last), hello.clone(), work.clone());
+        last_key += 1;
+        let (key, hello, events) = (LinkKey(last_key), hello.clone(), events.clone());
         tokio::spawn(async move {
-            if let Err(error) = serve(stream, key, hello, work).await {
+            if let Err(error) = serve_link(stream, key, hello, events).await {
                 tracing::warn!(%peer, %error, "refusing a link");
             }
             drop(permit);
@@ -68,13 +68,13 @@
     }
 }
 
-async fn serve(
+async fn serve_link(
     stream: TcpStream,
     key: LinkKey,
     hello: Hello,
-    work: mpsc::Sender<WorkEvent>,
+    events: mpsc::Sender<WorkEvent>,
 ) -> Result<(), crate::wire::HandshakeError> {
-    let opened = handshake(stream, &hello).await?;
-    run_link(opened, key, work, LinkTuning::default()).await;
+    let connection = handshake(stream, &hello).await?;
+    run_link(connection, key, events, LinkTuning::default()).await;
     Ok(())
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -2,11 +2,11 @@
 
 mod accounts;
 mod agent_handle;
-mod door;
-mod gate;
+mod engine_access;
 mod job;
 mod job_io;
 mod jobs;
+mod link_listener;
 mod orders;
 pub mod run_call;
 mod run_generation;
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -1,9 +1,9 @@
 //! How the work duty passes orders to its backend server.
 
 use super::{
-    door::LinkKey,
+    link_listener::LinkKey,
     run_order::run_order,
-    work::Work, //
+    work::Worker, //
 };
 use crate::{
     base::{Cause, Failure, Fence, WeightVersion},
@@ -19,25 +19,25 @@
     rc::Rc, //
 };
 
-impl Work {
+impl Worker {
     /// Rules on an order, does it, and answers.
     pub(super) fn on_order(&mut self, link: LinkKey, slot: Slot, order: Order) {
         let Some(sender) = self.links.get(&link).map(|state| state.sender.clone()) else {
             return;
         };
-        let gate = self.gate.clone();
+        let engine_access = self.engine_access.clone();
         let fences = self.fences.clone();
         let platform = self.platform.clone();
         let server = self.settings.common.instance.clone();
         tokio::task::spawn_local(async move {
             let (model, kind, fence) = (order.model.clone(), order.kind.clone(), order.fence);
             let result: Result<EngineState, Failure> = async {
-                rule(&fences, &platform, &order).await?;
-                let Some(gate) = gate else {
+                check_fence(&fences, &platform, &order).await?;
+                let Some(engine_access) = engine_access else {
                     let detail = "a plain service takes no orders";
                     return Err(Failure::not_run(Cause::BadRequest, detail));
                 };
-                run_order(&gate, &fences, order).await
+                run_order(&engine_access, &fences, order).await
             }
             .await;
             tracing::info!(
@@ -56,7 +56,7 @@
 }
 
 /// Lets an order pass only if no newer one is known.
-async fn rule(
+async fn check_fence(
     fences: &Rc<RefCell<Fences>>,
     platform: &PlatformClient,
     order: &Order,
@@ -65,27 +65,27 @@
         OrderKind::Load { version } => version,
         OrderKind::Role { .. } | OrderKind::Unload => WeightVersion::default(),
     };
-    let ruling = fences
+    let check = fences
         .borrow_mut()
         .check(&order.lease, order.fence, version);
-    let ruling = match ruling {
+    let check = match check {
         FenceCheck::Unknown => {
             // An agent that has just started knows no fencing number, and its
             // engine may not check any: an owner that was paused past its
             // lease could have an old order passed. The leases' rows tell the
             // newest numbers, also the highest that the engine may have seen;
             // without them no order passes.
-            let epochs = epochs(platform).await?;
+            let lease_epochs = lease_epochs(platform).await?;
             let mut fences = fences.borrow_mut();
             fences.learn(&order.lease, 1);
-            for (lease, epoch) in epochs {
+            for (lease, epoch) in lease_epochs {
                 fences.learn(&lease, epoch.max(1));
             }
             fences.check(&order.lease, order.fence, version)
         }
-        FenceCheck::Pass | FenceCheck::Stale(_) => ruling,
+        FenceCheck::Pass | FenceCheck::Stale(_) => check,
     };
-    match ruling {
+    match check {
         FenceCheck::Pass => Ok(()),
         FenceCheck::Unknown | FenceCheck::Stale(_) => {
             let detail = format!("order {} is overtaken by a newer one", order.fence);
@@ -95,7 +95,7 @@
 }
 
 /// The epoch of each trainer's lease, by the path of its row.
-async fn epochs(platform: &PlatformClient) -> Result<Vec<(String, Fence)>, Failure> {
+async fn lease_epochs(platform: &PlatformClient) -> Result<Vec<(String, Fence)>, Failure> {
     let listing = platform.list(LEASE_PREFIX, &mut EntityTag::default()).await;
     let listing = listing.map_err(|error| Failure::not_run(Cause::StoreDown, error.to_string()))?;
     let rows = listing.map(|listing| listing.rows).unwrap_or_default();
--- a/src/agent/run_call.rs
+++ b/src/agent/run_call.rs
@@ -74,7 +74,7 @@
     })?;
 
     let (head, mut body) = answer.into_parts();
-    let headers = forwarded(&head.headers);
+    let headers = end_to_end_headers(&head.headers);
     let status = head.status.as_u16();
     let slot = io.slot;
     io.send(
@@ -97,7 +97,7 @@
             io.send(bytes.len(), FromAgent::Data { slot, bytes }).await;
         }
     }
-    io.finish(FromAgent::End { slot, finish: None }).await;
+    io.send_last(FromAgent::End { slot, finish: None }).await;
     Ok(())
 }
 
@@ -122,7 +122,7 @@
         None => Full::new(head.body)
             .map_err(|never| match never {})
             .boxed_unsync(),
-        Some(parts) => streamed(head.body, parts, io.clone()),
+        Some(parts) => streaming_body(head.body, parts, io.clone()),
     };
     builder
         .body(body)
@@ -131,10 +131,10 @@
 
 /// A body of which `first` is here and the rest arrives; the entry gets
 /// credit for each part when the service has taken it.
-fn streamed(first: Bytes, parts: mpsc::Receiver<BodyPart>, io: JobIo) -> Body {
+fn streaming_body(first: Bytes, parts: mpsc::Receiver<BodyPart>, io: JobIo) -> Body {
     let rest = ReceiverStream::new(parts).map(move |part| {
         let bytes = part?;
-        let _ = io.tell(FromAgent::Credit {
+        let _ = io.try_send(FromAgent::Credit {
             slot: io.slot,
             bytes: bytes.len() as u32 + MESSAGE_COST,
         });
@@ -145,7 +145,7 @@
 }
 
 /// The headers that are passed on: all but those of the one connection.
-fn forwarded(headers: &HeaderMap) -> Vec<(String, Bytes)> {
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     headers
         .iter()
         .filter(|(name, _)| is_end_to_end(name.as_str()))
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -1,7 +1,7 @@
 //! One generation at the model engine, with the versions that made its tokens.
 
 use super::{
-    gate::{Confirmed, FAILURES_OUT, Gate, enclosed},
+    engine_access::{ConfirmedState, EngineAccess, FAILURE_LIMIT, version_between},
     job_io::JobIo, //
 };
 use crate::{
@@ -16,23 +16,23 @@
 };
 
 /// A generation whose engine gives no token for this long is broken off.
-const STALL: Millis = Millis(10_000);
+const TOKEN_TIMEOUT: Millis = Millis(10_000);
 
 /// Tokens of a rollout sent in one message.
-const BATCH: u32 = 64;
+const MAX_BATCHED_TOKENS: u32 = 64;
 
 /// Turns that may end in doubt before the generation is given up here.
-const DOUBTS: u32 = 3;
+const MAX_UNCERTAIN_TURNS: u32 = 3;
 
 /// A generation under way.
 ///
 /// # Invariants
 ///
 /// `spans` label tokens only when two equal states of the engine enclose the
-/// time in which they were made; `certain` is the end of what is labelled.
-pub(super) struct Run<'a> {
-    certain: u32,
-    gate: &'a Gate,
+/// time in which they were made; `labelled` is the end of what is labelled.
+pub(super) struct GenerationRun<'a> {
+    labelled: u32,
+    engine_access: &'a EngineAccess,
     generation: &'a Generation,
     io: &'a JobIo,
     priority: Priority,
@@ -43,25 +43,25 @@
 }
 
 /// How one turn at the engine ended.
-enum Turn {
+enum TurnOutcome {
     /// The state changed under the tokens: those in doubt are void.
-    Doubt,
+    Uncertain,
     Finished(FinishReason),
     /// The weights are about to change: all tokens so far are labelled.
     Paused,
 }
 
-impl<'a> Run<'a> {
+impl<'a> GenerationRun<'a> {
     pub(super) fn new(
-        gate: &'a Gate,
+        engine_access: &'a EngineAccess,
         generation: &'a Generation,
         priority: Priority,
         io: &'a JobIo,
     ) -> Self {
         let done = generation.done.len();
         Self {
-            certain: done,
-            gate,
+            labelled: done,
+            engine_access,
             generation,
             io,
             priority,
@@ -73,69 +73,69 @@
 
     /// Runs to the end; returns the spans of the tokens made here.
     pub(super) async fn run(mut self) -> Result<Vec<Span>, Failure> {
-        let mut doubts = 0;
+        let mut uncertain_turns = 0;
         loop {
-            let lock = self.gate.lock(&self.generation.model);
+            let lock = self.engine_access.model_lock(&self.generation.model);
             let guard = lock.read().await;
-            let turn = self.turn().await;
+            let outcome = self.run_turn().await;
             drop(guard);
-            match turn {
-                Ok(Turn::Doubt) if doubts < DOUBTS => {
-                    doubts += 1;
-                    self.void().await;
+            match outcome {
+                Ok(TurnOutcome::Uncertain) if uncertain_turns < MAX_UNCERTAIN_TURNS => {
+                    uncertain_turns += 1;
+                    self.void_unlabelled().await;
                 }
-                Ok(Turn::Doubt) => {
-                    self.void().await;
-                    return Err(self.uncertain());
+                Ok(TurnOutcome::Uncertain) => {
+                    self.void_unlabelled().await;
+                    return Err(self.uncertain_failure());
                 }
-                Ok(Turn::Finished(finish)) => return Ok(self.finish(finish).await),
-                Ok(Turn::Paused) => {}
+                Ok(TurnOutcome::Finished(finish)) => return Ok(self.finish(finish).await),
+                Ok(TurnOutcome::Paused) => {}
                 Err(failure) => {
-                    self.void().await;
-                    return Err(self.truthful(failure));
+                    self.void_unlabelled().await;
+                    return Err(self.with_true_verdict(failure));
                 }
             }
         }
     }
 
-    async fn turn(&mut self) -> Result<Turn, Failure> {
+    async fn run_turn(&mut self) -> Result<TurnOutcome, Failure> {
         let model = &self.generation.model;
-        let before = self.gate.state();
+        let before = self.engine_access.state();
         if before.version(model).is_none() {
-            return Err(self.uncertain());
+            return Err(self.uncertain_failure());
         }
-        let mut pausing = self.gate.pausing.subscribe();
-        let mut watch = self.gate.watch();
+        let mut paused_model = self.engine_access.paused_model.subscribe();
+        let mut watch = self.engine_access.subscribe();
         watch.mark_unchanged();
         let priority = Priority::Live as u8 - self.priority as u8;
         let completion = Completion::from_generation(self.generation, &self.tokens, priority);
-        let mut stream = self.gate.engine.generate(&completion).await?;
-        let mut seen = self.tokens.len();
+        let mut stream = self.engine_access.client.generate(&completion).await?;
+        let mut received = self.tokens.len();
 
         loop {
             tokio::select! {
-                event = next(&mut stream) => match event? {
+                event = next_event(&mut stream) => match event? {
                     EngineEvent::Finished(finish) => {
-                        return Ok(match self.enclose(&before).await? {
-                            true => Turn::Finished(finish),
-                            false => Turn::Doubt,
+                        return Ok(match self.confirm_and_label(&before).await? {
+                            true => TurnOutcome::Finished(finish),
+                            false => TurnOutcome::Uncertain,
                         });
                     }
-                    EngineEvent::Token(text) => self.take(&text).await,
+                    EngineEvent::Token(text) => self.push_token(&text).await,
                 },
                 Ok(()) = watch.changed() => {
-                    let Some(version) = self.checked(&mut watch, &before)? else {
-                        return Ok(Turn::Doubt);
+                    let Some(version) = self.confirmed_version(&mut watch, &before)? else {
+                        return Ok(TurnOutcome::Uncertain);
                     };
                     // What had come before the last answer came before this
                     // question was asked, so this answer covers it.
-                    self.label(seen, version).await;
-                    seen = self.tokens.len();
+                    self.label_until(received, version).await;
+                    received = self.tokens.len();
                 }
-                Ok(_) = pausing.wait_for(|paused| paused.as_ref() == Some(model)) => {
-                    return Ok(match self.enclose(&before).await? {
-                        true => Turn::Paused,
-                        false => Turn::Doubt,
+                Ok(_) = paused_model.wait_for(|paused| paused.as_ref() == Some(model)) => {
+                    return Ok(match self.confirm_and_label(&before).await? {
+                        true => TurnOutcome::Paused,
+                        false => TurnOutcome::Uncertain,
                     });
                 }
             }
@@ -143,33 +143,37 @@
     }
 
     /// The version, if the engine's latest answer still equals `before`.
-    fn checked(
+    fn confirmed_version(
         &self,
-        watch: &mut watch::Receiver<Confirmed>,
+        watch: &mut watch::Receiver<ConfirmedState>,
         before: &Arc<EngineState>,
     ) -> Result<Option<WeightVersion>, Failure> {
         let confirmed = watch.borrow_and_update();
-        if confirmed.failures >= FAILURES_OUT {
+        if confirmed.failures >= FAILURE_LIMIT {
             let detail = "the engine stopped answering";
             return Err(Failure::may_have_run(Cause::BackendBroken, detail));
         }
-        Ok(enclosed(before, &confirmed.state, &self.generation.model))
+        Ok(version_between(
+            before,
+            &confirmed.state,
+            &self.generation.model,
+        ))
     }
 
     /// Asks the engine once more and labels all tokens if nothing changed.
-    async fn enclose(&mut self, before: &EngineState) -> Result<bool, Failure> {
-        let after = self.gate.confirm().await?;
-        let Some(version) = enclosed(before, &after, &self.generation.model) else {
+    async fn confirm_and_label(&mut self, before: &EngineState) -> Result<bool, Failure> {
+        let after = self.engine_access.refresh_state().await?;
+        let Some(version) = version_between(before, &after, &self.generation.model) else {
             return Ok(false);
         };
-        self.label(self.tokens.len(), version).await;
+        self.label_until(self.tokens.len(), version).await;
         Ok(true)
     }
 
     async fn finish(self, finish: FinishReason) -> Vec<Span> {
         let slot = self.io.slot;
         let finish = Some(finish);
-        self.io.finish(FromAgent::End { slot, finish }).await;
+        self.io.send_last(FromAgent::End { slot, finish }).await;
         self.spans
     }
 
@@ -186,57 +190,57 @@
         self.io.send(cost, message).await;
     }
 
-    async fn label(&mut self, to: u32, version: WeightVersion) {
+    async fn label_until(&mut self, to: u32, version: WeightVersion) {
         self.flush().await;
-        if to <= self.certain {
+        if to <= self.labelled {
             return;
         }
         // INVARIANT: the caller holds two equal states around these tokens.
         let span = Span {
-            from: self.certain,
+            from: self.labelled,
             to,
             version,
         };
         Span::push(&mut self.spans, span);
-        self.certain = to;
+        self.labelled = to;
         let slot = self.io.slot;
         let spans = vec![span];
         self.io.send(0, FromAgent::Spans { slot, spans }).await;
     }
 
-    async fn take(&mut self, text: &str) {
+    async fn push_token(&mut self, text: &str) {
         self.tokens.push(text);
         let waiting = self.tokens.len() - self.sent;
-        if self.priority != Priority::Rollout || waiting >= BATCH {
+        if self.priority != Priority::Rollout || waiting >= MAX_BATCHED_TOKENS {
             self.flush().await;
         }
     }
 
     /// A failure as it stands for the whole request: once tokens were made
     /// here, it has run.
-    fn truthful(&self, mut failure: Failure) -> Failure {
+    fn with_true_verdict(&self, mut failure: Failure) -> Failure {
         if !self.spans.is_empty() && failure.verdict == Verdict::NotRun {
             failure.verdict = Verdict::MayHaveRun;
         }
         failure
     }
 
-    fn uncertain(&self) -> Failure {
+    fn uncertain_failure(&self) -> Failure {
         let detail = format!("the weights of `{}` are in doubt", self.generation.model);
-        self.truthful(Failure::not_run(Cause::VersionUncertain, detail))
+        self.with_true_verdict(Failure::not_run(Cause::VersionUncertain, detail))
     }
 
     /// Drops the tokens whose version is in doubt, here and at the entry.
-    async fn void(&mut self) {
-        let lost = self.tokens.len() - self.certain;
+    async fn void_unlabelled(&mut self) {
+        let lost = self.tokens.len() - self.labelled;
         if lost == 0 {
             return;
         }
         metrics::counter!("redwing_tokens_voided_total").increment(u64::from(lost));
-        self.tokens.truncate(self.certain);
-        if self.sent > self.certain {
-            self.sent = self.certain;
-            let (slot, from) = (self.io.slot, self.certain);
+        self.tokens.truncate(self.labelled);
+        if self.sent > self.labelled {
+            self.sent = self.labelled;
+            let (slot, from) = (self.io.slot, self.labelled);
             let tokens = Tokens::default();
             let message = FromAgent::Tokens { slot, from, tokens };
             self.io.send(0, message).await;
@@ -244,8 +248,8 @@
     }
 }
 
-async fn next(stream: &mut TokenStream) -> Result<EngineEvent, Failure> {
-    match timeout(STALL.as_duration(), stream.next()).await {
+async fn next_event(stream: &mut TokenStream) -> Result<EngineEvent, Failure> {
+    match timeout(TOKEN_TIMEOUT.as_duration(), stream.next()).await {
         Ok(event) => event,
         Err(_) => {
             let detail = "the engine gave no token for too long";
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -2,9 +2,9 @@
 
 use super::{
     accounts::Query,
-    door::LinkKey,
-    gate::Gate,
-    job::{Done, Job, JobKey},
+    engine_access::EngineAccess,
+    job::{Job, JobEnd, JobKey},
+    link_listener::LinkKey,
     run_call::{self, ServiceClient}, //
 };
 use crate::{
@@ -46,21 +46,21 @@
 }
 
 /// All that the work duty owns.
-pub(super) struct Work {
-    pub(super) claims: SeenKeys,
+pub(super) struct Worker {
+    pub(super) seen_keys: SeenKeys,
     pub(super) context: Context,
-    pub(super) done: mpsc::Sender<Done>,
+    pub(super) job_ends: mpsc::Sender<JobEnd>,
     pub(super) fences: Rc<RefCell<Fences>>,
     /// Present before a model engine.
-    pub(super) gate: Option<Rc<Gate>>,
+    pub(super) engine_access: Option<Rc<EngineAccess>>,
     pub(super) jobs: SlotMap<JobKey, Job>,
     /// When the drain began.
-    leaving: Option<Millis>,
+    drain_started: Option<Millis>,
     pub(super) ledger: Ledger,
     pub(super) links: HashMap<LinkKey, LinkState>,
     pub(super) platform: PlatformClient,
     pub(super) queue: AgentQueue<JobKey>,
-    reported: (Millis, Report),
+    last_report: (Millis, Report),
     pub(super) service: ServiceClient,
     pub(super) service_time: f64,
     pub(super) settings: AgentSettings,
@@ -68,22 +68,22 @@
 }
 
 /// How often deadlines are looked at.
-const TICK: Millis = Millis(25);
+const TICK_INTERVAL: Millis = Millis(25);
 
 /// The least and the most time between two reports. A report takes the place
 /// of a beat, see `docs/CAPACITY.md` for what both cost.
-const REPORT_LEAST: Millis = Millis(1_000);
-const REPORT_MOST: Millis = Millis(2_000);
+const MIN_REPORT_INTERVAL: Millis = Millis(1_000);
+const MAX_REPORT_INTERVAL: Millis = Millis(2_000);
 
 /// How long a request key is remembered, and how many are.
-const CLAIM_WINDOW: Millis = Millis(600_000);
-const MAX_CLAIMS: usize = 100_000;
+const KEY_RETENTION: Millis = Millis(600_000);
+const MAX_KEYS: usize = 100_000;
 
 /// The accounts kept for the support engineer.
 const MAX_ACCOUNTS: usize = 10_000;
 
 /// The ends of jobs that may wait; a full ring holds up only ended jobs.
-const DONE_RING: usize = 256;
+const MAX_WAITING_ENDS: usize = 256;
 
 /// Runs until the program stops.
 pub(super) async fn run(
@@ -93,51 +93,52 @@
     mut queries: mpsc::Receiver<Query>,
     usable: Arc<AtomicBool>,
 ) {
-    let (done, mut dones) = mpsc::channel(DONE_RING);
-    let mut work = Work::new(context.clone(), settings, done);
-    if let Some(gate) = work.gate.clone() {
-        tokio::task::spawn_local(async move { gate.poll().await });
+    let (job_ends, mut ended_jobs) = mpsc::channel(MAX_WAITING_ENDS);
+    let mut worker = Worker::new(context.clone(), settings, job_ends);
+    if let Some(engine_access) = worker.engine_access.clone() {
+        tokio::task::spawn_local(async move { engine_access.poll_state().await });
     }
-    let mut tick = interval(TICK.as_duration());
+    let mut tick = interval(TICK_INTERVAL.as_duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
 
     loop {
         tokio::select! {
-            Some(event) = inbox.recv() => work.on_event(event),
-            Some(done) = dones.recv() => work.on_done(done),
-            Some(query) = queries.recv() => work.on_query(query),
+            Some(event) = inbox.recv() => worker.on_event(event),
+            Some(end) = ended_jobs.recv() => worker.on_job_end(end),
+            Some(query) = queries.recv() => worker.on_query(query),
             _ = tick.tick() => {
-                work.on_tick();
-                usable.store(work.is_usable(), Ordering::Relaxed);
+                worker.on_tick();
+                usable.store(worker.is_usable(), Ordering::Relaxed);
             }
             () = context.reached(Phase::Stopped) => break,
         }
     }
 
-    let cut = work.jobs.len();
+    let cut = worker.jobs.len();
     if cut > 0 {
         tracing::error!(cut, "the stop cut off requests");
         metrics::counter!("redwing_stop_cut_total").increment(cut as u64);
     }
 }
 
-impl Work {
-    fn new(context: Context, settings: AgentSettings, done: mpsc::Sender<Done>) -> Self {
+impl Worker {
+    fn new(context: Context, settings: AgentSettings, job_ends: mpsc::Sender<JobEnd>) -> Self {
         let backend = &settings.backend;
         let engine = backend.kind == BackendKind::Engine;
         Self {
-            claims: SeenKeys::new(CLAIM_WINDOW, MAX_CLAIMS),
+            seen_keys: SeenKeys::new(KEY_RETENTION, MAX_KEYS),
             context,
-            done,
+            job_ends,
             fences: Rc::default(),
-            gate: engine.then(|| Rc::new(Gate::new(EngineClient::open(backend.address)))),
+            engine_access: engine
+                .then(|| Rc::new(EngineAccess::new(EngineClient::open(backend.address)))),
             jobs: SlotMap::with_key(),
-            leaving: None,
+            drain_started: None,
             ledger: Ledger::new(MAX_ACCOUNTS),
             links: HashMap::new(),
             platform: PlatformClient::open(settings.common.platform),
             queue: AgentQueue::new(settings.policy, backend.capacity, backend.queue),
-            reported: (Millis(0), Report::default()),
+            last_report: (Millis(0), Report::default()),
             service: run_call::client(),
             service_time: 0.0,
             settings,
@@ -148,7 +149,9 @@
     /// Whether the backend server can take work. A plain service is taken to
     /// be usable until calls to it fail, which its callers judge.
     pub(super) fn is_usable(&self) -> bool {
-        self.gate.as_ref().is_none_or(|gate| gate.usable())
+        self.engine_access
+            .as_ref()
+            .is_none_or(|engine_access| engine_access.is_usable())
     }
 
     fn on_event(&mut self, event: WorkEvent) {
@@ -171,21 +174,21 @@
     fn on_message(&mut self, link: LinkKey, message: ToAgent) {
         // The stop is looked at before each message, not only at the next tick:
         // until then an agent that was told to stop took new requests.
-        if self.leaving.is_none() && self.context.phase() >= Phase::Draining {
+        if self.drain_started.is_none() && self.context.phase() >= Phase::Draining {
             self.drain(self.context.clock.now());
         }
         match message {
             ToAgent::Cancel { slot } => self.cancel(link, slot),
             ToAgent::Credit { slot, bytes } => {
                 if let Some(job) = self.job(link, slot) {
-                    job.io.give(bytes);
+                    job.io.add_credit(bytes);
                 }
             }
             ToAgent::Data { slot, bytes, last } => self.on_data(link, slot, bytes, last),
             ToAgent::Order { slot, order } => self.on_order(link, slot, order),
             ToAgent::Query { slot, request } => {
                 let account = self.ledger.account(request).cloned();
-                self.tell(link, FromAgent::Account { slot, account });
+                self.send_to(link, FromAgent::Account { slot, account });
             }
             ToAgent::Revoke {
                 attempt,
@@ -234,12 +237,12 @@
     /// that entries had sent before they knew: their links would break, and
     /// calls that never ran would be told as `may_have_run`.
     fn drain(&mut self, now: Millis) {
-        let began = match self.leaving {
+        let began = match self.drain_started {
             Some(began) => began,
             None => {
                 self.queue.drain();
                 self.report_now(now);
-                self.leaving = Some(now);
+                self.drain_started = Some(now);
                 now
             }
         };
@@ -250,12 +253,12 @@
     }
 
     fn report_if_due(&mut self, now: Millis) {
-        let since = now.since(self.reported.0);
-        if since < REPORT_LEAST {
+        let since = now.since(self.last_report.0);
+        if since < MIN_REPORT_INTERVAL {
             return;
         }
         let report = self.report();
-        if since < REPORT_MOST && report == self.reported.1 {
+        if since < MAX_REPORT_INTERVAL && report == self.last_report.1 {
             return;
         }
         self.report_now(now);
@@ -266,11 +269,14 @@
         for state in self.links.values() {
             let _ = state.sender.try_send(FromAgent::Report(report.clone()));
         }
-        self.reported = (now, report);
+        self.last_report = (now, report);
     }
 
     fn report(&self) -> Report {
-        let engine = self.gate.as_ref().map(|gate| gate.state());
+        let engine = self
+            .engine_access
+            .as_ref()
+            .map(|engine_access| engine_access.state());
         Report {
             capacity: self.settings.backend.capacity,
             draining: self.context.phase() >= Phase::Draining,
@@ -292,7 +298,7 @@
         // tombstone refuses a late copy, so that `NotRun` stays true.
         if self.job(link, slot).is_none() && self.ledger.account(request).is_none() {
             let failure = Failure::not_run(Cause::Cancelled, "the request never arrived");
-            self.tell(link, FromAgent::Failed { slot, failure });
+            self.send_to(link, FromAgent::Failed { slot, failure });
         }
     }
 
@@ -301,7 +307,7 @@
         self.jobs.get_mut(key)
     }
 
-    pub(super) fn tell(&self, link: LinkKey, message: FromAgent) {
+    pub(super) fn send_to(&self, link: LinkKey, message: FromAgent) {
         if let Some(state) = self.links.get(&link) {
             let _ = state.sender.try_send(message);
         }
