--- a/src/table/client.rs
+++ b/src/table/client.rs
@@ -1,4 +1,4 @@
-//! The narrow interface to the platform.
+//! Client of the platform's table, object store and instance list.
 
 use super::{
     Instance,
@@ -26,51 +26,53 @@
     net::SocketAddr, //
 };
 
-/// A row of the table.
+/// The value of a table row, and the version of the row's last write.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
     pub value: String,
     pub version: u64,
 }
 
-/// Names what was read last, so that it is sent again only when it changed.
+/// The entity tag of the last answer to a read. The next read sends it, and the platform
+/// returns the content only if it has changed since.
 #[derive(Clone, Debug, Default)]
 pub struct EntityTag(Option<HeaderValue>);
 
-/// Rows as of one revision.
+/// The rows below one path prefix, by path, as of one revision of the table.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Listing {
-    /// The highest of the rows' versions, which count the table's commits.
+    /// The highest version among the rows. Versions number the table's commits.
     pub revision: u64,
     pub rows: BTreeMap<String, Row>,
 }
 
-/// A client of the platform's services.
+/// An HTTP client of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: JsonClient,
 }
 
-/// How long one request may take.
+/// The time limit of one request.
 const REQUEST_TIMEOUT: Millis = Millis(1_000);
 
-/// How often a transaction is asked for until its outcome is known.
+/// How many times a transaction is sent at most while its outcome is unknown.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl PlatformClient {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn open(address: SocketAddr) -> Self {
         Self {
             http: JsonClient::open(address, REQUEST_TIMEOUT),
         }
     }
 
-    /// The row at `path`.
+    /// Reads the row at `path`; `None` if there is none.
     pub async fn get(&self, path: &str) -> Result<Option<Row>, PlatformError> {
         self.get_json(&format!("/table/{path}")).await
     }
 
-    /// The list of instances, unless it still is what `tag` names.
+    /// Reads the list of instances; `None` if it has not changed since `tag` was set.
+    /// Updates `tag`.
     pub async fn instances(
         &self,
         tag: &mut EntityTag,
@@ -78,8 +80,8 @@
         self.get_if_changed("/instances", tag).await
     }
 
-    /// All rows whose path begins with `prefix`, unless they still are what
-    /// `tag` names.
+    /// Reads all rows whose path begins with `prefix`; `None` if they have not changed
+    /// since `tag` was set. Updates `tag`.
     pub async fn list(
         &self,
         prefix: &str,
@@ -89,7 +91,7 @@
             .await
     }
 
-    /// The object `key`.
+    /// Reads the object `key`; `None` if there is none.
     pub async fn object(&self, key: &str) -> Result<Option<Bytes>, PlatformError> {
         let path = format!("/objects/{key}");
         let (status, body) = self.call(Method::GET, &path, Vec::new()).await?;
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Stores an object unless one of that name exists; tells whether it did.
+    /// Stores an object; returns false if an object of that key exists already.
     pub async fn put_object(&self, key: &str, content: Vec<u8>) -> Result<bool, PlatformError> {
         let path = format!("/objects/{key}");
         let (status, _) = self.call(Method::PUT, &path, content).await?;
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Does `transaction`, asking again with its token while the outcome is unknown.
+    /// Commits `transaction`; sends it again with the same token while its outcome is
+    /// unknown, up to [`MAX_ATTEMPTS`] times.
     pub async fn transact(
         &self,
         transaction: &Transaction,
@@ -121,8 +124,8 @@
         let mut attempts = 0;
         loop {
             attempts += 1;
-            // An answer can be lost after the write took effect. The same
-            // token makes the repeat return the first outcome.
+            // The answer can be lost after the transaction took effect. A repeat with
+            // the same token returns the first outcome.
             match self.call(Method::POST, path, body.clone()).await {
                 Ok((StatusCode::OK, answer)) => {
                     return serde_json::from_slice(&answer).context(InvalidMessageSnafu { path });
@@ -136,6 +139,7 @@
         }
     }
 
+    /// Sends one request and returns the status and the body of the answer.
     async fn call(
         &self,
         method: Method,
@@ -147,6 +151,7 @@
         answer.context(UnreachableSnafu)
     }
 
+    /// Reads and decodes `path`; `None` if it has not changed since `tag` was set.
     async fn get_if_changed<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -166,6 +171,7 @@
         }
     }
 
+    /// Reads and decodes `path`; `None` if the platform answers 404.
     async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<Option<T>, PlatformError> {
         let (status, body) = self.call(Method::GET, path, Vec::new()).await?;
         match status {
@@ -178,6 +184,7 @@
     }
 }
 
+/// Counts a request to the platform in the metrics.
 fn count_request(method: &Method) {
     let method = method.to_string();
     metrics::counter!("redwing_platform_requests_total", "method" => method).increment(1);
--- a/src/table/instance.rs
+++ b/src/table/instance.rs
@@ -1,4 +1,4 @@
-//! An entry of the platform's instance list.
+//! An item of the platform's instance list.
 
 use serde::{
     Deserialize,
@@ -6,25 +6,26 @@
 };
 use std::net::SocketAddr;
 
-/// What the platform says of an instance; it lags behind reality.
+/// The state of an instance as the platform knows it, which can be out of date.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
+    /// The instance is shutting down.
     Leaving,
     #[default]
     Live,
 }
 
-/// One instance of ours.
+/// An instance that runs one of this deployment's entries or agents.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instance {
-    /// Where its operators' HTTP listens.
+    /// The address of its admin HTTP server.
     pub admin: SocketAddr,
     pub data_centre: String,
-    /// Where its link port listens.
+    /// The address at which it accepts links.
     pub links: SocketAddr,
     pub name: String,
-    /// The pool of the backend server behind an agent; absent for an entry.
+    /// The pool of an agent's backend server; absent for an entry.
     pub pool: Option<String>,
     pub state: InstanceState,
 }
--- a/src/table/json_client.rs
+++ b/src/table/json_client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP requests with a bound on time and size.
+//! HTTP client for small JSON requests, with limits on time and size.
 
 use crate::base::{
     Millis,
@@ -24,18 +24,18 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// A request got no whole answer.
+/// A request that was not answered completely.
 #[derive(Debug, Snafu)]
 #[snafu(display("{address}{path}: {message}"))]
 pub struct HttpError {
     address: SocketAddr,
     message: String,
     path: String,
-    /// Whether the other end may have acted on it.
+    /// Whether the server may have acted on the request.
     pub verdict: Verdict,
 }
 
-/// A pooled HTTP/1.1 client of one address.
+/// An HTTP/1.1 client of one address, with a connection pool.
 #[derive(Clone, Debug)]
 pub struct JsonClient {
     address: SocketAddr,
@@ -43,11 +43,11 @@
     timeout: Millis,
 }
 
-/// The largest answer that is read.
+/// The largest answer body that is read, in bytes.
 const MAX_BODY: usize = 64 * 1024 * 1024;
 
 impl JsonClient {
-    /// A client of `address` that waits at most `timeout` for a whole answer.
+    /// Creates a client of `address` that waits at most `timeout` for a complete answer.
     pub fn open(address: SocketAddr, timeout: Millis) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends `body` and reads the whole answer.
+    /// Sends `body` and reads the complete answer.
     pub async fn call(
         &self,
         method: Method,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Reads `path` unless it still is what `etag` names (RFC 9110, `ETag`).
+    /// Reads `path` with `If-None-Match: etag` (RFC 9110): the status is 304 if the content
+    /// still has this tag. Also returns the tag of the answer.
     pub async fn get_if_changed(
         &self,
         path: &str,
@@ -94,6 +95,7 @@
         }
     }
 
+    /// [`Self::call`] without the time limit.
     async fn send(
         &self,
         method: Method,
@@ -112,6 +114,8 @@
             .header(CONTENT_TYPE, "application/json")
     }
 
+    /// Sends the request and returns the status, the body and the entity tag of the
+    /// answer.
     async fn exchange(
         &self,
         builder: Builder,
--- a/src/table/write.rs
+++ b/src/table/write.rs
@@ -5,20 +5,20 @@
     Serialize, //
 };
 
-/// One row's change, made only if the row has the expected version.
+/// A change of one row, made only if the row has the expected version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Write {
     /// The version that the row must have; 0 for a row that must not exist.
     pub expect: u64,
     pub path: String,
-    /// The new content; `None` removes the row.
+    /// The new value; `None` removes the row.
     pub value: Option<String>,
 }
 
-/// Writes that take effect together or not at all.
+/// Writes that are committed together or not at all.
 ///
-/// The token names the operation: repeating it with the same token returns
-/// the first outcome, so an answer that was lost is found by asking again.
+/// `token` is the idempotency key: sending the transaction again with the same token
+/// returns the first outcome. So a sender whose answer was lost repeats the request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Transaction {
     pub token: String,
@@ -31,6 +31,6 @@
 pub enum TransactionOutcome {
     /// The new version of each row, in the order of the writes.
     Committed(Vec<u64>),
-    /// A row had another version than expected; nothing was changed.
+    /// The row at `path` has `version` instead of the expected one; nothing was changed.
     Conflict { path: String, version: u64 },
 }
