--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -1,7 +1,7 @@
-//! Length-delimited postcard messages.
+//! Encoding of messages as length-prefixed postcard frames.
 //!
-//! A frame is a length (u32, little endian, of all that follows), one version
-//! byte and a postcard value.
+//! A frame is the length of the rest (u32, little endian), one byte with the protocol
+//! version, and a postcard value.
 
 use super::{
     MessageError,
@@ -21,16 +21,20 @@
     ensure, //
 };
 
-/// The largest frame that is accepted or sent.
+/// The largest frame that is accepted or sent, in bytes after the length prefix.
 pub const MAX_FRAME: usize = 256 * 1024;
 
+/// The size of a frame's length prefix.
 const LENGTH_BYTES: usize = 4;
+
+/// The only protocol version that this release reads and writes.
 const PROTOCOL_VERSION: u8 = 1;
 
-/// Takes one message off the front of `buffer`; `None` until it is whole.
+/// Removes the first frame from `buffer` and decodes it; `None` until the frame is
+/// complete.
 ///
-/// Never allocates by the announced length: the buffer only grows by what
-/// has arrived, and an announced length over [`MAX_FRAME`] is refused at once.
+/// Allocates nothing for an announced length: the buffer grows only by the bytes that
+/// have arrived, and a length over [`MAX_FRAME`] is an error at once.
 pub fn decode<T: DeserializeOwned>(buffer: &mut BytesMut) -> Result<Option<T>, MessageError> {
     if buffer.len() < LENGTH_BYTES {
         return Ok(None);
@@ -65,7 +69,7 @@
     Ok(Some(value))
 }
 
-/// Appends `value` to `buffer` as one frame; on an error `buffer` is as before.
+/// Appends `value` to `buffer` as one frame. An error leaves `buffer` unchanged.
 pub fn encode<T: Serialize>(value: &T, buffer: &mut BytesMut) -> Result<(), MessageError> {
     let start = buffer.len();
     buffer.put_u32_le(0);
@@ -85,6 +89,7 @@
     Ok(())
 }
 
+/// Checks the length of an outgoing frame.
 fn check_length(length: usize) -> Result<(), MessageError> {
     ensure!(
         length <= MAX_FRAME,
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -1,13 +1,14 @@
-//! What a link carries: beats and messages.
+//! The frames of a link: heartbeats and messages.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// A message, or the heartbeat that shows that the link still carries any.
+/// A frame of a link, which carries a message or is a heartbeat.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame<T> {
+    /// Shows the peer that the link still works while no messages are sent.
     Beat,
     Message(T),
 }
--- a/src/wire/from_agent.rs
+++ b/src/wire/from_agent.rs
@@ -1,4 +1,4 @@
-//! Messages to an entry.
+//! Messages from an agent to an entry.
 
 use super::{
     EngineState,
@@ -18,51 +18,44 @@
     Serialize, //
 };
 
-/// What an agent answers to an entry.
+/// A message to an entry from an agent, or from the entry that owns a trainer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum FromAgent {
-    /// The answer to a query.
+    /// The answer to [`ToAgent::Query`](super::ToAgent::Query); `None` if the agent has no
+    /// account of the request.
     Account {
         slot: Slot,
         account: Option<Account>,
     },
-    /// The agent took `bytes` of the request's body.
-    Credit {
-        slot: Slot,
-        bytes: u32,
-    },
-    /// A part of the answer's body.
-    Data {
-        slot: Slot,
-        bytes: Bytes,
-    },
-    /// The answer is whole. `finish` is set for generations only.
+    /// Flow control: the agent consumed `bytes` of the request's body, including the
+    /// [`MESSAGE_COST`](super::MESSAGE_COST) of each message.
+    Credit { slot: Slot, bytes: u32 },
+    /// The next part of the answer's body.
+    Data { slot: Slot, bytes: Bytes },
+    /// The answer is complete. `finish` is set for generations only.
     End {
         slot: Slot,
         finish: Option<FinishReason>,
     },
-    Failed {
-        slot: Slot,
-        failure: Failure,
-    },
+    /// The request failed; no further message of the stream follows.
+    Failed { slot: Slot, failure: Failure },
+    /// The status and the headers of the answer to a call.
     Head {
         slot: Slot,
         status: u16,
         headers: Vec<(String, Bytes)>,
     },
-    /// The outcome of an order: the state that the engine confirmed after it.
+    /// The outcome of an order: the engine's confirmed state after it, or why it failed.
     Ordered {
         slot: Slot,
         result: Result<EngineState, Failure>,
     },
+    /// The agent's current load and state; belongs to no stream.
     Report(Report),
-    /// The versions that made the tokens so far, confirmed by the engine.
-    Spans {
-        slot: Slot,
-        spans: Vec<Span>,
-    },
-    /// Tokens from index `from` on; tokens sent before with these or higher
-    /// indices are void, since their version could not be confirmed.
+    /// Weight versions of tokens sent before, confirmed by the engine.
+    Spans { slot: Slot, spans: Vec<Span> },
+    /// Tokens from index `from` on. They replace all tokens sent before from that index
+    /// on, whose weight version could not be confirmed.
     Tokens {
         slot: Slot,
         from: u32,
@@ -71,7 +64,7 @@
 }
 
 impl FromAgent {
-    /// The stream that the message belongs to, if it belongs to one.
+    /// The stream of the message; `None` for a report.
     pub fn slot(&self) -> Option<Slot> {
         match self {
             Self::Account { slot, .. }
--- a/src/wire/generation.rs
+++ b/src/wire/generation.rs
@@ -1,4 +1,4 @@
-//! Work for a model engine.
+//! A request to a model engine to generate tokens.
 
 use crate::base::Tokens;
 use serde::{
@@ -6,7 +6,7 @@
     Serialize, //
 };
 
-/// How tokens are drawn.
+/// How tokens are sampled.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Sampling {
     pub max_tokens: u32,
@@ -23,7 +23,7 @@
 }
 
 impl FinishReason {
-    /// The word used in the completions protocol.
+    /// The value of `finish_reason` in the completions protocol.
     pub fn word(self) -> &'static str {
         match self {
             Self::Length => "length",
@@ -32,12 +32,12 @@
     }
 }
 
-/// One generation, possibly going on from tokens that another engine made.
+/// One generation. It may continue one that another engine began.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Generation {
-    /// Tokens already made; the engine goes on behind them.
+    /// The tokens generated so far; the engine continues after them.
     pub done: Tokens,
-    /// The adapter or base model that is asked for.
+    /// The name of the requested adapter or base model.
     pub model: String,
     pub prompt: String,
     pub sampling: Sampling,
--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -1,4 +1,4 @@
-//! The first exchange on a new connection between two of our processes.
+//! Handshake on a new connection between two processes of the deployment.
 
 use super::{
     Frame,
@@ -20,34 +20,35 @@
     time::timeout, //
 };
 
-/// A connection whose other end has shown that it belongs to the deployment.
+/// A connection to a peer that has proved that it belongs to the deployment.
 #[derive(Debug)]
 pub struct PeerConnection {
+    /// The peer's hello.
     pub hello: Hello,
-    /// What arrived behind the hello.
+    /// Bytes received after the hello, not decoded yet.
     pub(super) rest: BytesMut,
     pub(super) stream: TcpStream,
 }
 
-/// A connection was not opened.
+/// Why a handshake failed.
 #[derive(Debug, Snafu)]
 pub enum HandshakeError {
-    #[snafu(display("the connection broke: {source}"))]
+    #[snafu(display("the connection failed during the handshake: {source}"))]
     Io { source: std::io::Error },
-    #[snafu(display("the other end closed the connection"))]
+    #[snafu(display("the peer closed the connection during the handshake"))]
     Closed,
-    #[snafu(display("`{instance}` does not know this deployment's key"))]
+    #[snafu(display("`{instance}` does not have this deployment's key"))]
     WrongKey { instance: String },
     #[snafu(display("{source}"))]
     Message { source: MessageError },
-    #[snafu(display("no hello came in time"))]
+    #[snafu(display("the peer sent no hello in time"))]
     TimedOut,
 }
 
-/// How long the other end may take.
+/// The time limit of a handshake.
 const HANDSHAKE_TIMEOUT: Millis = Millis(2_000);
 
-/// Sends `mine` and waits for the other end's hello.
+/// Sends `mine` and waits for the peer's hello, which must show the same key.
 pub async fn handshake(stream: TcpStream, mine: &Hello) -> Result<PeerConnection, HandshakeError> {
     match timeout(HANDSHAKE_TIMEOUT.as_duration(), exchange(stream, mine)).await {
         Ok(connection) => connection,
@@ -55,6 +56,7 @@
     }
 }
 
+/// The handshake without its time limit.
 async fn exchange(mut stream: TcpStream, mine: &Hello) -> Result<PeerConnection, HandshakeError> {
     stream.set_nodelay(true).context(IoSnafu)?;
     let mut out = BytesMut::new();
--- a/src/wire/hello.rs
+++ b/src/wire/hello.rs
@@ -1,4 +1,4 @@
-//! Who is at the other end of a link.
+//! The message by which the two ends of a link identify themselves.
 
 use crate::base::Incarnation;
 use serde::{
@@ -6,19 +6,20 @@
     Serialize, //
 };
 
-/// What kind of process speaks.
+/// The kind of process that sends a hello.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
     Agent,
     Entry,
 }
 
-/// The first message in both directions.
+/// The first message of a link in both directions.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
     pub incarnation: Incarnation,
+    /// The name of the sender's instance.
     pub instance: String,
-    /// Proof of belonging to this deployment, see `settings`.
+    /// Shows that the sender knows the deployment's key, see `link_key` in the settings.
     pub key: String,
     pub role: Role,
 }
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -1,4 +1,5 @@
-//! One TCP connection between two of our processes.
+//! A link: one TCP connection that carries messages between two processes of the
+//! deployment.
 
 use super::{
     Frame,
@@ -28,12 +29,13 @@
     time::{MissedTickBehavior, interval, timeout}, //
 };
 
-/// How a link finds out that the other end is silent.
+/// Detection of a silent peer.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkTuning {
-    /// A beat is sent when nothing else was sent for this long.
+    /// A heartbeat is sent when nothing else was sent for this long.
     pub heartbeat_interval: Millis,
-    /// A link on which nothing was heard for this long is given up.
+    /// A link is closed when nothing was received on it for this long, or when a write
+    /// takes longer.
     pub silence_timeout: Millis,
 }
 
@@ -46,7 +48,8 @@
     }
 }
 
-/// The sending end of a link; cheap to clone.
+/// The sending half of a link; cheap to clone. The link closes when all clones are
+/// dropped.
 #[derive(Debug)]
 pub struct Link<Out> {
     out: mpsc::Sender<Out>,
@@ -61,34 +64,29 @@
 }
 
 impl<Out> Link<Out> {
-    /// Waits for room, then queues `message`; false when the link is gone.
+    /// Queues `message`, waiting while the queue is full; false if the link is down.
     pub async fn send(&self, message: Out) -> bool {
         self.out.send(message).await.is_ok()
     }
 
-    /// Queues `message` if there is room and the link is up.
+    /// Queues `message` without waiting; false if the queue is full or the link is down.
     ///
-    /// A full ring means that the peer has not read for a while. The caller
-    /// treats that as a broken link, because a dropped message would leave
-    /// the two ends with different views of a stream.
+    /// A full queue means that the peer has not read for a while. A caller whose stream
+    /// depends on the message must treat that as a broken link: the two ends would
+    /// otherwise disagree on the state of the stream.
     pub fn try_send(&self, message: Out) -> bool {
         self.out.try_send(message).is_ok()
     }
 }
 
-/// What a link reports to the duty that owns it.
+/// An event of a link, sent to the duty that owns the link. `K` identifies the link.
 #[derive(Debug)]
 pub enum LinkEvent<K, In, Out> {
-    /// The link is gone; nothing more comes from it.
-    Down {
-        link: K,
-        reason: &'static str,
-    },
-    Message {
-        link: K,
-        message: In,
-    },
-    /// The link is up; always the first event of a link.
+    /// The link is closed; this is its last event.
+    Down { link: K, reason: &'static str },
+    /// The peer sent a message.
+    Message { link: K, message: In },
+    /// The link is open; this is its first event.
     Up {
         hello: Hello,
         link: K,
@@ -96,17 +94,18 @@
     },
 }
 
-/// The messages that may wait for one link's writer.
+/// The messages that may wait to be written to one link.
 const MAX_WAITING_MESSAGES: usize = 4_096;
 
-/// The room made in the buffer before each read.
+/// The free space that the buffer has at least before each read, in bytes.
 const MIN_READ_SPACE: usize = 8 * 1024;
 
-/// The bytes that are gathered into one write.
+/// Messages are gathered into one write until it has this many bytes.
 const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
-/// Runs a link over `connection` until it breaks, falls silent or all its senders
-/// are dropped; what happens on it goes to `inbox` under the name `link`.
+/// Runs a link over `connection` until the connection fails, the peer is silent for too
+/// long, all senders are dropped or `inbox` is closed. Sends the link's events to `inbox`,
+/// with the key `link`.
 pub async fn run_link<K, In, Out>(
     connection: PeerConnection,
     link: K,
@@ -137,6 +136,7 @@
     let _ = inbox.send(LinkEvent::Down { link, reason }).await;
 }
 
+/// Reads messages until the link has to be closed; returns the reason.
 async fn read<K: Clone, In: DeserializeOwned, Out>(
     mut reader: OwnedReadHalf,
     mut buffer: BytesMut,
@@ -159,7 +159,7 @@
                     last_received.store(clock.now().0, Ordering::Relaxed);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "closing a link that sent no message");
+                    tracing::warn!(%error, "closing a link: a received frame does not decode");
                     return "malformed";
                 }
             }
@@ -174,6 +174,8 @@
     }
 }
 
+/// Writes queued messages and heartbeats until the link has to be closed; returns the
+/// reason.
 async fn write<Out: Serialize>(
     mut writer: OwnedWriteHalf,
     mut queue: mpsc::Receiver<Out>,
@@ -204,10 +206,10 @@
             }
         }
 
-        // A connection can go silent for good while new ones work: something
-        // between the two ends has lost track of it. It shows as nothing
-        // heard, or as a write that doesn't end. Both ends beat, so silence
-        // in either direction is found by one of them within the bound.
+        // One connection can stop to carry data while new ones work, because a device
+        // between the two ends has lost its state. Then nothing is received, or a write
+        // does not end. Both ends send heartbeats, so one of them detects silence in
+        // either direction within the timeout.
         let received_at = Millis(last_received.load(Ordering::Relaxed));
         if clock.now().since(received_at) > tuning.silence_timeout {
             return "silent";
@@ -231,8 +233,9 @@
     }
 }
 
+/// Appends `frame` to `buffer`; a frame that does not encode is logged and dropped.
 fn encode_frame<T: Serialize>(frame: &Frame<T>, buffer: &mut BytesMut) {
     if let Err(error) = encode(frame, buffer) {
-        tracing::error!(%error, "dropping a message that can't be sent");
+        tracing::error!(%error, "message dropped: it does not encode as a frame");
     }
 }
--- a/src/wire/message_error.rs
+++ b/src/wire/message_error.rs
@@ -1,20 +1,22 @@
-//! Why bytes from a peer are no message.
+//! Errors of encoding and decoding messages.
 
 use snafu::Snafu;
 
-/// A peer sent something that this release can't read; its link is closed.
+/// Why a frame can't be decoded or encoded. A link on which such a frame is received is
+/// closed.
 #[derive(Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum MessageError {
-    #[snafu(display("a message of {length} bytes is over the limit of {limit}"))]
+    /// The length is zero or over the limit.
+    #[snafu(display("a message of {length} bytes: the length must be 1 to {limit}"))]
     Length { length: usize, limit: usize },
-    #[snafu(display("a message of {length} bytes does not decode: {source}"))]
+    #[snafu(display("a message of {length} bytes is malformed: {source}"))]
     Malformed {
         length: usize,
         source: postcard::Error,
     },
-    #[snafu(display("{extra} bytes are left over behind a message"))]
+    #[snafu(display("{extra} bytes follow the value in a message"))]
     Trailing { extra: usize },
-    #[snafu(display("version {version} of the protocol is unknown, expected {expected}"))]
+    #[snafu(display("protocol version {version} is not supported, expected {expected}"))]
     Version { expected: u8, version: u8 },
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between our own processes and the links that carry them.
+//! Messages between entries and agents, and the links that carry them.
 
 mod codec;
 mod frame;
@@ -33,19 +33,21 @@
     Serialize, //
 };
 
-/// One stream on a link: a generational key of the entry's call arena.
+/// Identifies one stream of a link. The entry chooses it, a generational key of its arena
+/// of calls; the agent only echoes it.
 ///
-/// The agent only echoes it. An answer that comes after the slot was reused
-/// carries the old generation and so finds nobody.
+/// A message that arrives after the entry has reused the place in the arena carries the
+/// old generation, so it matches no call.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Slot(pub u64);
 
-/// The bytes that a stream's sender may have under way before it needs credit.
+/// The flow-control window: the bytes that the sender of a stream may send before it gets
+/// more credit.
 pub const STREAM_WINDOW: u32 = 64 * 1024;
 
-/// What a message costs of its stream's window beside its payload, so that
-/// many tiny messages are bounded too.
+/// The bytes that each message takes of the window beside its payload, so that the number
+/// of tiny messages is limited too.
 pub const MESSAGE_COST: u32 = 64;
 
-/// The largest payload put into one data message.
+/// The largest payload of one data message, in bytes.
 pub const MAX_CHUNK: usize = 32 * 1024;
--- a/src/wire/order.rs
+++ b/src/wire/order.rs
@@ -1,4 +1,4 @@
-//! Orders to a backend server, and its confirmed state.
+//! Orders to a model engine, and its confirmed state.
 
 use crate::base::{
     Fence,
@@ -10,52 +10,55 @@
 };
 use std::collections::BTreeMap;
 
-/// What a backend server is told to do.
+/// What an order asks the engine to do.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Loads a model, or swaps its weights in place.
+    /// Loads a model, or replaces its weights in place.
     Load { version: WeightVersion },
-    /// Changes what the engine does, for example `prefill` or `decode`.
+    /// Changes the engine's role, for example to `prefill` or `decode`.
     Role { role: String },
-    /// Drops a model.
+    /// Removes a model from the engine.
     Unload,
 }
 
-/// An order with the number that fences off older ones.
+/// An order with its fencing number, by which agents reject older orders.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Order {
     pub fence: Fence,
     pub kind: OrderKind,
-    /// The table row of the lease that `fence` is the epoch of.
+    /// The path of the row of the lease whose epoch is `fence`.
     pub lease: String,
     pub model: String,
 }
 
-/// A model on an engine, as the engine itself confirms it.
+/// The state of one model, as the engine confirms it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ModelState {
-    /// Counts loads of this model since the engine's boot, begun ones too.
+    /// The number of loads of this model begun since the engine started.
     pub loads: u64,
-    /// Absent while the weights in place are no one version.
+    /// The version of the weights; `None` while they are not all of one version.
     pub version: Option<WeightVersion>,
 }
 
-/// An engine's state, as the engine itself confirms it.
+/// The state of an engine, as the engine confirms it.
 ///
-/// Two equal states enclose a time in which nothing changed, because `boot`
-/// and `loads` only grow.
+/// If two states are equal, no weights changed between them, because `boot` and `loads`
+/// only grow.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineState {
+    /// Identifies the engine's start; a later start has a higher number.
     pub boot: u64,
-    /// The highest fencing number seen, where the engine checks them.
+    /// The highest fencing number that the engine has seen; `None` if it checks none.
     #[serde(default)]
     pub fence: Option<Fence>,
+    /// The models on the engine, by name.
     pub models: BTreeMap<String, ModelState>,
 }
 
 impl EngineState {
-    /// The version of `model`, when it is whole.
+    /// The version of `model`; `None` if the engine does not have the model or its weights
+    /// are not all of one version.
     pub fn version(&self, model: &str) -> Option<WeightVersion> {
         self.models.get(model)?.version
     }
--- a/src/wire/report.rs
+++ b/src/wire/report.rs
@@ -1,4 +1,5 @@
-//! What an agent says of itself, when it changes and at least once a second.
+//! The report that an agent sends to its entries: when it changes, at most once a second,
+//! and at least every two seconds.
 
 use super::EngineState;
 use crate::base::Millis;
@@ -7,19 +8,21 @@
     Serialize, //
 };
 
-/// An agent's load and state.
+/// The load and state of an agent.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// Requests that the backend server takes at once.
+    /// The number of requests that the backend server runs at once.
     pub capacity: u32,
-    /// Takes no new work.
+    /// Whether the agent is shutting down and accepts no new requests.
     pub draining: bool,
-    /// The last confirmed engine state; default for plain services.
+    /// The last confirmed state of the engine; the default for a plain service.
     pub engine: EngineState,
+    /// The number of waiting requests.
     pub queued: u32,
+    /// The number of running requests.
     pub running: u32,
-    /// The moving average of a request's time at the backend server.
+    /// The moving average of the time that a request takes at the backend server.
     pub service_time: Millis,
-    /// Whether the backend server answered the last time it was asked.
+    /// Whether the engine answers requests for its state; always true for a plain service.
     pub usable: bool,
 }
--- a/src/wire/start.rs
+++ b/src/wire/start.rs
@@ -1,4 +1,4 @@
-//! The hand-over of a request to an agent.
+//! The message that hands a request to an agent.
 
 use super::{
     Generation,
@@ -15,20 +15,20 @@
     Serialize, //
 };
 
-/// The head of an HTTP call to a plain service.
+/// An HTTP call to a plain service, with the first part of its body.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallHead {
-    /// The body's first part, the whole of it when `whole` is set.
+    /// The first part of the body, or all of it if `whole` is set.
     pub body: Bytes,
     pub headers: Vec<(String, Bytes)>,
     pub method: String,
-    /// Path and query.
+    /// The path and the query.
     pub path: String,
-    /// Whether `body` is all of the body; otherwise data messages follow.
+    /// Whether `body` is the complete body; otherwise data messages follow.
     pub whole: bool,
 }
 
-/// What is to be done.
+/// What the backend server is asked to do.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Work {
     Call(CallHead),
@@ -38,14 +38,17 @@
 /// A request handed to an agent.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Start {
-    /// Which hand-over of the request this is, from 0.
+    /// The number of the attempt to run the request, from 0.
     pub attempt: u8,
-    /// What is left until the deadline when this is sent. A length, since the
+    /// The time left until the deadline when this is sent. It is a duration because the
     /// clocks of two instances differ.
     pub budget: Millis,
+    /// The name of the request's class.
     pub class: String,
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The caller's own key for a call that must run at most once.
+    /// The request key chosen by the caller: requests with the same key run at most once,
+    /// unless they are idempotent.
     pub key: Option<String>,
     pub priority: Priority,
     pub request: RequestId,
--- a/src/wire/to_agent.rs
+++ b/src/wire/to_agent.rs
@@ -1,4 +1,4 @@
-//! Messages from an entry.
+//! Messages from an entry to an agent.
 
 use super::{
     Order,
@@ -12,39 +12,31 @@
     Serialize, //
 };
 
-/// What an entry sends to an agent, or to another entry that owns a trainer.
+/// A message from an entry to an agent, or to the entry that owns a trainer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ToAgent {
-    /// Nobody waits for the answer any more.
-    Cancel {
-        slot: Slot,
-    },
-    /// The caller took `bytes` of the answer.
-    Credit {
-        slot: Slot,
-        bytes: u32,
-    },
-    /// A further part of the request's body.
+    /// The entry no longer needs the answer.
+    Cancel { slot: Slot },
+    /// Flow control: the caller consumed `bytes` of the answer, including the
+    /// [`MESSAGE_COST`](super::MESSAGE_COST) of each message.
+    Credit { slot: Slot, bytes: u32 },
+    /// The next part of the request's body; `last` marks the end.
     Data {
         slot: Slot,
         bytes: Bytes,
         last: bool,
     },
-    Order {
-        slot: Slot,
-        order: Order,
-    },
-    /// Asks what the agent knows of a request.
-    Query {
-        slot: Slot,
-        request: RequestId,
-    },
-    /// Takes the request back if it has not started; a tombstone stays, so
-    /// that a late copy of the start is refused as well.
+    /// An order to the engine.
+    Order { slot: Slot, order: Order },
+    /// Asks for the agent's account of a request.
+    Query { slot: Slot, request: RequestId },
+    /// Cancels the request if it has not started. The agent keeps a tombstone, by which
+    /// it refuses a start of this attempt that arrives later.
     Revoke {
         attempt: u8,
         slot: Slot,
         request: RequestId,
     },
+    /// Hands a request to the agent.
     Start(Box<Start>),
 }
