--- a/src/agent/accounts.rs
+++ b/src/agent/accounts.rs
@@ -1,4 +1,4 @@
-//! The operators' question to an agent: what became of a request.
+//! Admin HTTP routes of an agent: its load report, and its accounts of requests.
 
 use crate::{
     base::{Account, RequestId},
@@ -13,21 +13,22 @@
     oneshot, //
 };
 
-/// A question to the work duty.
+/// A query to the work duty, with the channel for the answer.
 pub(super) enum Query {
     Account(RequestId, oneshot::Sender<Option<Account>>),
     Report(oneshot::Sender<Report>),
 }
 
-/// The questions that may wait; further ones are refused.
+/// The queries that may wait; further ones are answered as an unknown path.
 pub(super) const MAX_WAITING_QUERIES: usize = 16;
 
+/// The answer of `/v1/account/ID`.
 #[derive(Serialize)]
 struct AccountAnswer {
     account: Option<Account>,
 }
 
-/// The agent's own routes on the operators' HTTP.
+/// The agent's own routes on the admin HTTP server; `None` for any other path.
 pub(super) fn admin_route(queries: mpsc::Sender<Query>) -> Route {
     Arc::new(move |request| {
         let queries = queries.clone();
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -1,4 +1,4 @@
-//! A running agent.
+//! Starts an agent's duties.
 
 use super::{
     accounts,
@@ -20,19 +20,21 @@
 };
 use tokio::sync::mpsc;
 
-/// A running `redwing-agent`; dropping it ends it.
+/// A running agent; dropping it stops the agent.
 pub struct Agent {
+    /// The address of the admin HTTP server.
     pub admin: SocketAddr,
     pub handle: Handle,
+    /// The address at which entries open links.
     pub links: SocketAddr,
 }
 
-/// The events that may wait for the work duty. When the ring is full the
-/// links stop reading, which their entries see as ordinary back-pressure.
+/// The events that may wait for the work duty. When the queue is full, the links stop
+/// reading, which their entries see as back-pressure.
 const MAX_WAITING_EVENTS: usize = 4_096;
 
 impl Agent {
-    /// Starts an agent.
+    /// Starts an agent with its duties `door` (accepts links), `work` and `admin`.
     pub fn open(settings: AgentSettings) -> Result<Self, DutyError> {
         let mut handle = Handle::open(settings.common.drain.bound)?;
         let admin = HttpServer::bind(settings.common.admin, Limits::default())?;
@@ -53,7 +55,7 @@
             backend = %settings.backend.address,
             links = %links,
             admin = %admin_address,
-            "agent up"
+            "agent started"
         );
 
         let supervisor = handle.supervisor().clone();
--- a/src/agent/engine_access.rs
+++ b/src/agent/engine_access.rs
@@ -1,4 +1,5 @@
-//! What is certain about the engine's weights, and when they may be changed.
+//! Access to the engine: its confirmed state, and the locks that keep weights from
+//! changing during a generation.
 
 use crate::{
     base::{Failure, Millis, WeightVersion},
@@ -17,37 +18,41 @@
     watch, //
 };
 
-/// The engine's latest answer about its state.
+/// The engine's last confirmed state.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ConfirmedState {
-    /// Failed questions in a row.
+    /// Requests for the state that have failed since the last answer.
     pub(super) failures: u32,
+    /// The state in the last answer; the default before the first one.
     pub(super) state: Arc<EngineState>,
-    /// Counts answers. What was received before answer `n` came was received
-    /// before question `n + 1` was asked.
+    /// The number of answers so far. The poll asks again only after an answer, so tokens
+    /// received before its answer `n` were received before it asked for answer `n + 1`.
     pub(super) answers: u64,
 }
 
-/// How often the engine is asked for its state.
+/// The delay between an answer about the engine's state and the next request for it.
 pub(super) const POLL_INTERVAL: Millis = Millis(250);
 
-/// Unanswered questions after which the engine counts as unusable.
+/// The number of successive failed requests for the state from which the engine counts as
+/// unusable.
 pub(super) const FAILURE_LIMIT: u32 = 2;
 
-/// Guards the engine's weights.
+/// Coordinates generations and orders at the engine.
 ///
 /// # Invariants
 ///
-/// While any generation of a model holds the model's lock for reading, this
-/// agent has no order for that model under way. So an order that came from
-/// here never changes weights under a generation.
+/// A generation holds its model's lock for reading; an order holds it for writing while it
+/// is carried out. So an order from this agent never changes the weights of a model during
+/// a generation.
 pub(super) struct EngineAccess {
     pub(super) client: EngineClient,
+    /// Updated after each request for the state.
     confirmed: watch::Sender<ConfirmedState>,
+    /// The locks of [`Self::model_lock`], by model.
     locks: RefCell<HashMap<String, Rc<RwLock<()>>>>,
-    /// One order at a time.
+    /// Held by the order that is carried out, so that there is one at a time.
     pub(super) order_lock: Mutex<()>,
-    /// The model whose generations are to step aside.
+    /// The model whose generations must release its lock for an order.
     pub(super) paused_model: watch::Sender<Option<String>>,
 }
 
@@ -62,7 +67,8 @@
         }
     }
 
-    /// Asks the engine now, and tells all who watch.
+    /// Asks the engine for its state and publishes the answer or the failure to all
+    /// subscribers.
     pub(super) async fn refresh_state(&self) -> Result<Arc<EngineState>, Failure> {
         let answer = self.client.fetch_state().await;
         self.confirmed.send_modify(|confirmed| match &answer {
@@ -78,13 +84,13 @@
         answer.map(|_| self.confirmed.borrow().state.clone())
     }
 
-    /// The lock of `model`: read by generations, written by orders.
+    /// The lock of `model`, which generations take for reading and orders for writing.
     pub(super) fn model_lock(&self, model: &str) -> Rc<RwLock<()>> {
         let mut locks = self.locks.borrow_mut();
         locks.entry(model.to_owned()).or_default().clone()
     }
 
-    /// Asks again and again.
+    /// Asks the engine for its state at intervals, without end.
     pub(super) async fn poll_state(&self) {
         loop {
             let _ = self.refresh_state().await;
@@ -92,29 +98,32 @@
         }
     }
 
-    /// The latest state.
+    /// The last confirmed state.
     pub(super) fn state(&self) -> Arc<EngineState> {
         self.confirmed.borrow().state.clone()
     }
 
-    /// Whether the engine answers.
+    /// Whether the engine has answered and has not failed [`FAILURE_LIMIT`] times in a row
+    /// since.
     pub(super) fn is_usable(&self) -> bool {
         let confirmed = self.confirmed.borrow();
         confirmed.answers > 0 && confirmed.failures < FAILURE_LIMIT
     }
 
-    /// The latest answers as they come.
+    /// Notifies of each answer and each failure.
     pub(super) fn subscribe(&self) -> watch::Receiver<ConfirmedState> {
         self.confirmed.subscribe()
     }
 }
 
-/// Whether nothing happened to `model` between the two states.
+/// Whether the engine was not restarted and began no load of `model` between the two
+/// states.
 pub(super) fn is_unchanged(before: &EngineState, after: &EngineState, model: &str) -> bool {
     before.boot == after.boot && before.models.get(model) == after.models.get(model)
 }
 
-/// The version that `before` and `after` enclose, if they do.
+/// The weight version that `model` had all the time between `before` and `after`; `None`
+/// if it changed or is not certain.
 pub(super) fn version_between(
     before: &EngineState,
     after: &EngineState,
--- a/src/agent/job.rs
+++ b/src/agent/job.rs
@@ -1,4 +1,4 @@
-//! One request in an agent.
+//! A request that waits or runs in an agent.
 
 use super::{
     job_io::JobIo, //
@@ -15,31 +15,37 @@
 };
 
 slotmap::new_key_type! {
-    /// A job's place in the agent's arena.
+    /// Identifies a job in the agent's arena.
     pub struct JobKey;
 }
 
-/// A part of a request's body on its way to the backend server.
+/// A part of a request's body, to be sent to the backend server.
 pub(super) type BodyPart = Result<Bytes, std::io::Error>;
 
 /// A request that waits or runs.
 pub(super) struct Job {
-    /// Where body parts go; `None` once the body is whole.
+    /// Takes the body parts that arrive from the entry; `None` once the body is complete.
     pub(super) body_sender: Option<mpsc::Sender<BodyPart>>,
     pub(super) deadline: Millis,
+    /// Sends the answer to the entry.
     pub(super) io: JobIo,
+    /// The link on which the request came.
     pub(super) link: LinkKey,
     /// The receiving end of `body_sender` until the job starts.
     pub(super) body_receiver: Option<mpsc::Receiver<BodyPart>>,
+    /// The request as the entry sent it.
     pub(super) start: Box<Start>,
+    /// When the job was handed to the backend server; `None` while it waits.
     pub(super) started_at: Option<Millis>,
+    /// The task that runs the job, once it has started.
     pub(super) task: Option<JoinHandle<()>>,
     /// A hash of the team's name.
     pub(super) team: u64,
 }
 
-/// What a job's task tells when it ends.
+/// The end of a started job, sent by the job's task to the work duty.
 pub(super) struct JobEnd {
     pub(super) key: JobKey,
+    /// The versions of the generated tokens (empty for a call), or why the job failed.
     pub(super) outcome: Result<Vec<Span>, crate::base::Failure>,
 }
--- a/src/agent/job_io.rs
+++ b/src/agent/job_io.rs
@@ -1,4 +1,4 @@
-//! A job's way back to its entry.
+//! Sends the answer of a job to its entry, under flow control.
 
 use crate::wire::{
     FromAgent,
@@ -10,9 +10,11 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// One stream of a link, with the credit that its entry has given.
+/// The sending half of one stream of a link. All clones share the stream's credit.
 #[derive(Clone)]
 pub(super) struct JobIo {
+    /// The bytes that may still be sent, one permit each. Closed once the answer is
+    /// discarded.
     credit: Arc<Semaphore>,
     link: Link<FromAgent>,
     pub(super) slot: Slot,
@@ -27,25 +29,25 @@
         }
     }
 
-    /// Nobody waits for the answer: from now on it is thrown away.
+    /// Discards the rest of the answer, because nobody waits for it.
     pub(super) fn discard(&self) {
         self.credit.close();
     }
 
-    /// Whether the answer is thrown away.
+    /// Whether the rest of the answer is discarded.
     pub(super) fn is_discarded(&self) -> bool {
         self.credit.is_closed()
     }
 
-    /// The entry took `bytes` more.
+    /// Adds credit for `bytes` that the entry has consumed.
     pub(super) fn add_credit(&self, bytes: u32) {
-        // A peer could otherwise add credit until the counter overflows.
+        // Without the limit, a peer could add credit until the semaphore overflows.
         let room = (STREAM_WINDOW as usize).saturating_sub(self.credit.available_permits());
         self.credit.add_permits(room.min(bytes as usize));
     }
 
-    /// Sends `message`, waiting for credit for `payload` bytes, so that one
-    /// slow caller holds up its own stream only.
+    /// Waits for credit for `payload` bytes, then sends `message`. So a slow caller delays
+    /// only its own stream.
     pub(super) async fn send(&self, payload: usize, message: FromAgent) {
         let cost = (payload as u32 + MESSAGE_COST).min(STREAM_WINDOW);
         let Ok(permit) = self.credit.acquire_many(cost).await else {
@@ -55,14 +57,15 @@
         self.send_last(message).await;
     }
 
-    /// Sends a stream's last message, which needs no credit.
+    /// Sends the last message of the stream, which needs no credit.
     pub(super) async fn send_last(&self, message: FromAgent) {
         if !self.is_discarded() {
             self.link.send(message).await;
         }
     }
 
-    /// Sends without waiting, from the duty's own loop.
+    /// Sends without waiting, for the event loop of the work duty; false if the message
+    /// could not be queued. Needs no credit.
     pub(super) fn try_send(&self, message: FromAgent) -> bool {
         self.is_discarded() || self.link.try_send(message)
     }
--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -1,4 +1,4 @@
-//! How the work duty takes, runs and ends jobs.
+//! Accepts, runs and ends jobs.
 
 use super::{
     job::{Job, JobEnd, JobKey},
@@ -19,18 +19,18 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-/// The body parts that may wait for the backend server. The window bounds
-/// them by bytes, and each costs at least `MESSAGE_COST` of it.
+/// The body parts of a job that may wait for the backend server. The stream's window
+/// limits their bytes, and each takes at least `MESSAGE_COST` of it.
 const MAX_BODY_PARTS: usize = (STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize;
 
-/// How long after its deadline a call with nobody waiting may still run.
+/// How long an abandoned call may still run after its deadline.
 const ABANDONED_CALL_TIMEOUT: Millis = Millis(30_000);
 
-/// The weight of the latest request in the moving average of service time.
+/// The weight of the latest request in the moving average of the service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 impl Worker {
-    /// Takes a request in.
+    /// Accepts a request: runs it at once, queues it or refuses it.
     pub(super) fn start(&mut self, link: LinkKey, start: Box<Start>) {
         let now = self.context.clock.now();
         let (request, slot) = (start.request, start.slot);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A job's task has ended.
+    /// Records the end of a started job, and starts the next ones.
     pub(super) fn on_job_end(&mut self, end: JobEnd) {
         let Some(job) = self.remove(end.key) else {
             return;
@@ -120,7 +120,7 @@
         self.run_next();
     }
 
-    /// Nobody waits for the job's answer any more.
+    /// Abandons the job of the stream, because its entry no longer needs the answer.
     pub(super) fn cancel(&mut self, link: LinkKey, slot: Slot) {
         let key = self.links.get(&link).and_then(|s| s.slots.get(&slot));
         if let Some(key) = key.copied() {
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Ends a job whose entry is gone or lost interest.
+    /// Ends a job whose entry is gone or no longer needs the answer.
     ///
-    /// A call that must not be repeated is let run to its end: cutting it
-    /// halfway would leave its effect in doubt.
+    /// A started call that is not idempotent and has its whole body runs to its end
+    /// instead: if it were stopped halfway, its effect would not be known.
     pub(super) fn abandon(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Ends the running jobs whose deadline has passed.
+    /// Fails and abandons the running jobs whose deadline has passed.
     pub(super) fn expire(&mut self, now: Millis) {
         self.stop_abandoned(now);
         let late: Vec<JobKey> = self
@@ -168,7 +168,7 @@
         }
     }
 
-    /// A further part of a request's body.
+    /// Passes on a part of a request's body.
     pub(super) fn on_data(&mut self, link: LinkKey, slot: Slot, bytes: Bytes, last: bool) {
         let Some(job) = self.job(link, slot) else {
             return;
@@ -181,12 +181,13 @@
             job.body_sender = None;
         }
         if !taken {
-            // An entry that keeps to its window never gets here.
+            // The HTTP client has stopped reading the body, or the entry breaks the protocol:
+            // one that keeps to its window and the body's end never fills the channel.
             self.cancel(link, slot);
         }
     }
 
-    /// Refuses a job that has not started.
+    /// Removes a job that has not started, and sends `failure` to its entry.
     pub(super) fn refuse(&mut self, key: JobKey, failure: Failure) {
         let Some(job) = self.remove(key) else {
             return;
@@ -196,8 +197,9 @@
         self.reject(now, &job.io, &job.start, failure);
     }
 
-    /// Cuts the calls that go on with nobody waiting, once they have had long
-    /// enough: a service that never answers would keep its places for good.
+    /// Stops abandoned calls that have run for [`ABANDONED_CALL_TIMEOUT`] past their
+    /// deadline. Otherwise calls that a service never answers would occupy its capacity
+    /// forever.
     fn stop_abandoned(&mut self, now: Millis) {
         let lingering: Vec<JobKey> = self
             .jobs
@@ -214,12 +216,14 @@
         }
     }
 
+    /// Claims the request key of a non-idempotent request; fails if an earlier request has
+    /// the same key.
     fn claim_key(&mut self, now: Millis, start: &Start) -> Result<(), Failure> {
         let Some(key) = start.key.as_deref().filter(|_| !start.idempotent) else {
             return Ok(());
         };
-        // A key is claimed in the table before its call is handed over. This
-        // is a second guard, for an entry that was paused between the two.
+        // The entry claims the key in the table before it hands over the call. This is a
+        // second check, for an entry that was paused between the two.
         match self
             .seen_keys
             .claim(now, &team_key(start, key), start.request)
@@ -236,6 +240,7 @@
         }
     }
 
+    /// Records that a removed job was stopped, and frees its slot or its key.
     fn end_early(&mut self, job: &Job, started: bool, cause: Cause) {
         let now = self.context.clock.now();
         if started {
@@ -249,6 +254,7 @@
         }
     }
 
+    /// Starts a job that the queue has released, in a task of its own.
     fn launch(&mut self, key: JobKey) {
         let now = self.context.clock.now();
         let Some(job) = self.jobs.get_mut(key) else {
@@ -289,12 +295,14 @@
         }));
     }
 
+    /// Adds the failure to the account of the request.
     fn note_failure(&mut self, now: Millis, start: &Start, failure: &Failure) {
         let (cause, verdict) = (failure.cause, failure.verdict);
         let event = Event::Failed { cause, verdict };
         self.ledger.note(now, start.request, event);
     }
 
+    /// Adds the weight versions of a generation to the account of its request.
     fn note_versions(&mut self, now: Millis, job: &Job, spans: Vec<Span>) {
         if let Work::Generate(generation) = &job.start.work {
             let model = generation.model.clone();
@@ -303,18 +311,21 @@
         }
     }
 
+    /// Records the failure and sends it to the entry.
     fn reject(&mut self, now: Millis, io: &JobIo, start: &Start, failure: Failure) {
         self.note_failure(now, start, &failure);
         let slot = io.slot;
         io.try_send(FromAgent::Failed { slot, failure });
     }
 
+    /// Frees the key of a request that did not run.
     fn release_key(&mut self, start: &Start) {
         if let Some(key) = &start.key {
             self.seen_keys.release(&team_key(start, key), start.request);
         }
     }
 
+    /// Removes a job, and stops its task.
     fn remove(&mut self, key: JobKey) -> Option<Job> {
         let job = self.jobs.remove(key)?;
         if let Some(state) = self.links.get_mut(&job.link)
@@ -328,7 +339,7 @@
         Some(job)
     }
 
-    /// Refuses the waiting requests that can't be answered in time.
+    /// Refuses the waiting requests that can't be answered before their deadlines.
     pub(super) fn shed(&mut self, now: Millis) {
         let service = Millis(self.service_time as u64);
         for item in self.queue.shed(now, service) {
@@ -336,6 +347,7 @@
         }
     }
 
+    /// Starts waiting jobs while the backend server has free slots.
     fn run_next(&mut self) {
         let now = self.context.clock.now();
         self.shed(now);
@@ -346,7 +358,7 @@
     }
 }
 
-/// A key as one team's: two teams may use the same text.
+/// The request key, qualified with the team: two teams may use the same key.
 fn team_key(start: &Start, key: &str) -> String {
     format!("{}/{key}", start.team)
 }
--- a/src/agent/link_listener.rs
+++ b/src/agent/link_listener.rs
@@ -1,4 +1,4 @@
-//! The duty that accepts entries' links.
+//! The duty `door`: accepts links from entries.
 
 use super::work::WorkEvent;
 use crate::{
@@ -14,28 +14,28 @@
     sync::{Semaphore, mpsc}, //
 };
 
-/// Names a link of this process's life.
+/// Identifies a link; not reused within the process.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct LinkKey(pub u64);
 
-/// The links open at once. 460 entries with 16 of a pool's samplers each make
-/// some 18 links to an agent; the rest is room for reconnects.
+/// The links that may be open at once. With 460 entries, each linked to 16 of a pool's
+/// samplers, an agent has about 18 links; the rest is room for reconnects.
 const MAX_LINKS: usize = 512;
 
-/// A bound link port.
+/// A bound link port that does not accept connections yet.
 pub(super) struct Listener {
     pub(super) address: SocketAddr,
     listener: std::net::TcpListener,
 }
 
-/// Binds the link port.
+/// Binds the link port, so that its address is known before the duty starts.
 pub(super) fn bind(address: SocketAddr) -> Result<Listener, DutyError> {
     let (address, listener) = bind_listener(address)?;
     Ok(Listener { address, listener })
 }
 
-/// Accepts links until the program stops. A draining agent still takes links:
-/// a refusal on one tells an entry more than a refused connection.
+/// Accepts links until the program stops. A draining agent still accepts them, because a
+/// refused request gives the entry a reason, which a refused connection does not.
 pub(super) async fn run(
     context: Context,
     listener: Listener,
@@ -61,13 +61,14 @@
         let (key, hello, events) = (LinkKey(last_key), hello.clone(), events.clone());
         tokio::spawn(async move {
             if let Err(error) = serve_link(stream, key, hello, events).await {
-                tracing::warn!(%peer, %error, "refusing a link");
+                tracing::warn!(%peer, %error, "link refused: the handshake failed");
             }
             drop(permit);
         });
     }
 }
 
+/// Performs the handshake, then runs the link until it closes.
 async fn serve_link(
     stream: TcpStream,
     key: LinkKey,
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent: the only door to its backend server.
+//! The agent of one backend server: all requests and orders to the server pass through it.
 
 mod accounts;
 mod agent_handle;
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! How the work duty passes orders to its backend server.
+//! Checks orders and carries them out.
 
 use super::{
     link_listener::LinkKey,
@@ -20,7 +20,7 @@
 };
 
 impl Worker {
-    /// Rules on an order, does it, and answers.
+    /// Starts a task that checks the order, carries it out and sends the outcome.
     pub(super) fn on_order(&mut self, link: LinkKey, slot: Slot, order: Order) {
         let Some(sender) = self.links.get(&link).map(|state| state.sender.clone()) else {
             return;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Lets an order pass only if no newer one is known.
+/// Fails if a newer order of the same lease is known.
 async fn check_fence(
     fences: &Rc<RefCell<Fences>>,
     platform: &PlatformClient,
@@ -70,11 +70,11 @@
         .check(&order.lease, order.fence, version);
     let check = match check {
         FenceCheck::Unknown => {
-            // An agent that has just started knows no fencing number, and its
-            // engine may not check any: an owner that was paused past its
-            // lease could have an old order passed. The leases' rows tell the
-            // newest numbers, also the highest that the engine may have seen;
-            // without them no order passes.
+            // An agent that has just started knows no fencing number, and its engine may
+            // not check any. An old order of an owner that was paused past the end of its
+            // lease could then pass. So the newest numbers are read from the rows of the
+            // leases, all of them, because the engine may have seen the highest of any
+            // lease. If they can't be read, the order fails.
             let lease_epochs = lease_epochs(platform).await?;
             let mut fences = fences.borrow_mut();
             fences.learn(&order.lease, 1);
@@ -94,7 +94,7 @@
     }
 }
 
-/// The epoch of each trainer's lease, by the path of its row.
+/// Reads the path and the epoch of each trainer's lease from the table.
 async fn lease_epochs(platform: &PlatformClient) -> Result<Vec<(String, Fence)>, Failure> {
     let listing = platform.list(LEASE_PREFIX, &mut EntityTag::default()).await;
     let listing = listing.map_err(|error| Failure::not_run(Cause::StoreDown, error.to_string()))?;
--- a/src/agent/run_call.rs
+++ b/src/agent/run_call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to a plain service.
+//! Runs one HTTP call at a plain service.
 
 use super::{
     job::BodyPart,
@@ -31,30 +31,31 @@
     wrappers::ReceiverStream, //
 };
 
-/// The client of a plain service.
+/// The HTTP client for a plain service.
 pub(super) type ServiceClient = Client<HttpConnector, Body>;
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// The header under which services and callers see the request id.
+/// The header that carries the request id to services and callers.
 pub const REQUEST_ID: &str = "redwing-request-id";
 
-/// The header with the caller's own key.
+/// The header that carries the request key chosen by the caller.
 pub const REQUEST_KEY: &str = "redwing-request-key";
 
+/// Creates the HTTP client for a plain service.
 pub(super) fn client() -> ServiceClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        // A pooled connection that closes under a request would be replaced
-        // by hyper unasked. It is told as `NotRun` only when hyper hands the
-        // unsent request back, so retries stay with the entry.
+        // Otherwise hyper would send a request again on another connection when its
+        // pooled connection closes. Retries are left to the entry.
         .retry_canceled_requests(false)
         .build(connector)
 }
 
-/// Runs the call and streams its answer back.
+/// Sends the call to the service at `address` and streams the answer to the entry. `parts`
+/// yields the rest of the request's body, if it did not come whole.
 pub(super) async fn run_call(
     client: &ServiceClient,
     address: SocketAddr,
@@ -65,8 +66,8 @@
 ) -> Result<(), Failure> {
     let request = request(address, start, head, parts, io)?;
     let answer = client.request(request).await.map_err(|error| {
-        // Up to the connection nothing was written: the service can't have
-        // seen the call. From then on it may have.
+        // Before the connection is open nothing was written, so the service has not seen
+        // the call. Afterwards it may have.
         match error.is_connect() {
             true => Failure::not_run(Cause::BackendUnreachable, error.to_string()),
             false => Failure::may_have_run(Cause::BackendBroken, error.to_string()),
@@ -101,6 +102,7 @@
     Ok(())
 }
 
+/// Builds the HTTP request to the service.
 fn request(
     address: SocketAddr,
     start: &Start,
@@ -129,8 +131,8 @@
         .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))
 }
 
-/// A body of which `first` is here and the rest arrives; the entry gets
-/// credit for each part when the service has taken it.
+/// A body that consists of `first` and the parts that are still to arrive. The entry gets
+/// credit for each part as the HTTP client consumes it.
 fn streaming_body(first: Bytes, parts: mpsc::Receiver<BodyPart>, io: JobIo) -> Body {
     let rest = ReceiverStream::new(parts).map(move |part| {
         let bytes = part?;
@@ -144,7 +146,7 @@
     StreamBody::new(all.map(|part: BodyPart| part.map(Frame::data))).boxed_unsync()
 }
 
-/// The headers that are passed on: all but those of the one connection.
+/// The headers of the answer that are forwarded: all but the hop-by-hop ones.
 fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     headers
         .iter()
@@ -153,7 +155,7 @@
         .collect()
 }
 
-/// Whether a header belongs to the message rather than to one connection.
+/// Whether a header is end-to-end. The hop-by-hop headers and `Host` are not forwarded.
 pub fn is_end_to_end(name: &str) -> bool {
     ![
         CONNECTION.as_str(),
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -1,4 +1,4 @@
-//! One generation at the model engine, with the versions that made its tokens.
+//! Runs one generation at the model engine, and labels its tokens with weight versions.
 
 use super::{
     engine_access::{ConfirmedState, EngineAccess, FAILURE_LIMIT, version_between},
@@ -15,39 +15,46 @@
     time::timeout, //
 };
 
-/// A generation whose engine gives no token for this long is broken off.
+/// The time limit for the next token or event of the engine.
 const TOKEN_TIMEOUT: Millis = Millis(10_000);
 
-/// Tokens of a rollout sent in one message.
+/// Tokens of a rollout are sent in batches of this size; those of other priorities one by
+/// one.
 const MAX_BATCHED_TOKENS: u32 = 64;
 
-/// Turns that may end in doubt before the generation is given up here.
+/// How many uncertain turns are repeated; the generation fails at the next one.
 const MAX_UNCERTAIN_TURNS: u32 = 3;
 
-/// A generation under way.
+/// A running generation. It consists of turns: each is one request to the engine, and ends
+/// when the generation finishes or has to be continued by another turn.
 ///
 /// # Invariants
 ///
-/// `spans` label tokens only when two equal states of the engine enclose the
-/// time in which they were made; `labelled` is the end of what is labelled.
+/// `spans` label tokens only if the engine's state was the same before and after they were
+/// generated.
 pub(super) struct GenerationRun<'a> {
+    /// The number of tokens whose version is known; those after them are unlabelled.
     labelled: u32,
     engine_access: &'a EngineAccess,
     generation: &'a Generation,
     io: &'a JobIo,
     priority: Priority,
-    /// Tokens that the entry has been sent.
+    /// The number of tokens that the entry has, including those generated elsewhere.
     sent: u32,
+    /// The versions of the tokens generated here.
     spans: Vec<Span>,
+    /// All tokens of the generation so far, including those generated elsewhere.
     tokens: Tokens,
 }
 
-/// How one turn at the engine ended.
+/// How a turn ended.
 enum TurnOutcome {
-    /// The state changed under the tokens: those in doubt are void.
+    /// The engine's state changed during the turn: the unlabelled tokens are void.
     Uncertain,
+    /// The generation is complete and all tokens are labelled.
     Finished(FinishReason),
-    /// The weights are about to change: all tokens so far are labelled.
+    /// An order is about to change the weights. All tokens so far are labelled, and the
+    /// next turn continues after them.
     Paused,
 }
 
@@ -71,7 +78,7 @@
         }
     }
 
-    /// Runs to the end; returns the spans of the tokens made here.
+    /// Runs the generation to its end; returns the versions of the tokens generated here.
     pub(super) async fn run(mut self) -> Result<Vec<Span>, Failure> {
         let mut uncertain_turns = 0;
         loop {
@@ -98,6 +105,8 @@
         }
     }
 
+    /// Runs one turn: streams tokens to the entry, and labels them with each answer about
+    /// the engine's state.
     async fn run_turn(&mut self) -> Result<TurnOutcome, Failure> {
         let model = &self.generation.model;
         let before = self.engine_access.state();
@@ -127,8 +136,9 @@
                     let Some(version) = self.confirmed_version(&mut watch, &before)? else {
                         return Ok(TurnOutcome::Uncertain);
                     };
-                    // What had come before the last answer came before this
-                    // question was asked, so this answer covers it.
+                    // The tokens received before the previous answer about the state
+                    // were received before the poll asked again, so the new answer
+                    // covers them.
                     self.label_until(received, version).await;
                     received = self.tokens.len();
                 }
@@ -142,7 +152,8 @@
         }
     }
 
-    /// The version, if the engine's latest answer still equals `before`.
+    /// The version of the model, if its last confirmed state is the one in `before`; `None`
+    /// if it has changed. Fails if the engine does not answer any more.
     fn confirmed_version(
         &self,
         watch: &mut watch::Receiver<ConfirmedState>,
@@ -160,7 +171,8 @@
         ))
     }
 
-    /// Asks the engine once more and labels all tokens if nothing changed.
+    /// Asks the engine for its state, and labels all tokens if it has not changed since
+    /// `before`; returns whether it did.
     async fn confirm_and_label(&mut self, before: &EngineState) -> Result<bool, Failure> {
         let after = self.engine_access.refresh_state().await?;
         let Some(version) = version_between(before, &after, &self.generation.model) else {
@@ -170,6 +182,7 @@
         Ok(true)
     }
 
+    /// Sends the end of the answer; returns the versions of the tokens generated here.
     async fn finish(self, finish: FinishReason) -> Vec<Span> {
         let slot = self.io.slot;
         let finish = Some(finish);
@@ -177,6 +190,7 @@
         self.spans
     }
 
+    /// Sends the tokens that the entry does not have yet.
     async fn flush(&mut self) {
         let tokens: Tokens = self.tokens.iter().skip(self.sent as usize).collect();
         if tokens.is_empty() {
@@ -190,12 +204,13 @@
         self.io.send(cost, message).await;
     }
 
+    /// Labels the unlabelled tokens below index `to` with `version`.
     async fn label_until(&mut self, to: u32, version: WeightVersion) {
         self.flush().await;
         if to <= self.labelled {
             return;
         }
-        // INVARIANT: the caller holds two equal states around these tokens.
+        // INVARIANT: the caller saw equal states before and after these tokens.
         let span = Span {
             from: self.labelled,
             to,
@@ -208,6 +223,7 @@
         self.io.send(0, FromAgent::Spans { slot, spans }).await;
     }
 
+    /// Adds a token, and sends it at once or with its batch.
     async fn push_token(&mut self, text: &str) {
         self.tokens.push(text);
         let waiting = self.tokens.len() - self.sent;
@@ -216,8 +232,8 @@
         }
     }
 
-    /// A failure as it stands for the whole request: once tokens were made
-    /// here, it has run.
+    /// Changes the verdict `NotRun` of a failure to `MayHaveRun` if tokens generated here
+    /// have been labelled, because the request as a whole has then run.
     fn with_true_verdict(&self, mut failure: Failure) -> Failure {
         if !self.spans.is_empty() && failure.verdict == Verdict::NotRun {
             failure.verdict = Verdict::MayHaveRun;
@@ -225,12 +241,13 @@
         failure
     }
 
+    /// The failure of a generation whose weight version is not certain.
     fn uncertain_failure(&self) -> Failure {
         let detail = format!("the weights of `{}` are in doubt", self.generation.model);
         self.with_true_verdict(Failure::not_run(Cause::VersionUncertain, detail))
     }
 
-    /// Drops the tokens whose version is in doubt, here and at the entry.
+    /// Drops the unlabelled tokens, here and at the entry.
     async fn void_unlabelled(&mut self) {
         let lost = self.tokens.len() - self.labelled;
         if lost == 0 {
@@ -248,6 +265,7 @@
     }
 }
 
+/// Waits for the next event of the engine, within [`TOKEN_TIMEOUT`].
 async fn next_event(stream: &mut TokenStream) -> Result<EngineEvent, Failure> {
     match timeout(TOKEN_TIMEOUT.as_duration(), stream.next()).await {
         Ok(event) => event,
--- a/src/agent/run_order.rs
+++ b/src/agent/run_order.rs
@@ -1,4 +1,4 @@
-//! One order to the model engine.
+//! Carries out one order at the model engine.
 
 use super::engine_access::EngineAccess;
 use crate::{
@@ -8,24 +8,25 @@
 };
 use std::cell::RefCell;
 
-/// How long after an order the engine is asked until its state is certain.
+/// How many times the engine is asked for its state after an order, until the state shows
+/// the result.
 const MAX_CONFIRM_POLLS: u32 = 40;
 
-/// The wait between two such questions.
+/// The delay between two of these requests.
 const CONFIRM_POLL_INTERVAL: Millis = Millis(100);
 
-/// Gives the order to the engine while no generation of its model runs, and
-/// returns the state that the engine confirms afterwards.
+/// Sends the order to the engine while no generation of its model runs, and returns the
+/// state that the engine confirms afterwards.
 ///
-/// The engine's answer to the order proves nothing: it can be lost, or tell
-/// of success before all of the weights are there. Only the state counts.
+/// The engine's answer to the order does not decide: it can be lost, or report success
+/// before all weights are loaded. Only the state shows the result.
 pub(super) async fn run_order(
     engine_access: &EngineAccess,
     fences: &RefCell<Fences>,
     order: Order,
 ) -> Result<EngineState, Failure> {
     let _one = engine_access.order_lock.lock().await;
-    // INVARIANT: an order that passed was noted, so this is no lower than its own.
+    // INVARIANT: a checked order was recorded, so this is not below the order's own fence.
     let fence = fences.borrow().highest();
     let order = &Order { fence, ..order };
     engine_access
@@ -48,7 +49,8 @@
     }
 }
 
-/// The engine's state once it shows that the order was done.
+/// Polls the engine's state until it shows the result of the order. Returns the state if
+/// the order was carried out; `None` if it was not or the state did not show it in time.
 async fn confirm_order(engine_access: &EngineAccess, order: &Order) -> Option<EngineState> {
     for _ in 0..MAX_CONFIRM_POLLS {
         if let Ok(state) = engine_access.refresh_state().await {
@@ -63,8 +65,8 @@
     None
 }
 
-/// Whether the state shows the order done, or shows it not done; `None` while
-/// the weights are in motion.
+/// Whether the state shows that the order was carried out; `None` while it does not show
+/// the result: the model is absent, or its weights are not all of one version.
 fn is_done(state: &EngineState, order: &Order) -> Option<bool> {
     match &order.kind {
         OrderKind::Load { version } => {
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -1,4 +1,4 @@
-//! The duty that owns the queue and the backend server.
+//! The duty `work`: owns the request queue and all traffic with the backend server.
 
 use super::{
     accounts::Query,
@@ -36,56 +36,69 @@
     time::{MissedTickBehavior, interval}, //
 };
 
-/// What the links tell the work duty.
+/// An event of a link, as the work duty receives it.
 pub(super) type WorkEvent = LinkEvent<LinkKey, ToAgent, FromAgent>;
 
-/// A link and the streams on it.
+/// An open link and the jobs of its streams.
 pub(super) struct LinkState {
     pub(super) sender: Link<FromAgent>,
     pub(super) slots: HashMap<Slot, JobKey>,
 }
 
-/// All that the work duty owns.
+/// The state of the work duty.
 pub(super) struct Worker {
+    /// The request keys of non-idempotent requests.
     pub(super) seen_keys: SeenKeys,
     pub(super) context: Context,
+    /// Cloned for each job's task, which reports its end.
     pub(super) job_ends: mpsc::Sender<JobEnd>,
     pub(super) fences: Rc<RefCell<Fences>>,
-    /// Present before a model engine.
+    /// Present if the backend server is a model engine.
     pub(super) engine_access: Option<Rc<EngineAccess>>,
     pub(super) jobs: SlotMap<JobKey, Job>,
-    /// When the drain began.
+    /// When the drain began; `None` before.
     drain_started: Option<Millis>,
+    /// The accounts of recent requests.
     pub(super) ledger: Ledger,
     pub(super) links: HashMap<LinkKey, LinkState>,
     pub(super) platform: PlatformClient,
     pub(super) queue: AgentQueue<JobKey>,
+    /// The last report to the entries, and when it was sent.
     last_report: (Millis, Report),
+    /// The HTTP client for a plain service.
     pub(super) service: ServiceClient,
+    /// The moving average of the time from start to end of a job, in ms.
     pub(super) service_time: f64,
     pub(super) settings: AgentSettings,
+    /// The number of jobs started from the queue, which decides the next priority.
     pub(super) turn: u64,
 }
 
-/// How often deadlines are looked at.
+/// How often deadlines are checked.
 const TICK_INTERVAL: Millis = Millis(25);
 
-/// The least and the most time between two reports. A report takes the place
-/// of a beat, see `docs/CAPACITY.md` for what both cost.
+/// The minimum time between two regular reports. A report also takes the place of a
+/// heartbeat; `docs/CAPACITY.md` has the cost of both.
 const MIN_REPORT_INTERVAL: Millis = Millis(1_000);
+
+/// The time after which a report is sent even if it has not changed.
 const MAX_REPORT_INTERVAL: Millis = Millis(2_000);
 
-/// How long a request key is remembered, and how many are.
+/// How long a request key is kept.
 const KEY_RETENTION: Millis = Millis(600_000);
+
+/// The number of request keys that are kept at most.
 const MAX_KEYS: usize = 100_000;
 
-/// The accounts kept for the support engineer.
+/// The number of accounts kept for operators' queries.
 const MAX_ACCOUNTS: usize = 10_000;
 
-/// The ends of jobs that may wait; a full ring holds up only ended jobs.
+/// The ends of jobs that may wait for the work duty; a full queue delays only the tasks of
+/// jobs that have ended.
 const MAX_WAITING_ENDS: usize = 256;
 
-/// Runs until the program stops.
+/// Runs the work duty until the program stops. Keeps `usable` up to date for the readiness
+/// check.
 pub(super) async fn run(
     context: Context,
     settings: AgentSettings,
@@ -116,7 +129,7 @@
 
     let cut = worker.jobs.len();
     if cut > 0 {
-        tracing::error!(cut, "the stop cut off requests");
+        tracing::error!(cut, "requests cut off at the stop");
         metrics::counter!("redwing_stop_cut_total").increment(cut as u64);
     }
 }
@@ -146,8 +159,8 @@
         }
     }
 
-    /// Whether the backend server can take work. A plain service is taken to
-    /// be usable until calls to it fail, which its callers judge.
+    /// Whether the backend server can run requests. A plain service always counts as
+    /// usable here: the entries judge it by the calls that fail.
     pub(super) fn is_usable(&self) -> bool {
         self.engine_access
             .as_ref()
@@ -163,7 +176,7 @@
                 link,
                 sender,
             } => {
-                tracing::info!(entry = hello.instance, "link up");
+                tracing::info!(entry = hello.instance, "link opened");
                 let _ = sender.try_send(FromAgent::Report(self.report()));
                 let slots = HashMap::new();
                 self.links.insert(link, LinkState { sender, slots });
@@ -171,9 +184,10 @@
         }
     }
 
+    /// Acts on a message of an entry.
     fn on_message(&mut self, link: LinkKey, message: ToAgent) {
-        // The stop is looked at before each message, not only at the next tick:
-        // until then an agent that was told to stop took new requests.
+        // Checked before each message too, because until the next tick a stopping agent
+        // would accept new requests.
         if self.drain_started.is_none() && self.context.phase() >= Phase::Draining {
             self.drain(self.context.clock.now());
         }
@@ -199,6 +213,7 @@
         }
     }
 
+    /// Answers a query of the admin duty.
     fn on_query(&mut self, query: Query) {
         match query {
             Query::Account(id, reply) => {
@@ -210,8 +225,9 @@
         }
     }
 
+    /// Abandons the jobs of a closed link.
     fn on_down(&mut self, link: LinkKey, reason: &'static str) {
-        tracing::info!(reason, "link down");
+        tracing::info!(reason, "link closed");
         let Some(state) = self.links.remove(&link) else {
             return;
         };
@@ -220,6 +236,7 @@
         }
     }
 
+    /// Does the periodic work: drain, deadlines and reports.
     fn on_tick(&mut self) {
         let now = self.context.clock.now();
         if self.context.phase() >= Phase::Draining {
@@ -230,12 +247,12 @@
         self.report_if_due(now);
     }
 
-    /// Tells all entries at once, refuses what still comes, and ends only
-    /// after the leave time.
+    /// Drains the agent: reports the drain to all entries, refuses further requests, and
+    /// confirms the drain when no request is left, but not before a delay.
     ///
-    /// An agent that ended as soon as it was idle would take requests with it
-    /// that entries had sent before they knew: their links would break, and
-    /// calls that never ran would be told as `may_have_run`.
+    /// Without the delay, an idle agent would stop while requests are on the way that
+    /// entries sent before they got the report. Their links would break, and calls that
+    /// never ran would be reported as `may_have_run`.
     fn drain(&mut self, now: Millis) {
         let began = match self.drain_started {
             Some(began) => began,
@@ -252,6 +269,8 @@
         }
     }
 
+    /// Sends a report if the last one is old enough, and the report has changed or the
+    /// maximum interval has passed.
     fn report_if_due(&mut self, now: Millis) {
         let since = now.since(self.last_report.0);
         if since < MIN_REPORT_INTERVAL {
@@ -264,6 +283,7 @@
         self.report_now(now);
     }
 
+    /// Sends a report to all entries.
     fn report_now(&mut self, now: Millis) {
         let report = self.report();
         for state in self.links.values() {
@@ -272,6 +292,7 @@
         self.last_report = (now, report);
     }
 
+    /// The agent's current load and state.
     fn report(&self) -> Report {
         let engine = self
             .engine_access
@@ -288,25 +309,29 @@
         }
     }
 
+    /// Cancels a request that has not started, and sends the outcome to the entry.
     fn revoke(&mut self, link: LinkKey, slot: Slot, request: RequestId, attempt: u8) {
         if let Some(item) = self.queue.revoke(request, attempt) {
             let detail = "the request was revoked before it started";
             self.refuse(item.key, Failure::not_run(Cause::Cancelled, detail));
             return;
         }
-        // Running: its own end will tell. Unknown: it never came, and the
-        // tombstone refuses a late copy, so that `NotRun` stays true.
+        // A running request needs no answer here: its own end is the answer. An unknown
+        // one has never arrived, and the tombstone refuses a copy that arrives later, so
+        // `NotRun` stays true.
         if self.job(link, slot).is_none() && self.ledger.account(request).is_none() {
             let failure = Failure::not_run(Cause::Cancelled, "the request never arrived");
             self.send_to(link, FromAgent::Failed { slot, failure });
         }
     }
 
+    /// The job of a stream.
     pub(super) fn job(&mut self, link: LinkKey, slot: Slot) -> Option<&mut Job> {
         let key = *self.links.get(&link)?.slots.get(&slot)?;
         self.jobs.get_mut(key)
     }
 
+    /// Queues a message on a link; dropped if the link is gone or its queue is full.
     pub(super) fn send_to(&self, link: LinkKey, message: FromAgent) {
         if let Some(state) = self.links.get(&link) {
             let _ = state.sender.try_send(message);
