--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -31,7 +31,7 @@
 
 impl Worker {
     /// Accepts a request: runs it at once, queues it or refuses it.
-    pub(super) fn start(&mut self, link: LinkKey, start: Box<Start>) {
+    pub(super) fn on_start(&mut self, link: LinkKey, start: Box<Start>) {
         let now = self.context.clock.now();
         let (request, slot) = (start.request, start.slot);
         let Some(state) = self.links.get(&link) else {
@@ -101,8 +101,8 @@
         let now = self.context.clock.now();
         self.queue.finish(job.team);
         if let Some(started) = job.started_at {
-            let taken = now.since(started).0 as f64;
-            self.service_time += SERVICE_TIME_WEIGHT * (taken - self.service_time);
+            let duration = now.since(started).0 as f64;
+            self.service_time += SERVICE_TIME_WEIGHT * (duration - self.service_time);
         }
         let request = job.start.request;
         match end.outcome {
@@ -173,14 +173,14 @@
         let Some(job) = self.job(link, slot) else {
             return;
         };
-        let taken = match &job.body_sender {
+        let sent = match &job.body_sender {
             Some(body) => body.try_send(Ok(bytes)).is_ok(),
             None => false,
         };
         if last {
             job.body_sender = None;
         }
-        if !taken {
+        if !sent {
             // The HTTP client has stopped reading the body, or the entry breaks the protocol:
             // one that keeps to its window and the body's end never fills the channel.
             self.cancel(link, slot);
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -249,11 +249,11 @@
 
     /// Drops the unlabelled tokens, here and at the entry.
     async fn void_unlabelled(&mut self) {
-        let lost = self.tokens.len() - self.labelled;
-        if lost == 0 {
+        let voided = self.tokens.len() - self.labelled;
+        if voided == 0 {
             return;
         }
-        metrics::counter!("redwing_tokens_voided_total").increment(u64::from(lost));
+        metrics::counter!("redwing_tokens_voided_total").increment(u64::from(voided));
         self.tokens.truncate(self.labelled);
         if self.sent > self.labelled {
             self.sent = self.labelled;
--- a/src/agent/run_order.rs
+++ b/src/agent/run_order.rs
@@ -25,7 +25,7 @@
     fences: &RefCell<Fences>,
     order: Order,
 ) -> Result<EngineState, Failure> {
-    let _one = engine_access.order_lock.lock().await;
+    let _order_guard = engine_access.order_lock.lock().await;
     // INVARIANT: a checked order was recorded, so this is not below the order's own fence.
     let fence = fences.borrow().highest();
     let order = &Order { fence, ..order };
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -209,7 +209,7 @@
                 slot,
                 request,
             } => self.revoke(link, slot, request, attempt),
-            ToAgent::Start(start) => self.start(link, start),
+            ToAgent::Start(start) => self.on_start(link, start),
         }
     }
 
@@ -263,8 +263,8 @@
                 now
             }
         };
-        let left = now.since(began) >= self.settings.common.drain.leave;
-        if left && self.queue.is_idle() {
+        let delay_passed = now.since(began) >= self.settings.common.drain.leave;
+        if delay_passed && self.queue.is_idle() {
             self.context.drained();
         }
     }
