--- a/src/agent/job.rs
+++ b/src/agent/job.rs
@@ -1,8 +1,8 @@
 //! A request that waits or runs in an agent.
 
 use super::{
-    job_io::JobIo, //
-    link_listener::LinkKey,
+    job_io::JobIo,
+    link_listener::LinkKey, //
 };
 use crate::{
     base::{Millis, Span},
--- a/src/agent/job_io.rs
+++ b/src/agent/job_io.rs
@@ -4,8 +4,8 @@
     FromAgent,
     Link,
     MESSAGE_COST,
-    STREAM_WINDOW, //
-    Slot,
+    STREAM_WINDOW,
+    Slot, //
 };
 use std::sync::Arc;
 use tokio::sync::Semaphore;
@@ -57,7 +57,7 @@
         self.send_last(message).await;
     }
 
-    /// Sends the last message of the stream, which needs no credit.
+    /// Sends `message` without taking credit, for the last message of the stream.
     pub(super) async fn send_last(&self, message: FromAgent) {
         if !self.is_discarded() {
             self.link.send(message).await;
--- a/src/agent/link_listener.rs
+++ b/src/agent/link_listener.rs
@@ -54,6 +54,7 @@
             () = context.reached(Phase::Stopped) => return,
         };
         let (Ok((stream, peer)), Ok(permit)) = (stream, permits.clone().try_acquire_owned()) else {
+            // The accept failed, or too many links are open: a pause before the next accept.
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             continue;
         };
--- a/src/table/client.rs
+++ b/src/table/client.rs
@@ -114,7 +114,7 @@
     }
 
     /// Commits `transaction`; sends it again with the same token while its outcome is
-    /// unknown, up to [`MAX_ATTEMPTS`] times.
+    /// unknown, up to `MAX_ATTEMPTS` times in all.
     pub async fn transact(
         &self,
         transaction: &Transaction,
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -206,7 +206,7 @@
             }
         }
 
-        // One connection can stop to carry data while new ones work, because a device
+        // One connection can stop carrying data while new ones work, because a device
         // between the two ends has lost its state. Then nothing is received, or a write
         // does not end. Both ends send heartbeats, so one of them detects silence in
         // either direction within the timeout.
