--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -1,12 +1,12 @@
-//! How the work duty takes, runs and ends jobs.
+//! Accepts, runs and ends jobs.
 
 use super::{
-    door::LinkKey,
-    job::{Done, Job, JobKey},
+    job::{Job, JobEnd, JobKey},
     job_io::JobIo,
+    link_listener::LinkKey,
     run_call::run_call,
-    run_generation::Run,
-    work::Work, //
+    run_generation::GenerationRun,
+    work::Worker, //
 };
 use crate::{
     base::{Cause, Event, Failure, Millis, Span, Verdict, stable_hash},
@@ -14,24 +14,24 @@
         agent_queue::{self, Item, OfferOutcome},
         claims::KeyClaim, //
     },
-    wire::{FromAgent, Slot, Start, WINDOW, Work as Task}, //
+    wire::{FromAgent, STREAM_WINDOW, Slot, Start, Work}, //
 };
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-/// The body parts that may wait for the backend server. The window bounds
-/// them by bytes, and each costs at least `MESSAGE_COST` of it.
-const PARTS: usize = (WINDOW / crate::wire::MESSAGE_COST) as usize;
+/// The body parts of a job that may wait for the backend server. The stream's window
+/// limits their bytes, and each takes at least `MESSAGE_COST` of it.
+const MAX_BODY_PARTS: usize = (STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize;
 
-/// How long after its deadline a call with nobody waiting may still run.
-const LINGER: Millis = Millis(30_000);
+/// How long an abandoned call may still run after its deadline.
+const ABANDONED_CALL_TIMEOUT: Millis = Millis(30_000);
 
-/// The weight of the latest request in the moving average of service time.
-const NEWEST: f64 = 0.1;
+/// The weight of the latest request in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-impl Work {
-    /// Takes a request in.
-    pub(super) fn start(&mut self, link: LinkKey, start: Box<Start>) {
+impl Worker {
+    /// Accepts a request: runs it at once, queues it or refuses it.
+    pub(super) fn on_start(&mut self, link: LinkKey, start: Box<Start>) {
         let now = self.context.clock.now();
         let (request, slot) = (start.request, start.slot);
         let Some(state) = self.links.get(&link) else {
@@ -39,29 +39,29 @@
         };
         let io = JobIo::new(state.sender.clone(), slot);
         self.ledger.open(request, &start.team, &start.class);
-        if let Err(failure) = self.claim(now, &start) {
+        if let Err(failure) = self.claim_key(now, &start) {
             self.reject(now, &io, &start, failure);
             return;
         }
 
-        let (body, parts) = match &start.work {
-            Task::Call(head) if !head.whole => {
-                let (sender, receiver) = mpsc::channel(PARTS);
+        let (body_sender, body_receiver) = match &start.work {
+            Work::Call(head) if !head.whole => {
+                let (sender, receiver) = mpsc::channel(MAX_BODY_PARTS);
                 (Some(sender), Some(receiver))
             }
-            Task::Call(_) | Task::Generate(_) => (None, None),
+            Work::Call(_) | Work::Generate(_) => (None, None),
         };
         let deadline = now + start.budget;
         let (attempt, priority) = (start.attempt, start.priority);
         let team = stable_hash(&[start.team.as_bytes()]);
         let key = self.jobs.insert(Job {
-            body,
+            body_sender,
             deadline,
             io,
             link,
-            parts,
+            body_receiver,
             start,
-            started: None,
+            started_at: None,
             task: None,
             team,
         });
@@ -93,26 +93,26 @@
         }
     }
 
-    /// A job's task has ended.
-    pub(super) fn on_done(&mut self, done: Done) {
-        let Some(job) = self.remove(done.key) else {
+    /// Records the end of a started job, and starts the next ones.
+    pub(super) fn on_job_end(&mut self, end: JobEnd) {
+        let Some(job) = self.remove(end.key) else {
             return;
         };
         let now = self.context.clock.now();
         self.queue.finish(job.team);
-        if let Some(started) = job.started {
-            let taken = now.since(started).0 as f64;
-            self.service_time += NEWEST * (taken - self.service_time);
+        if let Some(started) = job.started_at {
+            let duration = now.since(started).0 as f64;
+            self.service_time += SERVICE_TIME_WEIGHT * (duration - self.service_time);
         }
         let request = job.start.request;
-        match done.outcome {
+        match end.outcome {
             Ok(spans) => {
                 self.note_versions(now, &job, spans);
                 self.ledger.note(now, request, Event::Finished);
             }
             Err(failure) => {
                 if failure.verdict == Verdict::NotRun {
-                    self.release(&job.start);
+                    self.release_key(&job.start);
                 }
                 self.note_failure(now, &job.start, &failure);
             }
@@ -120,7 +120,7 @@
         self.run_next();
     }
 
-    /// Nobody waits for the job's answer any more.
+    /// Abandons the job of the stream, because its entry no longer needs the answer.
     pub(super) fn cancel(&mut self, link: LinkKey, slot: Slot) {
         let key = self.links.get(&link).and_then(|s| s.slots.get(&slot));
         if let Some(key) = key.copied() {
@@ -128,32 +128,32 @@
         }
     }
 
-    /// Ends a job whose entry is gone or lost interest.
+    /// Ends a job whose entry is gone or no longer needs the answer.
     ///
-    /// A call that must not be repeated is let run to its end: cutting it
-    /// halfway would leave its effect in doubt.
+    /// A started call that is not idempotent and has its whole body runs to its end
+    /// instead: if it were stopped halfway, its effect would not be known.
     pub(super) fn abandon(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
         job.io.discard();
-        if job.started.is_some() && !job.start.idempotent && job.body.is_none() {
+        if job.started_at.is_some() && !job.start.idempotent && job.body_sender.is_none() {
             return;
         }
-        let started = job.started.is_some();
+        let started = job.started_at.is_some();
         self.queue.withdraw(job.start.request);
         if let Some(job) = self.remove(key) {
             self.end_early(&job, started, Cause::Cancelled);
         }
     }
 
-    /// Ends the running jobs whose deadline has passed.
+    /// Fails and abandons the running jobs whose deadline has passed.
     pub(super) fn expire(&mut self, now: Millis) {
-        self.cut_lingering(now);
+        self.stop_abandoned(now);
         let late: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.started.is_some() && job.deadline <= now)
+            .filter(|(_, job)| job.started_at.is_some() && job.deadline <= now)
             .filter(|(_, job)| !job.io.is_discarded())
             .map(|(key, _)| key)
             .collect();
@@ -162,47 +162,51 @@
                 let detail = "the deadline passed while the request ran";
                 let failure = Failure::may_have_run(Cause::DeadlinePassed, detail);
                 let slot = job.io.slot;
-                job.io.tell(FromAgent::Failed { slot, failure });
+                job.io.try_send(FromAgent::Failed { slot, failure });
             }
             self.abandon(key);
         }
     }
 
-    /// A further part of a request's body.
+    /// Passes on a part of a request's body.
     pub(super) fn on_data(&mut self, link: LinkKey, slot: Slot, bytes: Bytes, last: bool) {
         let Some(job) = self.job(link, slot) else {
             return;
         };
-        let taken = match &job.body {
+        let sent = match &job.body_sender {
             Some(body) => body.try_send(Ok(bytes)).is_ok(),
             None => false,
         };
         if last {
-            job.body = None;
+            job.body_sender = None;
         }
-        if !taken {
-            // An entry that keeps to its window never gets here.
+        if !sent {
+            // The HTTP client has stopped reading the body, or the entry breaks the protocol:
+            // one that keeps to its window and the body's end never fills the channel.
             self.cancel(link, slot);
         }
     }
 
-    /// Refuses a job that has not started.
+    /// Removes a job that has not started, and sends `failure` to its entry.
     pub(super) fn refuse(&mut self, key: JobKey, failure: Failure) {
         let Some(job) = self.remove(key) else {
             return;
         };
         let now = self.context.clock.now();
-        self.release(&job.start);
+        self.release_key(&job.start);
         self.reject(now, &job.io, &job.start, failure);
     }
 
-    /// Cuts the calls that go on with nobody waiting, once they have had long
-    /// enough: a service that never answers would keep its places for good.
-    fn cut_lingering(&mut self, now: Millis) {
+    /// Stops abandoned calls that have run for [`ABANDONED_CALL_TIMEOUT`] past their
+    /// deadline. Otherwise calls that a service never answers would occupy its capacity
+    /// forever.
+    fn stop_abandoned(&mut self, now: Millis) {
         let lingering: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.io.is_discarded() && job.deadline + LINGER <= now)
+            .filter(|(_, job)| {
+                job.io.is_discarded() && job.deadline + ABANDONED_CALL_TIMEOUT <= now
+            })
             .map(|(key, _)| key)
             .collect();
         for key in lingering {
@@ -212,13 +216,18 @@
         }
     }
 
-    fn claim(&mut self, now: Millis, start: &Start) -> Result<(), Failure> {
+    /// Claims the request key of a non-idempotent request; fails if an earlier request has
+    /// the same key.
+    fn claim_key(&mut self, now: Millis, start: &Start) -> Result<(), Failure> {
         let Some(key) = start.key.as_deref().filter(|_| !start.idempotent) else {
             return Ok(());
         };
-        // A key is claimed in the table before its call is handed over. This
-        // is a second guard, for an entry that was paused between the two.
-        match self.claims.claim(now, &scoped(start, key), start.request) {
+        // The entry claims the key in the table before it hands over the call. This is a
+        // second check, for an entry that was paused between the two.
+        match self
+            .seen_keys
+            .claim(now, &team_key(start, key), start.request)
+        {
             KeyClaim::Fresh => Ok(()),
             KeyClaim::Full => {
                 let detail = "too many request keys within the window";
@@ -231,6 +240,7 @@
         }
     }
 
+    /// Records that a removed job was stopped, and frees its slot or its key.
     fn end_early(&mut self, job: &Job, started: bool, cause: Cause) {
         let now = self.context.clock.now();
         if started {
@@ -239,75 +249,83 @@
             self.note_failure(now, &job.start, &failure);
             self.run_next();
         } else {
-            self.release(&job.start);
+            self.release_key(&job.start);
             self.note_failure(now, &job.start, &Failure::not_run(cause, ""));
         }
     }
 
+    /// Starts a job that the queue has released, in a task of its own.
     fn launch(&mut self, key: JobKey) {
         let now = self.context.clock.now();
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.started = Some(now);
+        job.started_at = Some(now);
         let server = self.settings.common.instance.clone();
         let started = Event::Started { server };
         self.ledger.note(now, job.start.request, started);
 
-        let (io, parts, start) = (job.io.clone(), job.parts.take(), job.start.clone());
+        let (io, parts, start) = (job.io.clone(), job.body_receiver.take(), job.start.clone());
         let address = self.settings.backend.address;
-        let done = self.done.clone();
-        let gate = self.gate.clone();
+        let job_ends = self.job_ends.clone();
+        let engine_access = self.engine_access.clone();
         let service = self.service.clone();
         job.task = Some(tokio::task::spawn_local(async move {
-            let outcome = match (&start.work, gate) {
-                (Task::Call(head), None) => {
+            let outcome = match (&start.work, engine_access) {
+                (Work::Call(head), None) => {
                     run_call(&service, address, &start, head.clone(), parts, &io)
                         .await
                         .map(|()| Vec::new())
                 }
-                (Task::Generate(generation), Some(gate)) => {
-                    Run::new(&gate, generation, start.priority, &io).run().await
+                (Work::Generate(generation), Some(engine_access)) => {
+                    GenerationRun::new(&engine_access, generation, start.priority, &io)
+                        .run()
+                        .await
                 }
-                (Task::Call(_) | Task::Generate(_), _) => {
+                (Work::Call(_) | Work::Generate(_), _) => {
                     let detail = "the backend server is of another kind";
                     Err(Failure::not_run(Cause::BadRequest, detail))
                 }
             };
             if let Err(failure) = &outcome {
                 let (slot, failure) = (io.slot, failure.clone());
-                io.finish(FromAgent::Failed { slot, failure }).await;
+                io.send_last(FromAgent::Failed { slot, failure }).await;
             }
-            let _ = done.send(Done { key, outcome }).await;
+            let _ = job_ends.send(JobEnd { key, outcome }).await;
         }));
     }
 
+    /// Adds the failure to the account of the request.
     fn note_failure(&mut self, now: Millis, start: &Start, failure: &Failure) {
         let (cause, verdict) = (failure.cause, failure.verdict);
         let event = Event::Failed { cause, verdict };
         self.ledger.note(now, start.request, event);
     }
 
+    /// Adds the weight versions of a generation to the account of its request.
     fn note_versions(&mut self, now: Millis, job: &Job, spans: Vec<Span>) {
-        if let Task::Generate(generation) = &job.start.work {
+        if let Work::Generate(generation) = &job.start.work {
             let model = generation.model.clone();
             let event = Event::Versions { model, spans };
             self.ledger.note(now, job.start.request, event);
         }
     }
 
+    /// Records the failure and sends it to the entry.
     fn reject(&mut self, now: Millis, io: &JobIo, start: &Start, failure: Failure) {
         self.note_failure(now, start, &failure);
         let slot = io.slot;
-        io.tell(FromAgent::Failed { slot, failure });
+        io.try_send(FromAgent::Failed { slot, failure });
     }
 
-    fn release(&mut self, start: &Start) {
+    /// Frees the key of a request that did not run.
+    fn release_key(&mut self, start: &Start) {
         if let Some(key) = &start.key {
-            self.claims.release(&scoped(start, key), start.request);
+            self.seen_keys.release(&team_key(start, key), start.request);
         }
     }
 
+    /// Removes a job, and stops its task.
     fn remove(&mut self, key: JobKey) -> Option<Job> {
         let job = self.jobs.remove(key)?;
         if let Some(state) = self.links.get_mut(&job.link)
@@ -321,7 +339,7 @@
         Some(job)
     }
 
-    /// Refuses the waiting requests that can't be answered in time.
+    /// Refuses the waiting requests that can't be answered before their deadlines.
     pub(super) fn shed(&mut self, now: Millis) {
         let service = Millis(self.service_time as u64);
         for item in self.queue.shed(now, service) {
@@ -329,6 +347,7 @@
         }
     }
 
+    /// Starts waiting jobs while the backend server has free slots.
     fn run_next(&mut self) {
         let now = self.context.clock.now();
         self.shed(now);
@@ -339,7 +358,7 @@
     }
 }
 
-/// A key as one team's: two teams may use the same text.
-fn scoped(start: &Start, key: &str) -> String {
+/// The request key, qualified with the team: two teams may use the same key.
+fn team_key(start: &Start, key: &str) -> String {
     format!("{}/{key}", start.team)
 }
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -1,9 +1,9 @@
-//! How the work duty passes orders to its backend server.
+//! Checks orders and carries them out.
 
 use super::{
-    door::LinkKey,
+    link_listener::LinkKey,
     run_order::run_order,
-    work::Work, //
+    work::Worker, //
 };
 use crate::{
     base::{Cause, Failure, Fence, WeightVersion},
@@ -11,7 +11,7 @@
         fences::{FenceCheck, Fences},
         lease::{LEASE_PREFIX, Lease}, //
     },
-    table::{Platform, Row, Tag},
+    table::{EntityTag, PlatformClient, Row},
     wire::{EngineState, FromAgent, Order, OrderKind, Slot}, //
 };
 use std::{
@@ -19,25 +19,25 @@
     rc::Rc, //
 };
 
-impl Work {
-    /// Rules on an order, does it, and answers.
+impl Worker {
+    /// Starts a task that checks the order, carries it out and sends the outcome.
     pub(super) fn on_order(&mut self, link: LinkKey, slot: Slot, order: Order) {
         let Some(sender) = self.links.get(&link).map(|state| state.sender.clone()) else {
             return;
         };
-        let gate = self.gate.clone();
+        let engine_access = self.engine_access.clone();
         let fences = self.fences.clone();
         let platform = self.platform.clone();
         let server = self.settings.common.instance.clone();
         tokio::task::spawn_local(async move {
             let (model, kind, fence) = (order.model.clone(), order.kind.clone(), order.fence);
             let result: Result<EngineState, Failure> = async {
-                rule(&fences, &platform, &order).await?;
-                let Some(gate) = gate else {
+                check_fence(&fences, &platform, &order).await?;
+                let Some(engine_access) = engine_access else {
                     let detail = "a plain service takes no orders";
                     return Err(Failure::not_run(Cause::BadRequest, detail));
                 };
-                run_order(&gate, &fences, order).await
+                run_order(&engine_access, &fences, order).await
             }
             .await;
             tracing::info!(
@@ -55,37 +55,37 @@
     }
 }
 
-/// Lets an order pass only if no newer one is known.
-async fn rule(
+/// Fails if a newer order of the same lease is known.
+async fn check_fence(
     fences: &Rc<RefCell<Fences>>,
-    platform: &Platform,
+    platform: &PlatformClient,
     order: &Order,
 ) -> Result<(), Failure> {
     let version = match order.kind {
         OrderKind::Load { version } => version,
         OrderKind::Role { .. } | OrderKind::Unload => WeightVersion::default(),
     };
-    let ruling = fences
+    let check = fences
         .borrow_mut()
         .check(&order.lease, order.fence, version);
-    let ruling = match ruling {
+    let check = match check {
         FenceCheck::Unknown => {
-            // An agent that has just started knows no fencing number, and its
-            // engine may not check any: an owner that was paused past its
-            // lease could have an old order passed. The leases' rows tell the
-            // newest numbers, also the highest that the engine may have seen;
-            // without them no order passes.
-            let epochs = epochs(platform).await?;
+            // An agent that has just started knows no fencing number, and its engine may
+            // not check any. An old order of an owner that was paused past the end of its
+            // lease could then pass. So the newest numbers are read from the rows of the
+            // leases, all of them, because the engine may have seen the highest of any
+            // lease. If they can't be read, the order fails.
+            let lease_epochs = lease_epochs(platform).await?;
             let mut fences = fences.borrow_mut();
             fences.learn(&order.lease, 1);
-            for (lease, epoch) in epochs {
+            for (lease, epoch) in lease_epochs {
                 fences.learn(&lease, epoch.max(1));
             }
             fences.check(&order.lease, order.fence, version)
         }
-        FenceCheck::Pass | FenceCheck::Stale(_) => ruling,
+        FenceCheck::Pass | FenceCheck::Stale(_) => check,
     };
-    match ruling {
+    match check {
         FenceCheck::Pass => Ok(()),
         FenceCheck::Unknown | FenceCheck::Stale(_) => {
             let detail = format!("order {} is overtaken by a newer one", order.fence);
@@ -94,9 +94,9 @@
     }
 }
 
-/// The epoch of each trainer's lease, by the path of its row.
-async fn epochs(platform: &Platform) -> Result<Vec<(String, Fence)>, Failure> {
-    let listing = platform.list(LEASE_PREFIX, &mut Tag::default()).await;
+/// Reads the path and the epoch of each trainer's lease from the table.
+async fn lease_epochs(platform: &PlatformClient) -> Result<Vec<(String, Fence)>, Failure> {
+    let listing = platform.list(LEASE_PREFIX, &mut EntityTag::default()).await;
     let listing = listing.map_err(|error| Failure::not_run(Cause::StoreDown, error.to_string()))?;
     let rows = listing.map(|listing| listing.rows).unwrap_or_default();
     let epoch = |(path, row): (String, Row)| {
--- a/src/agent/run_order.rs
+++ b/src/agent/run_order.rs
@@ -1,6 +1,6 @@
-//! One order to the model engine.
+//! Carries out one order at the model engine.
 
-use super::gate::Gate;
+use super::engine_access::EngineAccess;
 use crate::{
     base::{Cause, Failure, Millis},
     policy::fences::Fences,
@@ -8,35 +8,38 @@
 };
 use std::cell::RefCell;
 
-/// How long after an order the engine is asked until its state is certain.
-const SETTLE: u32 = 40;
+/// How many times the engine is asked for its state after an order, until the state shows
+/// the result.
+const MAX_CONFIRM_POLLS: u32 = 40;
 
-/// The wait between two such questions.
-const SETTLE_WAIT: Millis = Millis(100);
+/// The delay between two of these requests.
+const CONFIRM_POLL_INTERVAL: Millis = Millis(100);
 
-/// Gives the order to the engine while no generation of its model runs, and
-/// returns the state that the engine confirms afterwards.
+/// Sends the order to the engine while no generation of its model runs, and returns the
+/// state that the engine confirms afterwards.
 ///
-/// The engine's answer to the order proves nothing: it can be lost, or tell
-/// of success before all of the weights are there. Only the state counts.
+/// The engine's answer to the order does not decide: it can be lost, or report success
+/// before all weights are loaded. Only the state shows the result.
 pub(super) async fn run_order(
-    gate: &Gate,
+    engine_access: &EngineAccess,
     fences: &RefCell<Fences>,
     order: Order,
 ) -> Result<EngineState, Failure> {
-    let _one = gate.orders.lock().await;
-    // INVARIANT: an order that passed was noted, so this is no lower than its own.
+    let _order_guard = engine_access.order_lock.lock().await;
+    // INVARIANT: a checked order was recorded, so this is not below the order's own fence.
     let fence = fences.borrow().highest();
     let order = &Order { fence, ..order };
-    gate.pausing.send_replace(Some(order.model.clone()));
-    let lock = gate.lock(&order.model);
+    engine_access
+        .paused_model
+        .send_replace(Some(order.model.clone()));
+    let lock = engine_access.model_lock(&order.model);
     let guard = lock.write().await;
-    gate.pausing.send_replace(None);
+    engine_access.paused_model.send_replace(None);
 
-    let answer = gate.engine.send_order(order).await;
-    let settled = settle(gate, order).await;
+    let answer = engine_access.client.send_order(order).await;
+    let confirmed_state = confirm_order(engine_access, order).await;
     drop(guard);
-    match (answer, settled) {
+    match (answer, confirmed_state) {
         (_, Some(state)) => Ok(state),
         (Err(failure), None) => Err(failure),
         (Ok(()), None) => {
@@ -46,24 +49,25 @@
     }
 }
 
-/// The engine's state once it shows that the order was done.
-async fn settle(gate: &Gate, order: &Order) -> Option<EngineState> {
-    for _ in 0..SETTLE {
-        if let Ok(state) = gate.confirm().await {
-            match verdict(&state, order) {
+/// Polls the engine's state until it shows the result of the order. Returns the state if
+/// the order was carried out; `None` if it was not or the state did not show it in time.
+async fn confirm_order(engine_access: &EngineAccess, order: &Order) -> Option<EngineState> {
+    for _ in 0..MAX_CONFIRM_POLLS {
+        if let Ok(state) = engine_access.refresh_state().await {
+            match is_done(&state, order) {
                 Some(true) => return Some((*state).clone()),
                 Some(false) => return None,
                 None => {}
             }
         }
-        tokio::time::sleep(SETTLE_WAIT.as_duration()).await;
+        tokio::time::sleep(CONFIRM_POLL_INTERVAL.as_duration()).await;
     }
     None
 }
 
-/// Whether the state shows the order done, or shows it not done; `None` while
-/// the weights are in motion.
-fn verdict(state: &EngineState, order: &Order) -> Option<bool> {
+/// Whether the state shows that the order was carried out; `None` while it does not show
+/// the result: the model is absent, or its weights are not all of one version.
+fn is_done(state: &EngineState, order: &Order) -> Option<bool> {
     match &order.kind {
         OrderKind::Load { version } => {
             let model = state.models.get(&order.model)?;
--- a/src/operator/shared_settings.rs
+++ b/src/operator/shared_settings.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     settings::{POOLS_PREFIX, SETTINGS_PREFIX, TEAMS_PREFIX}, //
-    table::{Platform, Tag},
+    table::{EntityTag, PlatformClient},
 };
 use argh::FromArgs;
 use snafu::{
@@ -56,7 +56,7 @@
 
 impl GetCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        let found = Platform::open(self.platform)
+        let found = PlatformClient::open(self.platform)
             .get(&table_path(&self.path)?)
             .await?;
         let found = found.context(NoSettingsSnafu { path: self.path })?;
@@ -68,8 +68,8 @@
 
 impl ListCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
-        let listing = Platform::open(self.platform)
-            .list(SETTINGS_PREFIX, &mut Tag::default())
+        let listing = PlatformClient::open(self.platform)
+            .list(SETTINGS_PREFIX, &mut EntityTag::default())
             .await?;
         for (path, row) in listing.unwrap_or_default().rows {
             let path = path.strip_prefix(SETTINGS_PREFIX).unwrap_or(&path);
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -1,4 +1,5 @@
-//! One TCP connection between two of our processes.
+//! A link: one TCP connection that carries messages between two processes of the
+//! deployment.
 
 use super::{
     Frame,
@@ -6,7 +7,7 @@
     MAX_FRAME,
     decode,
     encode,
-    handshake::Opened, //
+    handshake::PeerConnection, //
 };
 use crate::base::{
     Clock,
@@ -28,25 +29,27 @@
     time::{MissedTickBehavior, interval, timeout}, //
 };
 
-/// How a link finds out that the other end is silent.
+/// Detection of a silent peer.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkTuning {
-    /// A beat is sent when nothing else was sent for this long.
-    pub beat: Millis,
-    /// A link on which nothing was heard for this long is given up.
-    pub silence: Millis,
+    /// A heartbeat is sent when nothing else was sent for this long.
+    pub heartbeat_interval: Millis,
+    /// A link is closed when nothing was received on it for this long, or when a write
+    /// takes longer.
+    pub silence_timeout: Millis,
 }
 
 impl Default for LinkTuning {
     fn default() -> Self {
         Self {
-            beat: Millis(750),
-            silence: Millis(2_500),
+            heartbeat_interval: Millis(750),
+            silence_timeout: Millis(2_500),
         }
     }
 }
 
-/// The sending end of a link; cheap to clone.
+/// The sending half of a link; cheap to clone. The link closes when all clones are
+/// dropped.
 #[derive(Debug)]
 pub struct Link<Out> {
     out: mpsc::Sender<Out>,
@@ -61,34 +64,29 @@
 }
 
 impl<Out> Link<Out> {
-    /// Waits for room, then queues `message`; false when the link is gone.
+    /// Queues `message`, waiting while the queue is full; false if the link is down.
     pub async fn send(&self, message: Out) -> bool {
         self.out.send(message).await.is_ok()
     }
 
-    /// Queues `message` if there is room and the link is up.
+    /// Queues `message` without waiting; false if the queue is full or the link is down.
     ///
-    /// A full ring means that the peer has not read for a while. The caller
-    /// treats that as a broken link, because a dropped message would leave
-    /// the two ends with different views of a stream.
+    /// A full queue means that the peer has not read for a while. A caller whose stream
+    /// depends on the message must treat that as a broken link: the two ends would
+    /// otherwise disagree on the state of the stream.
     pub fn try_send(&self, message: Out) -> bool {
         self.out.try_send(message).is_ok()
     }
 }
 
-/// What a link reports to the duty that owns it.
+/// An event of a link, sent to the duty that owns the link. `K` identifies the link.
 #[derive(Debug)]
 pub enum LinkEvent<K, In, Out> {
-    /// The link is gone; nothing more comes from it.
-    Down {
-        link: K,
-        reason: &'static str,
-    },
-    Message {
-        link: K,
-        message: In,
-    },
-    /// The link is up; always the first event of a link.
+    /// The link is closed; this is its last event.
+    Down { link: K, reason: &'static str },
+    /// The peer sent a message.
+    Message { link: K, message: In },
+    /// The link is open; this is its first event.
     Up {
         hello: Hello,
         link: K,
@@ -96,19 +94,20 @@
     },
 }
 
-/// The messages that may wait for one link's writer.
-const OUT_RING: usize = 4_096;
+/// The messages that may wait to be written to one link.
+const MAX_WAITING_MESSAGES: usize = 4_096;
 
-/// The room made in the buffer before each read.
-const READ_ROOM: usize = 8 * 1024;
+/// The free space that the buffer has at least before each read, in bytes.
+const MIN_READ_SPACE: usize = 8 * 1024;
 
-/// The bytes that are gathered into one write.
-const WRITE_BATCH: usize = 64 * 1024;
+/// Messages are gathered into one write until it has this many bytes.
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
-/// Runs a link over `opened` until it breaks, falls silent or all its senders
-/// are dropped; what happens on it goes to `inbox` under the name `link`.
+/// Runs a link over `connection` until the connection fails, the peer is silent for too
+/// long, all senders are dropped or `inbox` is closed. Sends the link's events to `inbox`,
+/// with the key `link`.
 pub async fn run_link<K, In, Out>(
-    opened: Opened,
+    connection: PeerConnection,
     link: K,
     inbox: mpsc::Sender<LinkEvent<K, In, Out>>,
     tuning: LinkTuning,
@@ -117,12 +116,12 @@
     In: DeserializeOwned,
     Out: Serialize,
 {
-    let (reader, writer) = opened.stream.into_split();
-    let (out, ring) = mpsc::channel(OUT_RING);
+    let (reader, writer) = connection.stream.into_split();
+    let (out, queue) = mpsc::channel(MAX_WAITING_MESSAGES);
     let clock = Clock::open();
-    let heard = AtomicU64::new(clock.now().0);
+    let last_received = AtomicU64::new(clock.now().0);
     let up = LinkEvent::Up {
-        hello: opened.hello,
+        hello: connection.hello,
         link: link.clone(),
         sender: Link { out },
     };
@@ -131,19 +130,20 @@
     }
 
     let reason = tokio::select! {
-        reason = read(reader, opened.rest, &link, &inbox, clock, &heard) => reason,
-        reason = write(writer, ring, clock, &heard, tuning) => reason,
+        reason = read(reader, connection.rest, &link, &inbox, clock, &last_received) => reason,
+        reason = write(writer, queue, clock, &last_received, tuning) => reason,
     };
     let _ = inbox.send(LinkEvent::Down { link, reason }).await;
 }
 
+/// Reads messages until the link has to be closed; returns the reason.
 async fn read<K: Clone, In: DeserializeOwned, Out>(
     mut reader: OwnedReadHalf,
     mut buffer: BytesMut,
     link: &K,
     inbox: &mpsc::Sender<LinkEvent<K, In, Out>>,
     clock: Clock,
-    heard: &AtomicU64,
+    last_received: &AtomicU64,
 ) -> &'static str {
     loop {
         loop {
@@ -156,66 +156,73 @@
                     if inbox.send(event).await.is_err() {
                         return "no longer wanted";
                     }
-                    heard.store(clock.now().0, Ordering::Relaxed);
+                    last_received.store(clock.now().0, Ordering::Relaxed);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "closing a link that sent no message");
+                    tracing::warn!(%error, "closing a link: a received frame does not decode");
                     return "malformed";
                 }
             }
         }
 
-        buffer.reserve(READ_ROOM);
+        buffer.reserve(MIN_READ_SPACE);
         match reader.read_buf(&mut buffer).await {
             Ok(0) => return "closed by the peer",
-            Ok(_) => heard.store(clock.now().0, Ordering::Relaxed),
+            Ok(_) => last_received.store(clock.now().0, Ordering::Relaxed),
             Err(_) => return "broken",
         }
     }
 }
 
+/// Writes queued messages and heartbeats until the link has to be closed; returns the
+/// reason.
 async fn write<Out: Serialize>(
     mut writer: OwnedWriteHalf,
-    mut ring: mpsc::Receiver<Out>,
+    mut queue: mpsc::Receiver<Out>,
     clock: Clock,
-    heard: &AtomicU64,
+    last_received: &AtomicU64,
     tuning: LinkTuning,
 ) -> &'static str {
     let mut buffer = BytesMut::with_capacity(16 * 1024);
-    let mut beat = interval(tuning.beat.as_duration());
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    beat.reset();
+    let mut heartbeat = interval(tuning.heartbeat_interval.as_duration());
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    heartbeat.reset();
 
     loop {
         tokio::select! {
-            message = ring.recv() => match message {
-                Some(message) => push(&Frame::Message(message), &mut buffer),
+            message = queue.recv() => match message {
+                Some(message) => encode_frame(&Frame::Message(message), &mut buffer),
                 None => {
                     let _ = writer.shutdown().await;
                     return "no longer wanted";
                 }
             },
-            _ = beat.tick() => push(&Frame::<Out>::Beat, &mut buffer),
+            _ = heartbeat.tick() => encode_frame(&Frame::<Out>::Beat, &mut buffer),
         }
-        while buffer.len() < WRITE_BATCH {
-            match ring.try_recv() {
-                Ok(message) => push(&Frame::Message(message), &mut buffer),
+        while buffer.len() < WRITE_BATCH_BYTES {
+            match queue.try_recv() {
+                Ok(message) => encode_frame(&Frame::Message(message), &mut buffer),
                 Err(_) => break,
             }
         }
 
-        // A connection can go silent for good while new ones work: something
-        // between the two ends has lost track of it. It shows as nothing
-        // heard, or as a write that doesn't end. Both ends beat, so silence
-        // in either direction is found by one of them within the bound.
-        let heard_at = Millis(heard.load(Ordering::Relaxed));
-        if clock.now().since(heard_at) > tuning.silence {
+        // One connection can stop carrying data while new ones work, because a device
+        // between the two ends has lost its state. Then nothing is received, or a write
+        // does not end. Both ends send heartbeats, so one of them detects silence in
+        // either direction within the timeout.
+        let received_at = Millis(last_received.load(Ordering::Relaxed));
+        if clock.now().since(received_at) > tuning.silence_timeout {
             return "silent";
         }
-        match timeout(tuning.silence.as_duration(), writer.write_all(&buffer)).await {
+        match timeout(
+            tuning.silence_timeout.as_duration(),
+            writer.write_all(&buffer),
+        )
+        .await
+        {
             Ok(Ok(())) => {
                 buffer.clear();
-                beat.reset();
+                heartbeat.reset();
             }
             Ok(Err(_)) => return "broken",
             Err(_) => return "silent",
@@ -226,8 +233,9 @@
     }
 }
 
-fn push<T: Serialize>(frame: &Frame<T>, buffer: &mut BytesMut) {
+/// Appends `frame` to `buffer`; a frame that does not encode is logged and dropped.
+fn encode_frame<T: Serialize>(frame: &Frame<T>, buffer: &mut BytesMut) {
     if let Err(error) = encode(frame, buffer) {
-        tracing::error!(%error, "dropping a message that can't be sent");
+        tracing::error!(%error, "message dropped: it does not encode as a frame");
     }
 }
