--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -1,15 +1,15 @@
 //! HTTP towards callers: one application call from its arrival to its answer.
 
 use super::{
-    call_options::{Options, options, passed_on},
+    call_options::{Options, forwarded_headers, read_options},
     call_target::Target,
-    chat_api::{ChatCall, Shape},
-    claimer::{self, Claim},
-    command::{Command, NewCall, REPLIES, Reply},
+    chat_api::{ChatCall, Endpoint},
+    claimer::{self, ClaimRequest},
+    command::{Command, MAX_QUEUED_REPLIES, NewCall, Reply},
     directory::Directory,
-    issue::Issue,
     reply_body::Replies,
-    request_body::{pump, whole}, //
+    request_body::{read_body, stream_body}, //
+    request_ids::RequestIds,
 };
 use crate::{
     agent::run_call::REQUEST_ID,
@@ -37,30 +37,30 @@
 /// What is needed to answer callers.
 #[derive(Clone)]
 pub(super) struct AppApi {
-    pub(super) claims: mpsc::Sender<Claim>,
+    pub(super) claims: mpsc::Sender<ClaimRequest>,
     pub(super) clock: Clock,
     pub(super) delivered: mpsc::Sender<RequestId>,
     pub(super) directory: watch::Receiver<Arc<Directory>>,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) traffic: mpsc::Sender<Command>,
 }
 
 /// The header of an answer that names the settings it was made under.
-const REVISION: &str = "redwing-settings-revision";
+const REVISION_HEADER: &str = "redwing-settings-revision";
 
 /// The bytes of a body that is gathered before the call is routed, so that
 /// it can be sent to a second server.
-const WHOLE_BODY: usize = 64 * 1024;
+const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
 /// The bytes of a request to an engine.
-const CHAT_BODY: usize = 160 * 1024;
+const MAX_CHAT_BODY: usize = 160 * 1024;
 
 impl AppApi {
     /// Answers one call at `/v1/app/TEAM/CLASS/REST`.
     pub(super) async fn handle(&self, request: Request<Incoming>) -> Answer {
-        let id = self.issue.next();
+        let id = self.request_ids.next();
         let revision = self.directory.borrow().revision();
-        let mut answer = match self.call(id, request).await {
+        let mut answer = match self.route(id, request).await {
             Ok(answer) => answer,
             Err(failure) => problem(&failure, Some(id)),
         };
@@ -68,24 +68,24 @@
         if let Ok(value) = HeaderValue::from_str(&id.to_string()) {
             headers.insert(HeaderName::from_static(REQUEST_ID), value);
         }
-        headers.insert(REVISION, HeaderValue::from(revision));
+        headers.insert(REVISION_HEADER, HeaderValue::from(revision));
         answer
     }
 
-    async fn call(&self, id: RequestId, request: Request<Incoming>) -> Result<Answer, Failure> {
+    async fn route(&self, id: RequestId, request: Request<Incoming>) -> Result<Answer, Failure> {
         let path = request.uri().path_and_query();
         let path = path.map_or("/", |path| path.as_str()).to_owned();
         let directory = self.directory.borrow().clone();
         let (target, rest) = Target::find(&directory, &path, request.headers())?;
         let now = self.clock.now();
-        let options = options(&target, now, request.method(), request.headers())?;
+        let options = read_options(&target, now, request.method(), request.headers())?;
         match target.kind {
-            BackendKind::Engine => self.chat(id, request, target, options, rest).await,
-            BackendKind::Service => self.plain(id, request, target, options, rest).await,
+            BackendKind::Engine => self.chat_call(id, request, target, options, rest).await,
+            BackendKind::Service => self.service_call(id, request, target, options, rest).await,
         }
     }
 
-    async fn chat(
+    async fn chat_call(
         &self,
         id: RequestId,
         request: Request<Incoming>,
@@ -93,26 +93,26 @@
         options: Options,
         rest: String,
     ) -> Result<Answer, Failure> {
-        let shape = Shape::at(&rest).filter(|_| request.method() == Method::POST);
-        let shape = shape.ok_or_else(|| {
+        let endpoint = Endpoint::from_path(&rest).filter(|_| request.method() == Method::POST);
+        let endpoint = endpoint.ok_or_else(|| {
             let detail = "an engine pool answers POST at /v1/completions and /v1/chat/completions";
             Failure::not_run(Cause::NotFound, detail)
         })?;
-        let body = whole(request.into_body(), CHAT_BODY).await?;
-        let call = ChatCall::parse(shape, &body)?;
+        let body = read_body(request.into_body(), MAX_CHAT_BODY).await?;
+        let call = ChatCall::parse(endpoint, &body)?;
         let work = Work::Generate(call.generation.clone());
-        let claimed = self.claim(id, &target, &options).await?;
-        let answer = match self.start(id, target, options, work) {
-            Ok(replies) => generated(call, replies).await,
+        let claim_path = self.claim_key(id, &target, &options).await?;
+        let answer = match self.start_call(id, target, options, work) {
+            Ok(replies) => chat_response(call, replies).await,
             Err(failure) => Err(failure),
         };
         if let Err(failure) = &answer {
-            self.release(claimed, failure);
+            self.release_key(claim_path, failure);
         }
         answer
     }
 
-    async fn plain(
+    async fn service_call(
         &self,
         id: RequestId,
         request: Request<Incoming>,
@@ -122,44 +122,44 @@
     ) -> Result<Answer, Failure> {
         let (parts, body) = request.into_parts();
         let expected = body.size_hint().upper();
-        let whole_body = expected.is_some_and(|size| size <= WHOLE_BODY as u64);
-        let (first, streamed) = match whole_body {
-            true => (whole(body, WHOLE_BODY).await?, None),
+        let is_buffered = expected.is_some_and(|size| size <= MAX_BUFFERED_BODY as u64);
+        let (first, streamed) = match is_buffered {
+            true => (read_body(body, MAX_BUFFERED_BODY).await?, None),
             false => (Bytes::new(), Some(body)),
         };
-        let claimed = self.claim(id, &target, &options).await?;
+        let claim_path = self.claim_key(id, &target, &options).await?;
         let work = Work::Call(CallHead {
             body: first,
-            headers: passed_on(&parts.headers),
+            headers: forwarded_headers(&parts.headers),
             method: parts.method.to_string(),
             path: rest,
-            whole: whole_body,
+            whole: is_buffered,
         });
-        let mut replies = match self.start(id, target, options, work) {
+        let mut replies = match self.start_call(id, target, options, work) {
             Ok(replies) => replies,
             Err(failure) => {
-                self.release(claimed, &failure);
+                self.release_key(claim_path, &failure);
                 return Err(failure);
             }
         };
         if let Some(body) = streamed {
             let (traffic, window) = (self.traffic.clone(), replies.window.clone());
-            tokio::spawn(pump(body, id, traffic, window));
+            tokio::spawn(stream_body(body, id, traffic, window));
         }
 
         match replies.next().await {
             Some(Reply::Failed(failure)) => {
-                self.release(claimed, &failure);
+                self.release_key(claim_path, &failure);
                 Err(failure)
             }
-            Some(Reply::Head { status, headers }) => Ok(answer(status, headers, replies)),
-            Some(_) | None => Err(stopped()),
+            Some(Reply::Head { status, headers }) => Ok(response(status, headers, replies)),
+            Some(_) | None => Err(ended_without_reply()),
         }
     }
 
     /// Claims the key of a call that must run at most once, before anything
     /// of it leaves this process; returns the key's row.
-    async fn claim(
+    async fn claim_key(
         &self,
         request: RequestId,
         target: &Target,
@@ -168,21 +168,21 @@
         let Some(key) = options.key.as_deref().filter(|_| !options.idempotent) else {
             return Ok(None);
         };
-        let path = claimer::path(&target.names.0, key);
-        let wanted = PendingClaim {
+        let path = claimer::claim_path(&target.names.0, key);
+        let pending = PendingClaim {
             path: path.clone(),
             request,
         };
-        let (reply, ruling) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         self.claims
-            .try_send(Claim::Take(wanted, reply))
+            .try_send(ClaimRequest::Take(pending, reply))
             .map_err(|_| {
                 let detail = "too many request keys wait to be claimed";
                 Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(500))
             })?;
         let left = options.deadline.since(self.clock.now());
-        match timeout(left.as_duration(), ruling).await {
-            Ok(Ok(ruling)) => ruling.map(|()| Some(path)),
+        match timeout(left.as_duration(), outcome).await {
+            Ok(Ok(outcome)) => outcome.map(|()| Some(path)),
             Ok(Err(_)) => Err(Failure::not_run(Cause::Draining, "the entry is stopping")),
             Err(_) => {
                 let detail = "the deadline passed before the key was claimed";
@@ -192,31 +192,31 @@
     }
 
     /// Gives a claimed key back if its call did not run.
-    fn release(&self, claimed: Option<String>, failure: &Failure) {
-        if let Some(path) = claimed
+    fn release_key(&self, claim_path: Option<String>, failure: &Failure) {
+        if let Some(path) = claim_path
             && !failure.verdict.may_have_run()
         {
             // If the ring is full the key stays claimed: the caller's repeat
             // is refused as a duplicate, which errs on the safe side.
-            let _ = self.claims.try_send(Claim::Release(path));
+            let _ = self.claims.try_send(ClaimRequest::Release(path));
         }
     }
 
-    fn start(
+    fn start_call(
         &self,
         request: RequestId,
         target: Target,
         options: Options,
         work: Work,
     ) -> Result<Replies, Failure> {
-        let (reply, ring) = mpsc::channel(REPLIES);
+        let (reply, receiver) = mpsc::channel(MAX_QUEUED_REPLIES);
         let (team, class) = target.names;
         let call = NewCall {
             class,
             deadline: options.deadline,
             idempotent: options.idempotent,
             key: options.key,
-            least: WeightVersion(0),
+            min_version: WeightVersion(0),
             limits: target.limits,
             pool: target.class.pool,
             priority: target.class.priority,
@@ -236,23 +236,23 @@
             })?;
         Ok(Replies {
             delivered: self.delivered.clone(),
-            expected: None,
-            owed: 0,
-            passed: 0,
+            expected_length: None,
+            owed_credit: 0,
+            bytes_sent: 0,
             request,
-            ring,
+            receiver,
             traffic: self.traffic.clone(),
             window: Arc::new(Semaphore::new(WINDOW as usize)),
         })
     }
 }
 
-fn answer(status: u16, headers: Vec<(String, Bytes)>, mut replies: Replies) -> Answer {
+fn response(status: u16, headers: Vec<(String, Bytes)>, mut replies: Replies) -> Answer {
     let length = headers
         .iter()
         .find(|(name, _)| name == CONTENT_LENGTH.as_str());
     let length = length.and_then(|(_, value)| std::str::from_utf8(value).ok()?.parse().ok());
-    replies.expected = length;
+    replies.expected_length = length;
     let mut answer = Response::new(replies.into_body());
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in headers {
@@ -265,23 +265,23 @@
 }
 
 /// The answer of a generation, whole or streamed.
-async fn generated(call: ChatCall, mut replies: Replies) -> Result<Answer, Failure> {
+async fn chat_response(call: ChatCall, mut replies: Replies) -> Result<Answer, Failure> {
     if !call.stream {
-        let body = call.whole(replies).await?;
+        let body = call.full_response(replies).await?;
         return Ok(text(StatusCode::OK, "application/json", body));
     }
     match replies.next().await {
         Some(Reply::Failed(failure)) => Err(failure),
         Some(first) => {
-            let mut answer = Response::new(call.events(first, replies));
+            let mut answer = Response::new(call.event_stream(first, replies));
             let kind = HeaderValue::from_static("text/event-stream");
             answer.headers_mut().insert(CONTENT_TYPE, kind);
             Ok(answer)
         }
-        None => Err(stopped()),
+        None => Err(ended_without_reply()),
     }
 }
 
-fn stopped() -> Failure {
+fn ended_without_reply() -> Failure {
     Failure::may_have_run(Cause::LinkLost, "this entry ended the call without a word")
 }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -1,7 +1,7 @@
 //! How the traffic duty takes calls in, routes them and sends them out.
 
 use super::{
-    call::{Call, CallKey, Handover},
+    call::{Call, CallKey, OpenAttempt},
     command::{NewCall, Reply},
     server::{Server, ServerKey},
     traffic::Traffic, //
@@ -15,14 +15,14 @@
 use slotmap::Key;
 
 /// The wait before a call that found no server looks again.
-const LOOK_AGAIN: Millis = Millis(50);
+const NO_SERVER_RETRY_DELAY: Millis = Millis(50);
 
 /// How long a call looks for a server before it is refused.
-const LOOK: Millis = Millis(2_000);
+const NO_SERVER_TIMEOUT: Millis = Millis(2_000);
 
 impl Traffic {
     /// Takes a call in, or refuses it.
-    pub(super) fn arrive(&mut self, new: NewCall) {
+    pub(super) fn admit_call(&mut self, new: NewCall) {
         let now = self.context.clock.now();
         let request = new.request;
         self.ledger.open(request, &new.team, &new.class);
@@ -44,7 +44,7 @@
 
         self.ledger.note(now, request, Event::Admitted);
         let key = self.calls.insert(Call::new(new, now));
-        self.ids.insert(request, key);
+        self.call_keys.insert(request, key);
         self.route(key);
     }
 
@@ -56,18 +56,18 @@
         };
         let candidates = self.candidates(call, now);
         let Some((server, reason)) = self.choose(call, &candidates) else {
-            self.look_again(key, now);
+            self.retry_routing(key, now);
             return;
         };
 
-        self.turn += 1;
+        self.sequence += 1;
         let eligible = candidates.iter().filter(|c| c.eligible).count();
         tracing::info!(
             target: "decision",
-            request = %call.new.request,
-            team = call.new.team,
-            class = call.new.class,
-            pool = call.new.pool,
+            request = %call.spec.request,
+            team = call.spec.team,
+            class = call.spec.class,
+            pool = call.spec.pool,
             seen = candidates.len(),
             eligible,
             chosen = self.servers.get(server).map(|s| s.instance.name.as_str()),
@@ -75,31 +75,31 @@
             attempt = call.attempts,
             "routed"
         );
-        self.hand_over(key, server, reason, now);
+        self.start_attempt(key, server, reason, now);
     }
 
     /// A further part of a request's body.
-    pub(super) fn pass_body(&mut self, request: RequestId, bytes: Bytes, last: bool) {
-        self.to_current(request, |slot| ToAgent::Data { slot, bytes, last });
+    pub(super) fn forward_body(&mut self, request: RequestId, bytes: Bytes, last: bool) {
+        self.send_to_current(request, |slot| ToAgent::Data { slot, bytes, last });
     }
 
     fn candidates(&self, call: &Call, now: Millis) -> Vec<Candidate<ServerKey>> {
         let pool = self
             .servers
             .iter()
-            .filter(|(_, server)| server.instance.pool.as_deref() == Some(&call.new.pool));
+            .filter(|(_, server)| server.instance.pool.as_deref() == Some(&call.spec.pool));
         let all: Vec<(ServerKey, &Server)> = pool.collect();
         // When all were tried, each may be tried again.
         let exhausted = all.iter().all(|(key, _)| call.tried.contains(key));
         all.into_iter()
             .map(|(key, server)| {
                 let tried = !exhausted && call.tried.contains(&key);
-                let unfit = call
+                let lacks_weights = call
                     .model()
-                    .is_some_and(|model| !server.has(model, call.new.least));
-                let mut candidate = server.candidate(key, now, tried || unfit);
+                    .is_some_and(|model| !server.has_weights(model, call.spec.min_version));
+                let mut candidate = server.candidate(key, now, tried || lacks_weights);
                 if self.settings.policy == Policy::Baseline {
-                    candidate.eligible = server.link.is_some() && server.listed && !unfit;
+                    candidate.eligible = server.link.is_some() && server.listed && !lacks_weights;
                 }
                 candidate
             })
@@ -111,17 +111,17 @@
         call: &Call,
         candidates: &[Candidate<ServerKey>],
     ) -> Option<(ServerKey, Reason)> {
-        let request = call.new.request;
+        let request = call.spec.request;
         let draw = stable_hash(&[
             &request.sequence.to_le_bytes(),
             &request.issuer.0.to_le_bytes(),
             &[call.attempts],
         ]);
-        router::choose(self.settings.policy, candidates, self.turn, draw)
+        router::choose(self.settings.policy, candidates, self.sequence, draw)
     }
 
-    fn hand_over(&mut self, key: CallKey, server: ServerKey, reason: Reason, now: Millis) {
-        let attempt = self.attempts.insert(Handover {
+    fn start_attempt(&mut self, key: CallKey, server: ServerKey, reason: Reason, now: Millis) {
+        let attempt = self.attempts.insert(OpenAttempt {
             call: key,
             sent: now,
             server,
@@ -132,14 +132,14 @@
         };
         let start = Start {
             attempt: call.attempts,
-            budget: call.new.deadline.since(now),
-            class: call.new.class.clone(),
-            idempotent: call.new.idempotent,
-            key: call.new.key.clone(),
-            priority: call.new.priority,
-            request: call.new.request,
+            budget: call.spec.deadline.since(now),
+            class: call.spec.class.clone(),
+            idempotent: call.spec.idempotent,
+            key: call.spec.key.clone(),
+            priority: call.spec.priority,
+            request: call.spec.request,
             slot: Slot(attempt.data().as_ffi()),
-            team: call.new.team.clone(),
+            team: call.spec.team.clone(),
             work: call.work(),
         };
         call.attempts += 1;
@@ -165,16 +165,18 @@
         }
     }
 
-    fn look_again(&mut self, key: CallKey, now: Millis) {
+    fn retry_routing(&mut self, key: CallKey, now: Millis) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
-        if now.since(call.opened) < LOOK && now + LOOK_AGAIN < call.new.deadline {
-            call.next_try = now + LOOK_AGAIN;
+        if now.since(call.admitted_at) < NO_SERVER_TIMEOUT
+            && now + NO_SERVER_RETRY_DELAY < call.spec.deadline
+        {
+            call.next_try = now + NO_SERVER_RETRY_DELAY;
             return;
         }
-        let detail = format!("no server of pool `{}` can take the call", call.new.pool);
+        let detail = format!("no server of pool `{}` can take the call", call.spec.pool);
         let failure = Failure::not_run(Cause::NoServer, detail).retry_after(Millis(500));
-        self.give_up(key, failure);
+        self.fail_call(key, failure);
     }
 }
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -20,7 +20,7 @@
 
 /// One hand-over of a call to an agent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Handover {
+pub(super) struct OpenAttempt {
     pub(super) call: CallKey,
     /// When the call was handed over.
     pub(super) sent: Millis,
@@ -28,18 +28,18 @@
 }
 
 /// The length to which generations' times are scaled.
-const USUAL_TOKENS: f64 = 32.0;
+const REFERENCE_TOKENS: f64 = 32.0;
 
 /// A call from its admission to its last reply.
 pub(super) struct Call {
     pub(super) attempts: u8,
     pub(super) current: Option<AttemptKey>,
     /// Whether an attempt that is over may have run.
-    pub(super) in_doubt: bool,
-    pub(super) new: NewCall,
+    pub(super) may_have_run: bool,
+    pub(super) spec: NewCall,
     /// When to look for a server again; only while no attempt is under way.
     pub(super) next_try: Millis,
-    pub(super) opened: Millis,
+    pub(super) admitted_at: Millis,
     pub(super) spans: Vec<Span>,
     /// The tokens of a generation so far.
     pub(super) tokens: Tokens,
@@ -50,18 +50,18 @@
 }
 
 impl Call {
-    pub(super) fn new(new: NewCall, now: Millis) -> Self {
-        let tokens = match &new.work {
+    pub(super) fn new(spec: NewCall, now: Millis) -> Self {
+        let tokens = match &spec.work {
             Work::Call(_) => Tokens::default(),
             Work::Generate(generation) => generation.done.clone(),
         };
         Self {
             attempts: 0,
             current: None,
-            in_doubt: false,
-            new,
+            may_have_run: false,
+            spec,
             next_try: now,
-            opened: now,
+            admitted_at: now,
             spans: Vec::new(),
             tokens,
             tried: Vec::new(),
@@ -70,15 +70,15 @@
     }
 
     /// The call as the retry policy sees it.
-    pub(super) fn attempt(&self) -> Attempt {
-        let replayable = match &self.new.work {
+    pub(super) fn retry_input(&self) -> Attempt {
+        let replayable = match &self.spec.work {
             Work::Call(head) => head.whole,
             Work::Generate(_) => true,
         };
         Attempt {
             attempts: self.attempts,
-            deadline: self.new.deadline,
-            idempotent: self.new.idempotent,
+            deadline: self.spec.deadline,
+            idempotent: self.spec.idempotent,
             replayable,
             visible: self.visible,
         }
@@ -86,27 +86,27 @@
 
     /// Drops the tokens whose version was not confirmed, so that another
     /// engine goes on behind the last certain one.
-    pub(super) fn drop_uncertain(&mut self) {
-        let certain = self.spans.last().map_or(0, |span| span.to);
-        if self.tokens.len() > certain {
-            self.tokens.truncate(certain);
-            let _ = self.reply(Reply::Tokens(certain, Tokens::default()));
+    pub(super) fn drop_unconfirmed(&mut self) {
+        let confirmed = self.spans.last().map_or(0, |span| span.to);
+        if self.tokens.len() > confirmed {
+            self.tokens.truncate(confirmed);
+            let _ = self.reply(Reply::Tokens(confirmed, Tokens::default()));
         }
     }
 
     /// How long the attempt took, in milliseconds, made comparable between
     /// generations of different lengths.
-    pub(super) fn taken(&self, handover: Handover, now: Millis) -> f64 {
-        let taken = now.since(handover.sent).0 as f64;
-        match &self.new.work {
-            Work::Call(_) => taken,
-            Work::Generate(_) => taken * USUAL_TOKENS / f64::from(self.tokens.len().max(1)),
+    pub(super) fn scaled_duration(&self, attempt: OpenAttempt, now: Millis) -> f64 {
+        let elapsed = now.since(attempt.sent).0 as f64;
+        match &self.spec.work {
+            Work::Call(_) => elapsed,
+            Work::Generate(_) => elapsed * REFERENCE_TOKENS / f64::from(self.tokens.len().max(1)),
         }
     }
 
     /// The model asked for, if it is a generation.
     pub(super) fn model(&self) -> Option<&str> {
-        match &self.new.work {
+        match &self.spec.work {
             Work::Call(_) => None,
             Work::Generate(generation) => Some(&generation.model),
         }
@@ -114,12 +114,12 @@
 
     /// Passes `reply` on; false when the caller is gone or broke its window.
     pub(super) fn reply(&self, reply: Reply) -> bool {
-        self.new.reply.try_send(reply).is_ok()
+        self.spec.reply.try_send(reply).is_ok()
     }
 
     /// The work for the next attempt.
     pub(super) fn work(&self) -> Work {
-        let mut work = self.new.work.clone();
+        let mut work = self.spec.work.clone();
         if let Work::Generate(generation) = &mut work {
             generation.done = self.tokens.clone();
         }
--- a/src/entry/call_options.rs
+++ b/src/entry/call_options.rs
@@ -13,13 +13,13 @@
 };
 
 /// The header with which a caller says whether a call may be repeated.
-const IDEMPOTENT: &str = "redwing-idempotent";
+const IDEMPOTENT_HEADER: &str = "redwing-idempotent";
 
 /// The header with a call's time in milliseconds.
-const DEADLINE: &str = "redwing-deadline-ms";
+const DEADLINE_HEADER: &str = "redwing-deadline-ms";
 
 /// The bytes of a request key.
-const MAX_KEY: usize = 128;
+const MAX_KEY_LENGTH: usize = 128;
 
 /// What a caller asks of a class.
 pub(super) struct Options {
@@ -30,7 +30,7 @@
 }
 
 /// Reads what the caller says about the call itself.
-pub(super) fn options(
+pub(super) fn read_options(
     target: &Target,
     now: Millis,
     method: &Method,
@@ -38,12 +38,14 @@
 ) -> Result<Options, Failure> {
     let refuse = |detail: String| Failure::not_run(Cause::BadRequest, detail);
     let header = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or("?"));
-    let deadline = match header(DEADLINE) {
+    let deadline = match header(DEADLINE_HEADER) {
         None => target.class.deadline,
         Some(value) => {
             let number = value.parse().ok().filter(|ms| (1..=3_600_000).contains(ms));
             let number = number.ok_or_else(|| {
-                refuse(format!("`{DEADLINE}` is `{value}`, expected 1 to 3600000"))
+                refuse(format!(
+                    "`{DEADLINE_HEADER}` is `{value}`, expected 1 to 3600000"
+                ))
             })?;
             Millis(number)
         }
@@ -51,22 +53,22 @@
     // Engines' answers have no effects; for services the method decides, as
     // HTTP defines it, unless the caller says otherwise.
     let by_method = target.kind == BackendKind::Engine || method.is_idempotent();
-    let idempotent = match header(IDEMPOTENT) {
+    let idempotent = match header(IDEMPOTENT_HEADER) {
         None => by_method,
         Some("true") => true,
         Some("false") => false,
         Some(value) => {
             return Err(refuse(format!(
-                "`{IDEMPOTENT}` is `{value}`, expected true or false"
+                "`{IDEMPOTENT_HEADER}` is `{value}`, expected true or false"
             )));
         }
     };
     let key = header(REQUEST_KEY).map(str::to_owned);
     if key.as_ref().is_some_and(|key| {
-        key.is_empty() || key.len() > MAX_KEY || !key.bytes().all(|b| b.is_ascii_graphic())
+        key.is_empty() || key.len() > MAX_KEY_LENGTH || !key.bytes().all(|b| b.is_ascii_graphic())
     }) {
         return Err(refuse(format!(
-            "`{REQUEST_KEY}` is not 1 to {MAX_KEY} visible characters"
+            "`{REQUEST_KEY}` is not 1 to {MAX_KEY_LENGTH} visible characters"
         )));
     }
     Ok(Options {
@@ -77,7 +79,7 @@
 }
 
 /// The caller's headers that a service gets to see.
-pub(super) fn passed_on(headers: &HeaderMap) -> Vec<(String, Bytes)> {
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     headers
         .iter()
         .filter(|(name, _)| {
--- a/src/entry/call_target.rs
+++ b/src/entry/call_target.rs
@@ -34,7 +34,7 @@
         let class_name = class_name.split('?').next().unwrap_or_default();
         let rest = format!("/{}", parts.next().unwrap_or_default());
 
-        if !directory.is_known() {
+        if !directory.is_loaded() {
             let failure = Failure::not_run(Cause::Unknown, "this entry has no settings yet");
             return Err(failure.retry_after(Millis(500)));
         }
--- a/src/entry/chat_api.rs
+++ b/src/entry/chat_api.rs
@@ -6,7 +6,7 @@
 use super::reply_body::{
     Body,
     Replies,
-    cut, //
+    body_error, //
 };
 use crate::{
     base::{Cause, Failure, RequestId, Span, Tokens},
@@ -29,7 +29,7 @@
 
 /// Which of the two shapes a caller speaks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Shape {
+pub(super) enum Endpoint {
     Chat,
     Completion,
 }
@@ -53,7 +53,7 @@
 /// A caller's request to an engine pool.
 pub(super) struct ChatCall {
     pub(super) generation: Generation,
-    pub(super) shape: Shape,
+    pub(super) endpoint: Endpoint,
     pub(super) stream: bool,
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[derive(Serialize)]
-struct Answer<'a> {
+struct CompletionResponse<'a> {
     choices: [Choice; 1],
     id: String,
     model: &'a str,
@@ -89,9 +89,9 @@
     256
 }
 
-impl Shape {
+impl Endpoint {
     /// The shape that is asked for at `path`.
-    pub(super) fn at(path: &str) -> Option<Self> {
+    pub(super) fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/chat/completions" => Some(Self::Chat),
             "/v1/completions" => Some(Self::Completion),
@@ -137,67 +137,69 @@
 }
 
 impl ChatCall {
-    /// Reads a request body of `shape`.
-    pub(super) fn parse(shape: Shape, body: &[u8]) -> Result<Self, Failure> {
+    /// Reads a request body of `endpoint`.
+    pub(super) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, Failure> {
         let refuse = |detail: String| Failure::not_run(Cause::BadRequest, detail);
-        let asked: Asked =
+        let request: Asked =
             serde_json::from_slice(body).map_err(|error| refuse(error.to_string()))?;
-        let prompt = match (shape, asked.messages, asked.prompt) {
-            (Shape::Chat, Some(messages), None) => chat_prompt(&messages),
-            (Shape::Completion, None, Some(prompt)) => prompt,
-            (Shape::Chat, _, _) => return Err(refuse("expected `messages`, no `prompt`".into())),
-            (Shape::Completion, _, _) => {
+        let prompt = match (endpoint, request.messages, request.prompt) {
+            (Endpoint::Chat, Some(messages), None) => chat_prompt(&messages),
+            (Endpoint::Completion, None, Some(prompt)) => prompt,
+            (Endpoint::Chat, _, _) => {
+                return Err(refuse("expected `messages`, no `prompt`".into()));
+            }
+            (Endpoint::Completion, _, _) => {
                 return Err(refuse("expected `prompt`, no `messages`".into()));
             }
         };
         let limit = crate::policy::step_spec::MAX_TOKENS;
-        if !(1..=limit).contains(&asked.max_tokens) {
+        if !(1..=limit).contains(&request.max_tokens) {
             return Err(refuse(format!("`max_tokens` is not within 1 to {limit}")));
         }
         Ok(Self {
             generation: Generation {
                 done: Tokens::default(),
-                model: asked.model,
+                model: request.model,
                 prompt,
                 sampling: Sampling {
-                    max_tokens: asked.max_tokens,
-                    seed: asked.seed,
-                    temperature: asked.temperature,
+                    max_tokens: request.max_tokens,
+                    seed: request.seed,
+                    temperature: request.temperature,
                 },
             },
-            shape,
-            stream: asked.stream,
+            endpoint,
+            stream: request.stream,
         })
     }
 
     /// Gathers the whole answer.
-    pub(super) async fn whole(&self, mut replies: Replies) -> Result<Bytes, Failure> {
+    pub(super) async fn full_response(&self, mut replies: Replies) -> Result<Bytes, Failure> {
         let mut tokens = Tokens::default();
         let mut spans: Vec<Span> = Vec::new();
         while let Some(reply) = replies.next().await {
             match reply {
                 Reply::End(finish) => {
                     let text = tokens.text().to_owned();
-                    let answer = Answer {
-                        choices: [self.shape.choice(text, false, finish)],
+                    let answer = CompletionResponse {
+                        choices: [self.endpoint.choice(text, false, finish)],
                         id: replies.request.to_string(),
                         model: &self.generation.model,
-                        object: self.shape.object(false),
+                        object: self.endpoint.object(false),
                         redwing: Some(provenance(replies.request, &spans)),
                         usage: Some(Usage {
                             completion_tokens: tokens.len(),
                         }),
                     };
-                    replies.whole();
+                    replies.mark_delivered();
                     return Ok(Bytes::from(encode(&answer)));
                 }
                 Reply::Failed(failure) => return Err(failure),
                 Reply::Spans(more) => {
-                    replies.took(0).await;
+                    replies.return_credit(0).await;
                     Span::extend(&mut spans, more);
                 }
                 Reply::Tokens(from, part) => {
-                    replies.took(size(&part)).await;
+                    replies.return_credit(flow_cost(&part)).await;
                     tokens.splice(from, &part);
                 }
                 Reply::Credit(_) | Reply::Data(_) | Reply::Head { .. } => {}
@@ -207,21 +209,23 @@
     }
 
     /// The answer as server-sent events, beginning with `first`.
-    pub(super) fn events(self, first: Reply, replies: Replies) -> Body {
-        let stream = Stream {
+    pub(super) fn event_stream(self, first: Reply, replies: Replies) -> Body {
+        let stream = ResponseStream {
             call: self,
             ended: None,
             first: Some(first),
             replies,
-            sent: 0,
+            sent_tokens: 0,
             spans: Vec::new(),
         };
         let frames = futures_util::stream::unfold(Some(stream), |state| async {
             let mut stream = state?;
             match stream.next().await {
-                Next::Cut(detail) => Some((Err(cut(&detail)), None)),
-                Next::End => None,
-                Next::Events(text) => Some((Ok(Frame::data(Bytes::from(text))), Some(stream))),
+                StreamItem::Error(detail) => Some((Err(body_error(&detail)), None)),
+                StreamItem::End => None,
+                StreamItem::Events(text) => {
+                    Some((Ok(Frame::data(Bytes::from(text))), Some(stream)))
+                }
             }
         });
         StreamBody::new(frames).boxed_unsync()
@@ -229,28 +233,28 @@
 }
 
 /// A streamed answer under way.
-struct Stream {
+struct ResponseStream {
     call: ChatCall,
     /// Whether the last event was sent, and whether it was the whole answer.
     ended: Option<bool>,
     first: Option<Reply>,
     replies: Replies,
     /// Tokens that the caller has seen.
-    sent: u32,
+    sent_tokens: u32,
     spans: Vec<Span>,
 }
 
-enum Next {
-    Cut(String),
+enum StreamItem {
+    Error(String),
     End,
     Events(String),
 }
 
-impl Stream {
-    async fn next(&mut self) -> Next {
+impl ResponseStream {
+    async fn next(&mut self) -> StreamItem {
         match self.ended {
-            Some(true) => return Next::End,
-            Some(false) => return Next::Cut("the generation failed".to_owned()),
+            Some(true) => return StreamItem::End,
+            Some(false) => return StreamItem::Error("the generation failed".to_owned()),
             None => {}
         }
         loop {
@@ -262,33 +266,33 @@
                 Some(Reply::End(finish)) => {
                     self.ended = Some(true);
                     let last = self.event(String::new(), finish.or(Some(Finish::Stop)));
-                    self.replies.whole();
-                    return Next::Events(format!("{last}data: [DONE]\n\n"));
+                    self.replies.mark_delivered();
+                    return StreamItem::Events(format!("{last}data: [DONE]\n\n"));
                 }
                 Some(Reply::Failed(failure)) => {
                     self.ended = Some(false);
-                    let told = details(&failure, Some(self.replies.request));
-                    return Next::Events(format!("event: error\ndata: {told}\n\n"));
+                    let problem = details(&failure, Some(self.replies.request));
+                    return StreamItem::Events(format!("event: error\ndata: {problem}\n\n"));
                 }
                 Some(Reply::Spans(more)) => {
-                    self.replies.took(0).await;
+                    self.replies.return_credit(0).await;
                     Span::extend(&mut self.spans, more);
                 }
                 Some(Reply::Tokens(from, part)) => {
-                    self.replies.took(size(&part)).await;
+                    self.replies.return_credit(flow_cost(&part)).await;
                     // Tokens that were taken back can't be unsaid: the stream
                     // is cut rather than go on with another text.
-                    if from < self.sent {
-                        return Next::Cut("tokens shown could not be confirmed".to_owned());
+                    if from < self.sent_tokens {
+                        return StreamItem::Error("tokens shown could not be confirmed".to_owned());
                     }
                     if part.is_empty() {
                         continue;
                     }
-                    self.sent = from + part.len();
-                    return Next::Events(self.event(part.text().to_owned(), None));
+                    self.sent_tokens = from + part.len();
+                    return StreamItem::Events(self.event(part.text().to_owned(), None));
                 }
                 Some(Reply::Credit(_) | Reply::Data(_) | Reply::Head { .. }) => {}
-                None => return Next::Cut("the answer was cut".to_owned()),
+                None => return StreamItem::Error("the answer was cut".to_owned()),
             }
         }
     }
@@ -296,11 +300,11 @@
     fn event(&self, text: String, finish: Option<Finish>) -> String {
         let call = &self.call;
         let provenance = finish.map(|_| provenance(self.replies.request, &self.spans));
-        let answer = Answer {
-            choices: [call.shape.choice(text, true, finish)],
+        let answer = CompletionResponse {
+            choices: [call.endpoint.choice(text, true, finish)],
             id: self.replies.request.to_string(),
             model: &call.generation.model,
-            object: call.shape.object(true),
+            object: call.endpoint.object(true),
             redwing: provenance,
             usage: None,
         };
@@ -316,7 +320,7 @@
     lines.concat()
 }
 
-fn encode(answer: &Answer<'_>) -> String {
+fn encode(answer: &CompletionResponse<'_>) -> String {
     serde_json::to_string(answer).unwrap_or_default()
 }
 
@@ -327,6 +331,6 @@
     }
 }
 
-fn size(part: &Tokens) -> usize {
+fn flow_cost(part: &Tokens) -> usize {
     part.text().len() + 4 * part.len() as usize
 }
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -20,7 +20,7 @@
 };
 
 /// What the claimer is asked.
-pub(super) enum Claim {
+pub(super) enum ClaimRequest {
     /// The request did not run: the key is free again.
     Release(String),
     Take(PendingClaim, oneshot::Sender<Result<(), Failure>>),
@@ -33,48 +33,48 @@
 }
 
 /// The questions that may wait; further calls are refused.
-pub(super) const RING: usize = 512;
+pub(super) const MAX_QUEUED_CLAIMS: usize = 512;
 
 /// How long a repeat of a key is recognised. Callers that got no answer ask
 /// again within minutes; an hour of keys at today's rate is some 50,000 rows.
-const WINDOW: Millis = Millis(3_600_000);
+const KEY_RETENTION: Millis = Millis(3_600_000);
 
 /// How often old keys are looked for while no call comes.
-const LOOK: Millis = Millis(1_000);
+const CLEANUP_INTERVAL: Millis = Millis(1_000);
 
 /// Claims until the program stops.
 pub(super) async fn run(
     context: Context,
     platform: SocketAddr,
     instance: String,
-    mut questions: mpsc::Receiver<Claim>,
+    mut requests: mpsc::Receiver<ClaimRequest>,
 ) {
     context.drained();
     let mut claimer = Claimer {
-        claims: ClaimQueue::new(WINDOW),
+        claims: ClaimQueue::new(KEY_RETENTION),
         context: context.clone(),
         instance,
         platform: Platform::open(platform),
         replies: HashMap::new(),
-        written: 0,
+        transactions: 0,
     };
     loop {
         tokio::select! {
-            Some(question) = questions.recv() => claimer.take(question),
-            () = tokio::time::sleep(LOOK.as_duration()) => {}
+            Some(request) = requests.recv() => claimer.accept(request),
+            () = tokio::time::sleep(CLEANUP_INTERVAL.as_duration()) => {}
             () = context.reached(Phase::Stopped) => return,
         }
         // All that came while the last transaction was under way goes into
         // the next one.
-        while let Ok(question) = questions.try_recv() {
-            claimer.take(question);
+        while let Ok(request) = requests.try_recv() {
+            claimer.accept(request);
         }
-        claimer.write_all(&mut questions).await;
+        claimer.write_all(&mut requests).await;
     }
 }
 
 /// The path of a team's request key in the table.
-pub(super) fn path(team: &str, key: &str) -> String {
+pub(super) fn claim_path(team: &str, key: &str) -> String {
     let hash = blake3::hash(key.as_bytes()).to_hex();
     format!("claims/{team}/{hash}")
 }
@@ -85,16 +85,16 @@
     instance: String,
     platform: Platform,
     replies: HashMap<RequestId, oneshot::Sender<Result<(), Failure>>>,
-    written: u64,
+    transactions: u64,
 }
 
 impl Claimer {
-    fn take(&mut self, question: Claim) {
-        match question {
-            Claim::Release(path) => self.claims.release(&path),
-            Claim::Take(wanted, reply) => {
-                let request = wanted.request;
-                if self.claims.push(wanted) {
+    fn accept(&mut self, request: ClaimRequest) {
+        match request {
+            ClaimRequest::Release(path) => self.claims.release(&path),
+            ClaimRequest::Take(pending, reply) => {
+                let request = pending.request;
+                if self.claims.push(pending) {
                     self.replies.insert(request, reply);
                 } else {
                     let detail = "too many request keys wait to be claimed";
@@ -105,11 +105,11 @@
         }
     }
 
-    async fn write_all(&mut self, questions: &mut mpsc::Receiver<Claim>) {
+    async fn write_all(&mut self, requests: &mut mpsc::Receiver<ClaimRequest>) {
         while let Some(batch) = self.claims.next_batch(self.context.clock.now()) {
             self.write(batch).await;
-            while let Ok(question) = questions.try_recv() {
-                self.take(question);
+            while let Ok(request) = requests.try_recv() {
+                self.accept(request);
             }
         }
     }
@@ -120,32 +120,32 @@
             Ok(Written::Committed(versions)) => {
                 let now = self.context.clock.now();
                 self.claims.committed(now, &batch, &versions);
-                for wanted in &batch.claims {
-                    self.settle(wanted, ClaimOutcome::Granted);
+                for pending in &batch.claims {
+                    self.reply(pending, ClaimOutcome::Granted);
                 }
             }
             Ok(Written::Conflict { path, .. }) => {
-                if let Some(lost) = self.claims.conflicted(batch, &path) {
+                if let Some(refused) = self.claims.conflicted(batch, &path) {
                     let owner = self.owner(&path).await;
-                    self.settle(&lost, ClaimOutcome::Taken(owner));
+                    self.reply(&refused, ClaimOutcome::Taken(owner));
                 }
             }
             // Without the table nobody can tell whether the key is new: the
             // call is refused, truthfully as not run, and never run twice.
             Err(error) => {
                 tracing::warn!(%error, "keys not claimed");
-                for wanted in &batch.claims {
-                    self.settle(wanted, ClaimOutcome::Undecided);
+                for pending in &batch.claims {
+                    self.reply(pending, ClaimOutcome::Undecided);
                 }
             }
         }
     }
 
-    fn settle(&mut self, wanted: &PendingClaim, ruling: ClaimOutcome) {
-        let Some(reply) = self.replies.remove(&wanted.request) else {
+    fn reply(&mut self, pending: &PendingClaim, outcome: ClaimOutcome) {
+        let Some(reply) = self.replies.remove(&pending.request) else {
             return;
         };
-        let told = reply.send(match ruling {
+        let sent = reply.send(match outcome {
             ClaimOutcome::Granted => Ok(()),
             ClaimOutcome::Taken(owner) => {
                 let owner = owner.map_or("another request".to_owned(), |id| id.to_string());
@@ -160,8 +160,8 @@
         });
         // The caller went away or its deadline passed meanwhile: the call
         // will not be made, so its key is free again.
-        if told.is_err() && ruling == ClaimOutcome::Granted {
-            self.claims.release(&wanted.path);
+        if sent.is_err() && outcome == ClaimOutcome::Granted {
+            self.claims.release(&pending.path);
         }
     }
 
@@ -172,17 +172,17 @@
     }
 
     fn transaction(&mut self, batch: &Batch) -> Transaction {
-        self.written += 1;
+        self.transactions += 1;
         let token = stable_hash(&[
             self.instance.as_bytes(),
             &self.context.clock.now().0.to_le_bytes(),
-            &self.written.to_le_bytes(),
+            &self.transactions.to_le_bytes(),
         ]);
-        let claims = batch.claims.iter().map(|wanted| Write {
+        let claims = batch.claims.iter().map(|pending| Write {
             expect: 0,
-            path: wanted.path.clone(),
+            path: pending.path.clone(),
             value: serde_json::to_string(&Row {
-                request: wanted.request.to_string(),
+                request: pending.request.to_string(),
             })
             .ok(),
         });
--- a/src/entry/command.rs
+++ b/src/entry/command.rs
@@ -23,7 +23,7 @@
     pub(super) key: Option<String>,
     pub(super) limits: Limits,
     /// The oldest weights that will do, for generations.
-    pub(super) least: WeightVersion,
+    pub(super) min_version: WeightVersion,
     pub(super) pool: String,
     pub(super) priority: Priority,
     pub(super) reply: mpsc::Sender<Reply>,
@@ -53,7 +53,8 @@
 
 /// The replies that may wait for one call; the window bounds them by bytes,
 /// and each costs at least `MESSAGE_COST` of it.
-pub(super) const REPLIES: usize = (crate::wire::WINDOW / crate::wire::MESSAGE_COST) as usize + 8;
+pub(super) const MAX_QUEUED_REPLIES: usize =
+    (crate::wire::WINDOW / crate::wire::MESSAGE_COST) as usize + 8;
 
 /// A command to the traffic duty.
 pub(super) enum Command {
@@ -80,4 +81,4 @@
 
 /// The commands that may wait. A full ring refuses new calls, and makes body
 /// parts and credit wait.
-pub(super) const RING: usize = 2_048;
+pub(super) const MAX_QUEUED_COMMANDS: usize = 2_048;
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,8 +1,8 @@
 //! The shared settings and the instances as this entry knows them.
 
-use super::news::{
-    Change,
-    News, //
+use super::directory_update::{
+    DirectoryUpdate,
+    InstancesChange, //
 };
 use crate::{
     base::stable_hash,
@@ -31,36 +31,36 @@
 }
 
 /// The earlier lists kept. A peer that is further behind gets the whole list.
-const HISTORY: usize = 8;
+const MAX_HISTORY: usize = 8;
 
 impl Directory {
     /// Whether any settings have come yet.
-    pub(super) fn is_known(&self) -> bool {
+    pub(super) fn is_loaded(&self) -> bool {
         self.listing.revision > 0
     }
 
-    /// This directory with what is newer in `news`; `None` if nothing is.
-    pub(super) fn merged(&self, news: News) -> Option<Self> {
+    /// This directory with what is newer in `update`; `None` if nothing is.
+    pub(super) fn apply(&self, update: DirectoryUpdate) -> Option<Self> {
         let mut next = self.clone();
         // A peer may lag behind: its settings must not replace newer ones.
-        let newer = news.rows.into_iter().filter(|(path, row)| {
+        let newer = update.rows.into_iter().filter(|(path, row)| {
             let known = self.listing.rows.get(path);
             known.is_none_or(|known| known.version < row.version)
         });
         let newer: Vec<_> = newer.collect();
-        if !newer.is_empty() || news.revision > self.revision() {
+        if !newer.is_empty() || update.revision > self.revision() {
             let listing = Arc::make_mut(&mut next.listing);
-            listing.revision = listing.revision.max(news.revision);
+            listing.revision = listing.revision.max(update.revision);
             listing.rows.extend(newer.iter().cloned());
         }
         if !newer.is_empty() {
-            next.read_settings();
+            next.parse_settings();
         }
 
-        let instances = news.instances.apply(&self.instances);
+        let instances = update.instances.apply(&self.instances);
         if instances != *self.instances {
             next.history.push_back((self.stamp, self.instances.clone()));
-            if next.history.len() > HISTORY {
+            if next.history.len() > MAX_HISTORY {
                 next.history.pop_front();
             }
             let bytes = serde_json::to_vec(&instances).unwrap_or_default();
@@ -73,7 +73,7 @@
 
     /// What is newer here than revision `revision` and the list `stamp`;
     /// `None` if nothing is.
-    pub(super) fn news(&self, revision: u64, stamp: u64) -> Option<News> {
+    pub(super) fn update_since(&self, revision: u64, stamp: u64) -> Option<DirectoryUpdate> {
         if revision >= self.revision() && stamp == self.stamp {
             return None;
         }
@@ -81,11 +81,11 @@
         let newer = rows.filter(|(_, row)| row.version > revision);
         let before = self.history.iter().find(|(earlier, _)| *earlier == stamp);
         let instances = match before {
-            _ if stamp == self.stamp => Change::Same,
-            Some((_, before)) => Change::between(before, &self.instances),
-            None => Change::All((*self.instances).clone()),
+            _ if stamp == self.stamp => InstancesChange::Same,
+            Some((_, before)) => InstancesChange::between(before, &self.instances),
+            None => InstancesChange::All((*self.instances).clone()),
         };
-        Some(News {
+        Some(DirectoryUpdate {
             instances,
             revision: self.revision(),
             rows: newer
@@ -104,7 +104,7 @@
         self.stamp
     }
 
-    fn read_settings(&mut self) {
+    fn parse_settings(&mut self) {
         let rows = self.listing.rows.iter();
         let rows = rows.filter(|(_, row)| !row.value.is_empty());
         let texts = rows.map(|(path, row)| (path.as_str(), row.value.as_str()));
@@ -121,13 +121,13 @@
     use super::*;
     use crate::table::Row;
 
-    fn news(revision: u64, rows: &[(&str, u64)]) -> News {
+    fn update(revision: u64, rows: &[(&str, u64)]) -> DirectoryUpdate {
         let row = |version: u64| Row {
             value: format!("kind: service # {version}"),
             version,
         };
-        News {
-            instances: Change::Same,
+        DirectoryUpdate {
+            instances: InstancesChange::Same,
             revision,
             rows: rows
                 .iter()
@@ -141,19 +141,19 @@
     /// peer, then asks another that is still at 5. Cause: answers without an
     /// order between peers. Each row's version only grows here.
     #[test]
-    fn a_lagging_peer_reverts_nothing() {
-        let first = Directory::default().merged(news(9, &[("a", 9), ("b", 3)]));
+    fn an_older_update_from_a_peer_reverts_nothing() {
+        let first = Directory::default().apply(update(9, &[("a", 9), ("b", 3)]));
         let first = first.unwrap();
-        assert!(first.merged(news(5, &[("a", 5), ("b", 3)])).is_none());
+        assert!(first.apply(update(5, &[("a", 5), ("b", 3)])).is_none());
         assert_eq!(first.revision(), 9);
     }
 
     #[test]
-    fn news_hold_only_what_is_newer() {
-        let first = Directory::default().merged(news(9, &[("a", 9), ("b", 3)]));
+    fn an_update_holds_only_newer_rows() {
+        let first = Directory::default().apply(update(9, &[("a", 9), ("b", 3)]));
         let first = first.unwrap();
-        let told = first.news(5, first.stamp()).unwrap();
-        assert_eq!(told, news(9, &[("a", 9)]));
-        assert!(first.news(9, first.stamp()).is_none());
+        let received = first.update_since(5, first.stamp()).unwrap();
+        assert_eq!(received, update(9, &[("a", 9)]));
+        assert!(first.update_since(9, first.stamp()).is_none());
     }
 }
--- a/src/entry/news.rs
+++ b/src/entry/directory_update.rs
@@ -15,7 +15,7 @@
 
 /// A change of the list of instances.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(super) enum Change {
+pub(super) enum InstancesChange {
     All(Vec<Instance>),
     Part {
         changed: Vec<Instance>,
@@ -27,14 +27,14 @@
 
 /// What is newer than what the asker has.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(super) struct News {
-    pub(super) instances: Change,
+pub(super) struct DirectoryUpdate {
+    pub(super) instances: InstancesChange,
     /// The table's revision that the rows bring the asker up to.
     pub(super) revision: u64,
     pub(super) rows: BTreeMap<String, Row>,
 }
 
-impl Change {
+impl InstancesChange {
     /// The list after this change of `before`.
     pub(super) fn apply(self, before: &[Instance]) -> Vec<Instance> {
         match self {
@@ -96,7 +96,7 @@
     }
 
     #[test]
-    fn a_change_leads_from_one_list_to_the_other() {
+    fn applying_the_change_between_two_lists_gives_the_second() {
         let lists = [
             list(&[]),
             list(&[("a", 1)]),
@@ -105,7 +105,7 @@
         ];
         for before in &lists {
             for after in &lists {
-                let change = Change::between(before, after);
+                let change = InstancesChange::between(before, after);
                 assert_eq!(change.apply(before), *after);
             }
         }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -1,8 +1,8 @@
 //! How the rollout duty sends samples out.
 
 use super::{
-    rollout::{Rollout, Told, TrainerKey},
-    sample::Maker, //
+    rollout::{Rollout, TaskReport, TrainerKey},
+    sample::Sampler, //
 };
 use crate::{
     base::{Millis, WeightVersion},
@@ -14,18 +14,19 @@
 
 /// Samples sent out beyond what the engines run at once, so that no engine
 /// waits for the next one.
-const AHEAD: f64 = 1.25;
+const DISPATCH_RATIO: f64 = 1.25;
 
 /// The least time that a sample of a step past its deadline gets.
-const LATE_SAMPLE: Millis = Millis(60_000);
+const MIN_SAMPLE_TIME: Millis = Millis(60_000);
 
 impl Rollout {
     /// Sends out samples as far as the engines have room: trainers in turn,
     /// each with its oldest step first.
     pub(super) fn dispatch(&mut self, now: Millis) {
         let pools = self.directory.shared.pools.keys();
-        let mut room: HashMap<String, usize> =
-            pools.map(|pool| (pool.clone(), self.room(pool))).collect();
+        let mut free_slots: HashMap<String, usize> = pools
+            .map(|pool| (pool.clone(), self.free_slots(pool)))
+            .collect();
         let keys: Vec<TrainerKey> = self.trainers.keys().cloned().collect();
         let mut any = true;
         while std::mem::take(&mut any) {
@@ -33,11 +34,14 @@
                 let Some(settings) = self.rollout_settings(&key.0).cloned() else {
                     continue;
                 };
-                let Some(room) = room.get_mut(&settings.pool).filter(|room| **room > 0) else {
+                let Some(free_slots) = free_slots
+                    .get_mut(&settings.pool)
+                    .filter(|free_slots| **free_slots > 0)
+                else {
                     continue;
                 };
                 if self.dispatch_one(key, &settings, now) {
-                    *room -= 1;
+                    *free_slots -= 1;
                     any = true;
                 }
             }
@@ -45,8 +49,8 @@
     }
 
     fn dispatch_one(&mut self, key: &TrainerKey, settings: &RolloutSettings, now: Millis) -> bool {
-        let maker = self.maker(&key.0, settings);
-        let told = self.told.clone();
+        let sampler = self.sampler(&key.0, settings);
+        let reports = self.reports.clone();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return false;
         };
@@ -65,30 +69,30 @@
         };
 
         let spec = &owned.step.spec;
-        let least = WeightVersion(version.0.saturating_sub(spec.staleness));
+        let min_version = WeightVersion(version.0.saturating_sub(spec.staleness));
         let generation = generation(spec, owned.step.group_and_index(sample));
         // An attempt may not outlive its step's deadline, but a step that is
         // late still wants its samples.
-        let deadline = owned.step.deadline().max(now + LATE_SAMPLE);
+        let deadline = owned.step.deadline().max(now + MIN_SAMPLE_TIME);
         let key = key.clone();
         let task = tokio::task::spawn_local(async move {
-            let result = maker.make(generation, least, deadline).await;
-            let made = Told::Made {
+            let result = sampler.sample(generation, min_version, deadline).await;
+            let report = TaskReport::Sample {
                 key,
                 number: sample,
                 result: Box::new(result),
                 step: number,
             };
-            let _ = told.send(made).await;
+            let _ = reports.send(report).await;
         });
         owned.tasks.insert(sample, task);
         true
     }
 
-    fn maker(&self, team: &str, settings: &RolloutSettings) -> Maker {
-        Maker {
+    fn sampler(&self, team: &str, settings: &RolloutSettings) -> Sampler {
+        Sampler {
             clock: self.clock,
-            issue: self.issue.clone(),
+            request_ids: self.request_ids.clone(),
             pool: settings.pool.clone(),
             scorer: settings.scorer.clone(),
             team: team.to_owned(),
@@ -97,7 +101,7 @@
     }
 
     /// How many more samples the engines of `pool` can be given.
-    fn room(&self, pool: &str) -> usize {
+    fn free_slots(&self, pool: &str) -> usize {
         let servers = self.view.pool(pool);
         let capacity: u32 = servers.map(|server| server.report.capacity).sum();
         let steps = self
@@ -109,7 +113,7 @@
             })
             .flat_map(|(_, trainer)| trainer.steps.values());
         let running: usize = steps.map(|step| step.tasks.len()).sum();
-        ((f64::from(capacity) * AHEAD) as usize).saturating_sub(running)
+        ((f64::from(capacity) * DISPATCH_RATIO) as usize).saturating_sub(running)
     }
 }
 
--- a/src/entry/entry_handle.rs
+++ b/src/entry/entry_handle.rs
@@ -6,12 +6,12 @@
     command,
     directory::Directory,
     explain,
-    forward::Forward,
+    forward::Forwarder,
     front,
-    issue::Issue,
     learner,
-    peer_door::{self, Peers},
-    rollout::{self, Seed},
+    peer_server::{self, Peers},
+    request_ids::RequestIds,
+    rollout::{self, RolloutInputs},
     traffic,
     trainer_api::TrainerApi,
     view::View, //
@@ -41,7 +41,7 @@
 }
 
 /// The deliveries that may wait to be told.
-const DELIVERED: usize = 4_096;
+const MAX_QUEUED_DELIVERIES: usize = 4_096;
 
 impl Entry {
     /// Starts an entry.
@@ -50,8 +50,8 @@
         let mut handle = Handle::open(common.drain.bound)?;
         let admin = HttpServer::bind(common.admin, Limits::default())?;
         let callers = HttpServer::bind(settings.callers, Limits::default())?;
-        let (links, door) = duty::bind_listener(common.links)?;
-        let entry = (admin.address, callers.address);
+        let (links, link_listener) = duty::bind_listener(common.links)?;
+        let addresses = (admin.address, callers.address);
         let clock = Clock::open();
         let incarnation = Incarnation::at(clock.now());
         let hello = Hello {
@@ -60,28 +60,28 @@
             key: common.link_key(),
             role: Role::Entry,
         };
-        let issue = Issue::new(clock, incarnation, &common.instance);
-        let forward = Forward {
+        let request_ids = RequestIds::new(clock, incarnation, &common.instance);
+        let forward = Forwarder {
             clock,
             hello: hello.clone(),
         };
-        let (traffic_ring, commands) = mpsc::channel(command::RING);
-        let (rollout_ring, questions) = mpsc::channel(rollout::RING);
-        let (delivered_ring, delivered) = mpsc::channel(DELIVERED);
-        let (directory_sender, directory) = watch::channel(Arc::new(Directory::default()));
-        let (view_sender, view) = watch::channel(Arc::new(View::default()));
-        let (claim_ring, claims) = mpsc::channel(claimer::RING);
+        let (traffic_tx, commands) = mpsc::channel(command::MAX_QUEUED_COMMANDS);
+        let (rollout_tx, requests) = mpsc::channel(rollout::MAX_QUEUED_REQUESTS);
+        let (delivered_tx, delivered) = mpsc::channel(MAX_QUEUED_DELIVERIES);
+        let (directory_tx, directory) = watch::channel(Arc::new(Directory::default()));
+        let (view_tx, view) = watch::channel(Arc::new(View::default()));
+        let (claim_tx, claims) = mpsc::channel(claimer::MAX_QUEUED_CLAIMS);
         let app = AppApi {
-            claims: claim_ring,
+            claims: claim_tx,
             clock,
-            delivered: delivered_ring,
+            delivered: delivered_tx,
             directory: directory.clone(),
-            issue: issue.clone(),
-            traffic: traffic_ring.clone(),
+            request_ids: request_ids.clone(),
+            traffic: traffic_tx.clone(),
         };
         let trainers = TrainerApi {
             forward: forward.clone(),
-            rollout: rollout_ring,
+            rollout: rollout_tx,
         };
         let peers = Peers {
             directory: directory.clone(),
@@ -95,41 +95,41 @@
         };
         tracing::info!(
             instance = common.instance,
-            callers = %entry.1,
+            callers = %addresses.1,
             links = %links,
-            admin = %entry.0,
+            admin = %addresses.0,
             "entry up"
         );
 
         let supervisor = handle.supervisor().clone();
         let leave = common.drain.leave;
-        let traffic = traffic::Seed {
+        let traffic = traffic::TrafficInputs {
             commands,
             directory: directory.clone(),
             hello,
-            issue: issue.clone(),
+            request_ids: request_ids.clone(),
             settings: settings.clone(),
-            view: view_sender,
+            view: view_tx,
         };
         handle.add(traffic.spawn(&supervisor)?);
         handle.add(duty::spawn("learner", &supervisor, {
             let settings = settings.clone();
-            move |context| learner::run(context, settings, forward, directory_sender)
+            move |context| learner::run(context, settings, forward, directory_tx)
         })?);
         handle.add(duty::spawn("claims", &supervisor, {
             let (platform, instance) = (common.platform, common.instance.clone());
             move |context| claimer::run(context, platform, instance, claims)
         })?);
         handle.add(duty::spawn("peers", &supervisor, move |context| {
-            peer_door::run(context, door, peers)
+            peer_server::run(context, link_listener, peers)
         })?);
-        let rollout = Seed {
+        let rollout = RolloutInputs {
             clock,
-            issue,
+            request_ids,
             me,
             platform: settings.common.platform,
-            questions,
-            traffic: traffic_ring.clone(),
+            requests,
+            traffic: traffic_tx.clone(),
         };
         handle.add(rollout.spawn(&supervisor, directory.clone(), view)?);
         handle.add(duty::spawn("front", &supervisor, move |context| {
@@ -137,12 +137,12 @@
         })?);
         let health = handle.health();
         handle.add(duty::spawn("admin", &supervisor, move |context| {
-            let ready = move || directory.borrow().is_known();
-            duty::admin(context, admin, health, ready, explain::route(traffic_ring))
+            let ready = move || directory.borrow().is_loaded();
+            duty::admin(context, admin, health, ready, explain::routes(traffic_tx))
         })?);
         Ok(Self {
-            admin: entry.0,
-            callers: entry.1,
+            admin: addresses.0,
+            callers: addresses.1,
             handle,
             links,
         })
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -22,20 +22,20 @@
 };
 
 /// One agent's part in an open question.
-pub(super) struct Asked {
-    question: Rc<RefCell<Question>>,
-    until: Millis,
+pub(super) struct PendingQuery {
+    explanation: Rc<RefCell<OpenExplanation>>,
+    expires: Millis,
 }
 
-struct Question {
+struct OpenExplanation {
     agents: Vec<Account>,
     entry: Option<Account>,
-    open: usize,
+    unanswered: usize,
     reply: Option<oneshot::Sender<Result<Explanation, Failure>>>,
 }
 
 /// How long agents' answers are waited for.
-const WAIT: Millis = Millis(500);
+const AGENT_TIMEOUT: Millis = Millis(500);
 
 impl Traffic {
     /// Begins to find out what became of `request`.
@@ -44,44 +44,44 @@
         request: RequestId,
         reply: oneshot::Sender<Result<Explanation, Failure>>,
     ) {
-        if self.issue.is_forged(request) {
+        if self.request_ids.is_forged(request) {
             let detail = format!("this entry never issued `{request}`");
             let _ = reply.send(Err(Failure::not_run(Cause::NotFound, detail)));
             return;
         }
         let entry = self.ledger.account(request).cloned();
-        let question = Rc::new(RefCell::new(Question {
+        let explanation = Rc::new(RefCell::new(OpenExplanation {
             agents: Vec::new(),
-            open: 0,
+            unanswered: 0,
             reply: Some(reply),
             entry,
         }));
-        self.ask_agents(request, &question);
-        settle(&question);
+        self.ask_agents(request, &explanation);
+        reply_if_complete(&explanation);
     }
 
     /// An agent's answer to a question.
     pub(super) fn on_account(&mut self, slot: Slot, account: Option<Account>) {
-        if let Some(asked) = self.queries.remove(&slot) {
-            let mut question = asked.question.borrow_mut();
-            question.agents.extend(account);
-            question.open -= 1;
-            drop(question);
-            settle(&asked.question);
+        if let Some(query) = self.queries.remove(&slot) {
+            let mut explanation = query.explanation.borrow_mut();
+            explanation.agents.extend(account);
+            explanation.unanswered -= 1;
+            drop(explanation);
+            reply_if_complete(&query.explanation);
         }
     }
 
     /// Answers the questions whose agents stay silent without them.
     pub(super) fn expire_queries(&mut self, now: Millis) {
-        for (_, asked) in self.queries.extract_if(|_, asked| asked.until <= now) {
-            asked.question.borrow_mut().open -= 1;
-            settle(&asked.question);
+        for (_, query) in self.queries.extract_if(|_, query| query.expires <= now) {
+            query.explanation.borrow_mut().unanswered -= 1;
+            reply_if_complete(&query.explanation);
         }
     }
 
     /// Asks the agents that had the request, or all when that isn't known.
-    fn ask_agents(&mut self, request: RequestId, question: &Rc<RefCell<Question>>) {
-        let routed: Option<Vec<String>> = question.borrow().entry.as_ref().map(|account| {
+    fn ask_agents(&mut self, request: RequestId, explanation: &Rc<RefCell<OpenExplanation>>) {
+        let routed: Option<Vec<String>> = explanation.borrow().entry.as_ref().map(|account| {
             let events = account.events.iter();
             let servers = events.filter_map(|(_, event)| match event {
                 Event::Routed { server, .. } => Some(server.clone()),
@@ -99,33 +99,33 @@
             .filter_map(|server| server.link.clone())
             .collect();
         for link in links {
-            let slot = self.fresh_slot();
+            let slot = self.next_slot();
             if link.try_send(ToAgent::Query { slot, request }) {
-                question.borrow_mut().open += 1;
-                let asked = Asked {
-                    question: question.clone(),
-                    until: self.context.clock.now() + WAIT,
+                explanation.borrow_mut().unanswered += 1;
+                let query = PendingQuery {
+                    explanation: explanation.clone(),
+                    expires: self.context.clock.now() + AGENT_TIMEOUT,
                 };
-                self.queries.insert(slot, asked);
+                self.queries.insert(slot, query);
             }
         }
     }
 }
 
 /// Answers a question to which all agents have answered.
-fn settle(question: &Rc<RefCell<Question>>) {
-    let mut question = question.borrow_mut();
-    if question.open > 0 {
+fn reply_if_complete(explanation: &Rc<RefCell<OpenExplanation>>) {
+    let mut explanation = explanation.borrow_mut();
+    if explanation.unanswered > 0 {
         return;
     }
-    if let Some(reply) = question.reply.take() {
-        let agents = std::mem::take(&mut question.agents);
-        let _ = reply.send(Ok(conclude(question.entry.take(), agents)));
+    if let Some(reply) = explanation.reply.take() {
+        let agents = std::mem::take(&mut explanation.agents);
+        let _ = reply.send(Ok(conclude(explanation.entry.take(), agents)));
     }
 }
 
 /// The entry's own routes on the operators' HTTP.
-pub(super) fn route(traffic: mpsc::Sender<Command>) -> Route {
+pub(super) fn routes(traffic: mpsc::Sender<Command>) -> Route {
     Arc::new(move |request| {
         let traffic = traffic.clone();
         let path = request.uri().path().to_owned();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -32,7 +32,7 @@
 
 /// What is needed to open a link to another entry.
 #[derive(Clone)]
-pub(super) struct Forward {
+pub(super) struct Forwarder {
     pub(super) clock: Clock,
     pub(super) hello: Hello,
 }
@@ -41,12 +41,12 @@
 const SLOT: Slot = Slot(1);
 
 /// The messages that may wait on that connection.
-const RING: usize = 64;
+const MAX_QUEUED_EVENTS: usize = 64;
 
 /// Questions are held for long while nothing is new, so their connections
 /// beat slowly; a silent end is found in time for settings to be learned
 /// elsewhere within 8 s.
-pub(super) const TUNING: LinkTuning = LinkTuning {
+pub(super) const PEER_LINK_TUNING: LinkTuning = LinkTuning {
     beat: Millis(2_500),
     silence: Millis(6_000),
 };
@@ -56,12 +56,12 @@
 
 /// Asks the entry at `peer` for `path`.
 pub(super) async fn get(
-    forward: &Forward,
+    forward: &Forwarder,
     peer: SocketAddr,
     path: &str,
-    wait: Millis,
+    time_limit: Millis,
 ) -> Result<Bytes, Failure> {
-    let (status, body) = send(forward, peer, "GET", path, Bytes::new(), wait).await?;
+    let (status, body) = send(forward, peer, "GET", path, Bytes::new(), time_limit).await?;
     match status {
         StatusCode::OK => Ok(body),
         _ => Err(Failure::not_run(Cause::Unknown, status.to_string())),
@@ -70,12 +70,12 @@
 
 /// Sends a request with a whole body and reads the whole answer.
 pub(super) async fn send(
-    forward: &Forward,
+    forward: &Forwarder,
     peer: SocketAddr,
     method: &str,
     path: &str,
     body: Bytes,
-    wait: Millis,
+    time_limit: Millis,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let connected = timeout(Millis(1_000).as_duration(), TcpStream::connect(peer)).await;
     let Ok(Ok(stream)) = connected else {
@@ -86,33 +86,35 @@
         .await
         .map_err(|error| Failure::not_run(Cause::LinkLost, error.to_string()))?;
 
-    let (inbox, mut events) = mpsc::channel(RING);
-    let link = run_link(opened, (), inbox, TUNING);
+    let (inbox, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let link = run_link(opened, (), inbox, PEER_LINK_TUNING);
     let exchange = async {
         let Some(LinkEvent::Up { sender, .. }) = events.recv().await else {
-            return Err(lost());
+            return Err(incomplete_answer());
         };
-        sender.send(start(forward, method, path, body, wait)).await;
-        answer(&sender, &mut events).await
+        sender
+            .send(start_message(forward, method, path, body, time_limit))
+            .await;
+        receive_answer(&sender, &mut events).await
     };
-    let both = async {
+    let exchange_on_link = async {
         tokio::select! {
             answer = exchange => answer,
-            () = link => Err(lost()),
+            () = link => Err(incomplete_answer()),
         }
     };
-    match timeout(wait.as_duration(), both).await {
+    match timeout(time_limit.as_duration(), exchange_on_link).await {
         Ok(answer) => answer,
-        Err(_) => Err(lost()),
+        Err(_) => Err(incomplete_answer()),
     }
 }
 
-async fn answer(
+async fn receive_answer(
     link: &Link<ToAgent>,
     events: &mut mpsc::Receiver<LinkEvent<(), FromAgent, ToAgent>>,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let mut body = BytesMut::new();
-    let mut code = StatusCode::INTERNAL_SERVER_ERROR;
+    let mut status_code = StatusCode::INTERNAL_SERVER_ERROR;
     while let Some(event) = events.recv().await {
         let LinkEvent::Message { message, .. } = event else {
             break;
@@ -129,22 +131,28 @@
                 };
                 link.send(credit).await;
             }
-            FromAgent::End { .. } => return Ok((code, body.freeze())),
+            FromAgent::End { .. } => return Ok((status_code, body.freeze())),
             FromAgent::Failed { failure, .. } => return Err(failure),
             FromAgent::Head { status, .. } => {
-                code = StatusCode::from_u16(status).unwrap_or(code);
+                status_code = StatusCode::from_u16(status).unwrap_or(status_code);
             }
             _ => {}
         }
     }
-    Err(lost())
+    Err(incomplete_answer())
 }
 
-fn lost() -> Failure {
+fn incomplete_answer() -> Failure {
     Failure::may_have_run(Cause::LinkLost, "the other entry gave no whole answer")
 }
 
-fn start(forward: &Forward, method: &str, path: &str, body: Bytes, budget: Millis) -> ToAgent {
+fn start_message(
+    forward: &Forwarder,
+    method: &str,
+    path: &str,
+    body: Bytes,
+    budget: Millis,
+) -> ToAgent {
     let request = RequestId {
         incarnation: Incarnation::at(forward.clock.now()),
         issuer: Issuer::of(&forward.hello.instance),
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -20,13 +20,13 @@
 use tokio::sync::mpsc;
 
 /// The bytes of a trainer's request: a step of 2,048 prompts of 8 KB.
-const TRAINER_BODY: usize = 16 * 1024 * 1024;
+const MAX_TRAINER_BODY: usize = 16 * 1024 * 1024;
 
 /// How long a trainer's request may take to arrive.
-const TRAINER_TIME: Millis = Millis(30_000);
+const TRAINER_BODY_TIMEOUT: Millis = Millis(30_000);
 
 /// Deliveries told to the traffic duty at once.
-const BATCH: usize = 128;
+const MAX_DELIVERY_BATCH: usize = 128;
 
 /// Serves until the program has drained.
 pub(super) async fn run(
@@ -37,7 +37,7 @@
     trainers: TrainerApi,
     delivered: mpsc::Receiver<RequestId>,
 ) {
-    tokio::spawn(tell_delivered(delivered, app.traffic.clone()));
+    tokio::spawn(report_deliveries(delivered, app.traffic.clone()));
     server
         .serve(&context, leave, move |request| {
             let (app, trainers) = (app.clone(), trainers.clone());
@@ -54,16 +54,16 @@
         return app.handle(request).await;
     }
     if path.starts_with("/v1/teams/") {
-        return trainer(trainers, request).await;
+        return answer_trainer(trainers, request).await;
     }
     let detail = format!("no such resource: `{path}`");
     problem(&Failure::not_run(Cause::NotFound, detail), None)
 }
 
-async fn trainer(api: TrainerApi, request: Request<Incoming>) -> Answer {
+async fn answer_trainer(api: TrainerApi, request: Request<Incoming>) -> Answer {
     let (parts, body) = request.into_parts();
-    let gathered = Limited::new(body, TRAINER_BODY).collect();
-    let body = match tokio::time::timeout(TRAINER_TIME.as_duration(), gathered).await {
+    let gathered = Limited::new(body, MAX_TRAINER_BODY).collect();
+    let body = match tokio::time::timeout(TRAINER_BODY_TIMEOUT.as_duration(), gathered).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             let failure = Failure::not_run(Cause::TooLarge, error.to_string());
@@ -83,11 +83,14 @@
     text(status, kind, body)
 }
 
-async fn tell_delivered(mut delivered: mpsc::Receiver<RequestId>, traffic: mpsc::Sender<Command>) {
-    let mut batch = Vec::with_capacity(BATCH);
-    while delivered.recv_many(&mut batch, BATCH).await > 0 {
-        let told = std::mem::take(&mut batch);
-        if traffic.send(Command::Delivered(told)).await.is_err() {
+async fn report_deliveries(
+    mut delivered: mpsc::Receiver<RequestId>,
+    traffic: mpsc::Sender<Command>,
+) {
+    let mut batch = Vec::with_capacity(MAX_DELIVERY_BATCH);
+    while delivered.recv_many(&mut batch, MAX_DELIVERY_BATCH).await > 0 {
+        let requests = std::mem::take(&mut batch);
+        if traffic.send(Command::Delivered(requests)).await.is_err() {
             return;
         }
     }
--- a/src/entry/learner.rs
+++ b/src/entry/learner.rs
@@ -2,8 +2,8 @@
 
 use super::{
     directory::Directory,
-    forward::{self, Forward},
-    news::{Change, News}, //
+    directory_update::{DirectoryUpdate, InstancesChange}, //
+    forward::{self, Forwarder},
 };
 use crate::{
     base::{Millis, stable_hash},
@@ -20,22 +20,22 @@
 
 /// The entries that read the platform. All others learn from these, so that
 /// the platform's reads don't grow with the fleet.
-const READERS: usize = 24;
+const READER_COUNT: usize = 24;
 
 /// How often a reader reads, and the wait after a failure.
-const READ: Millis = Millis(1_000);
+const READ_INTERVAL: Millis = Millis(1_000);
 
 /// How long a reader holds a peer's question while nothing is new.
-pub(super) const HOLD: Millis = Millis(20_000);
+pub(super) const LONG_POLL_TIMEOUT: Millis = Millis(20_000);
 
 /// The path of the question to a reader.
-pub(super) const PATH: &str = "/internal/directory";
+pub(super) const DIRECTORY_PATH: &str = "/internal/directory";
 
 /// Learns until the program stops.
 pub(super) async fn run(
     context: Context,
     settings: EntrySettings,
-    forward: Forward,
+    forward: Forwarder,
     directory: watch::Sender<Arc<Directory>>,
 ) {
     context.drained();
@@ -43,27 +43,27 @@
     let mut failed = 0;
     let mut tags = (Tag::default(), Tag::default());
     loop {
-        let known = directory.borrow().clone();
-        let peer = peer(&settings, &known, failed);
-        let learned = tokio::select! {
-            learned = learn(&platform, &forward, &known, peer, &mut tags) => learned,
+        let current = directory.borrow().clone();
+        let peer = choose_peer(&settings, &current, failed);
+        let fetched = tokio::select! {
+            fetched = fetch_update(&platform, &forward, &current, peer, &mut tags) => fetched,
             () = context.reached(Phase::Stopped) => return,
         };
-        let told = learned.is_some() && peer.is_some();
-        match learned {
-            Some(news) => {
+        let was_long_poll = fetched.is_some() && peer.is_some();
+        match fetched {
+            Some(update) => {
                 failed = 0;
-                take(&directory, &known, news, peer);
+                apply_update(&directory, &current, update, peer);
             }
             None => failed += 1,
         }
-        if told {
+        if was_long_poll {
             continue;
         }
         // Without a share of its own each, all would ask at the same moment.
         let name = settings.common.instance.as_bytes();
-        let jitter = stable_hash(&[name, &context.clock.micros().to_le_bytes()]) % READ.0;
-        let wait = Millis(READ.0 / 2 + jitter);
+        let jitter = stable_hash(&[name, &context.clock.micros().to_le_bytes()]) % READ_INTERVAL.0;
+        let wait = Millis(READ_INTERVAL.0 / 2 + jitter);
         tokio::select! {
             () = tokio::time::sleep(wait.as_duration()) => {}
             () = context.reached(Phase::Stopped) => return,
@@ -71,27 +71,29 @@
     }
 }
 
-async fn learn(
+async fn fetch_update(
     platform: &Platform,
-    forward: &Forward,
-    known: &Directory,
+    forward: &Forwarder,
+    current: &Directory,
     peer: Option<SocketAddr>,
     tags: &mut (Tag, Tag),
-) -> Option<News> {
+) -> Option<DirectoryUpdate> {
     if let Some(peer) = peer {
-        let (revision, stamp) = (known.revision(), known.stamp());
-        let path = format!("{PATH}?revision={revision}&stamp={stamp}");
-        let answer = forward::get(forward, peer, &path, HOLD + READ).await.ok()?;
+        let (revision, stamp) = (current.revision(), current.stamp());
+        let path = format!("{DIRECTORY_PATH}?revision={revision}&stamp={stamp}");
+        let answer = forward::get(forward, peer, &path, LONG_POLL_TIMEOUT + READ_INTERVAL)
+            .await
+            .ok()?;
         return serde_json::from_slice(&answer).ok();
     }
     let listing = platform.list(ROOT, &mut tags.0).await.ok()?;
     let instances = platform.instances(&mut tags.1).await.ok()?;
-    let instances = instances.map_or(Change::Same, |mut list| {
+    let instances = instances.map_or(InstancesChange::Same, |mut list| {
         list.sort_by(|a, b| a.name.cmp(&b.name));
-        Change::All(list)
+        InstancesChange::All(list)
     });
     let listing = listing.unwrap_or_default();
-    Some(News {
+    Some(DirectoryUpdate {
         instances,
         revision: listing.revision,
         rows: listing.rows,
@@ -102,35 +104,40 @@
 ///
 /// Readers ask the platform, and a peer while it fails. The others ask the
 /// readers in turn, and the platform when all of them failed.
-fn peer(settings: &EntrySettings, known: &Directory, failed: usize) -> Option<SocketAddr> {
-    let me = &settings.common.instance;
-    let entries = || known.instances.iter().filter(|one| one.pool.is_none());
-    let names = entries().map(|one| one.name.as_str());
-    let readers = subset::choose("directory", names, READERS);
+fn choose_peer(settings: &EntrySettings, current: &Directory, failed: usize) -> Option<SocketAddr> {
+    let own_name = &settings.common.instance;
+    let entries = || {
+        current
+            .instances
+            .iter()
+            .filter(|entry| entry.pool.is_none())
+    };
+    let names = entries().map(|entry| entry.name.as_str());
+    let readers = subset::choose("directory", names, READER_COUNT);
     let mut peers: Vec<SocketAddr> = entries()
-        .filter(|one| readers.contains(&one.name.as_str()) && one.name != *me)
-        .map(|one| one.links)
+        .filter(|entry| readers.contains(&entry.name.as_str()) && entry.name != *own_name)
+        .map(|entry| entry.links)
         .collect();
     if peers.is_empty() {
         peers.clone_from(&settings.peers);
     }
 
-    let reads = readers.is_empty() || readers.contains(&me.as_str());
+    let is_reader = readers.is_empty() || readers.contains(&own_name.as_str());
     // The platform's place among those asked in turn: first for a reader.
     let turn = failed % (peers.len() + 1);
-    match reads {
-        true => turn.checked_sub(1).map(|at| peers[at]),
+    match is_reader {
+        true => turn.checked_sub(1).map(|index| peers[index]),
         false => peers.get(turn).copied(),
     }
 }
 
-fn take(
+fn apply_update(
     directory: &watch::Sender<Arc<Directory>>,
-    known: &Directory,
-    news: News,
+    current: &Directory,
+    update: DirectoryUpdate,
     peer: Option<SocketAddr>,
 ) {
-    let Some(next) = known.merged(news) else {
+    let Some(next) = current.apply(update) else {
         return;
     };
     tracing::info!(
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -24,7 +24,7 @@
 impl Traffic {
     /// Follows the platform's list: links to the chosen subset of each pool.
     pub(super) fn on_directory(&mut self, directory: &Directory) {
-        let wanted = self.wanted(&directory.instances);
+        let wanted = self.chosen_instances(&directory.instances);
         for server in self.servers.values_mut() {
             match wanted.get(server.instance.name.as_str()) {
                 Some(instance) if instance.links == server.instance.links => {
@@ -45,10 +45,10 @@
                 self.add_server(instance.clone());
             }
         }
-        self.drop_unlisted();
+        self.remove_unlisted();
     }
 
-    fn wanted<'a>(&self, instances: &'a [Instance]) -> BTreeMap<&'a str, &'a Instance> {
+    fn chosen_instances<'a>(&self, instances: &'a [Instance]) -> BTreeMap<&'a str, &'a Instance> {
         let mut pools: BTreeMap<&str, Vec<&Instance>> = BTreeMap::new();
         for instance in instances {
             if let Some(pool) = &instance.pool {
@@ -74,7 +74,12 @@
         let (hello, inbox) = (self.hello.clone(), self.inbox.clone());
         let distance = self.settings.distance(&instance.data_centre);
         self.servers.insert_with_key(|key| Server {
-            dialer: tokio::task::spawn_local(dialer::dial(key, instance.links, hello, inbox)),
+            dialer: tokio::task::spawn_local(dialer::maintain_link(
+                key,
+                instance.links,
+                hello,
+                inbox,
+            )),
             distance,
             health: CircuitBreaker::default(),
             in_flight: 0,
@@ -83,14 +88,14 @@
             listed: true,
             latency: Latency::default(),
             report: Report::default(),
-            reported: Millis(0),
-            reported_mine: 0,
+            reported_at: Millis(0),
+            own_at_report: 0,
         });
     }
 
     /// Lets go of servers that the platform no longer lists, once nothing
     /// of ours runs there.
-    pub(super) fn drop_unlisted(&mut self) {
+    pub(super) fn remove_unlisted(&mut self) {
         self.servers.retain(|_, server| {
             let keep = server.listed || server.in_flight > 0;
             if !keep {
--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -3,7 +3,7 @@
 use super::{
     call::{AttemptKey, Call, CallKey},
     command::Reply,
-    server::{ServerKey, UNKNOWN},
+    server::{DEFAULT_LATENCY_MS, ServerKey},
     traffic::Traffic, //
 };
 use crate::{
@@ -19,12 +19,12 @@
 
 /// How long after a deadline the agent's own word on it is waited for. Only
 /// the agent can say that a request did not run.
-const GRACE: Millis = Millis(150);
+const AGENT_GRACE: Millis = Millis(150);
 
 impl Traffic {
     /// An answer that belongs to a call under way.
-    pub(super) fn on_answer(&mut self, key: AttemptKey, call: CallKey, message: FromAgent) {
-        let taken = match message {
+    pub(super) fn on_call_message(&mut self, key: AttemptKey, call: CallKey, message: FromAgent) {
+        let delivered = match message {
             FromAgent::Credit { bytes, .. } => self.reply_to(call, Reply::Credit(bytes)),
             FromAgent::Data { bytes, .. } => self.reply_to(call, Reply::Data(bytes)),
             FromAgent::End { finish, .. } => {
@@ -53,13 +53,13 @@
             }
             FromAgent::Account { .. } | FromAgent::Ordered { .. } | FromAgent::Report(_) => true,
         };
-        if !taken {
+        if !delivered {
             self.abandon(call);
         }
     }
 
     /// A link is gone: every request on it is settled by its verdict.
-    pub(super) fn on_down(&mut self, server: ServerKey, reason: &'static str) {
+    pub(super) fn on_link_down(&mut self, server: ServerKey, reason: &'static str) {
         let now = self.context.clock.now();
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -73,7 +73,7 @@
         let lost: Vec<AttemptKey> = self
             .attempts
             .iter()
-            .filter(|(_, handover)| handover.server == server)
+            .filter(|(_, attempt)| attempt.server == server)
             .map(|(key, _)| key)
             .collect();
         for key in lost {
@@ -91,26 +91,26 @@
     /// An attempt is over without a whole answer.
     pub(super) fn fail_attempt(&mut self, key: AttemptKey, failure: Failure) {
         let now = self.context.clock.now();
-        let Some(handover) = self.end_attempt(key) else {
+        let Some(attempt) = self.end_attempt(key) else {
             return;
         };
-        self.judge(handover.server, &failure, now);
-        let Some(call) = self.calls.get_mut(handover.call) else {
+        self.record_server_failure(attempt.server, &failure, now);
+        let Some(call) = self.calls.get_mut(attempt.call) else {
             return;
         };
         call.current = None;
-        call.in_doubt |= failure.verdict.may_have_run();
-        call.tried.push(handover.server);
+        call.may_have_run |= failure.verdict.may_have_run();
+        call.tried.push(attempt.server);
 
         let decision = match self.settings.policy {
-            Policy::Baseline => retry::decide_baseline(now, call.attempt(), &failure),
-            Policy::Current => retry::decide(now, call.attempt(), &failure),
+            Policy::Baseline => retry::decide_baseline(now, call.retry_input(), &failure),
+            Policy::Current => retry::decide(now, call.retry_input(), &failure),
         };
-        let pool = (call.new.team.clone(), call.new.pool.clone());
-        let share = call.new.retry_share as f64 / 100.0;
+        let pool = (call.spec.team.clone(), call.spec.pool.clone());
+        let share = call.spec.retry_share as f64 / 100.0;
         let decision = match decision {
             Decision::Retry { paid: true, .. } => {
-                let budget = self.budgets.entry(pool);
+                let budget = self.retry_budgets.entry(pool);
                 match budget.or_insert_with(|| RetryBudget::new(share)).spend() {
                     true => decision,
                     false => Decision::GiveUp,
@@ -120,9 +120,9 @@
         };
         tracing::info!(
             target: "decision",
-            request = %call.new.request,
-            team = call.new.team,
-            class = call.new.class,
+            request = %call.spec.request,
+            team = call.spec.team,
+            class = call.spec.class,
             cause = failure.cause.word(),
             verdict = ?failure.verdict,
             attempts = call.attempts,
@@ -130,41 +130,41 @@
             "attempt failed"
         );
         match decision {
-            Decision::GiveUp => self.give_up(handover.call, failure),
+            Decision::GiveUp => self.fail_call(attempt.call, failure),
             Decision::Retry { wait, .. } => {
                 let event = Event::Retried {
                     cause: failure.cause,
                     verdict: failure.verdict,
                 };
-                self.ledger.note(now, call.new.request, event);
-                call.drop_uncertain();
+                self.ledger.note(now, call.spec.request, event);
+                call.drop_unconfirmed();
                 call.next_try = now + wait;
                 if wait == Millis(0) {
-                    self.route(handover.call);
+                    self.route(attempt.call);
                 }
             }
         }
     }
 
     /// The call ends with `failure`, told at once.
-    pub(super) fn give_up(&mut self, key: CallKey, mut failure: Failure) {
+    pub(super) fn fail_call(&mut self, key: CallKey, mut failure: Failure) {
         let now = self.context.clock.now();
         let Some(call) = self.remove(key) else {
             return;
         };
-        if call.in_doubt && failure.verdict == Verdict::NotRun {
+        if call.may_have_run && failure.verdict == Verdict::NotRun {
             // The last attempt did not run, but an earlier one may have.
             failure.verdict = Verdict::MayHaveRun;
         }
         let (cause, verdict) = (failure.cause, failure.verdict);
         let event = Event::Failed { cause, verdict };
-        self.ledger.note(now, call.new.request, event);
+        self.ledger.note(now, call.spec.request, event);
         metrics::counter!("redwing_calls_failed_total", "cause" => cause.word()).increment(1);
         call.reply(Reply::Failed(failure));
     }
 
     /// Notes that callers' connections were handed whole answers.
-    pub(super) fn note_delivered(&mut self, requests: &[RequestId]) {
+    pub(super) fn record_delivered(&mut self, requests: &[RequestId]) {
         let now = self.context.clock.now();
         for request in requests {
             self.ledger.note(now, *request, Event::Delivered);
@@ -172,26 +172,26 @@
     }
 
     /// Looks at every call: callers gone, deadlines passed, waits over.
-    pub(super) fn sweep(&mut self, now: Millis) {
+    pub(super) fn check_calls(&mut self, now: Millis) {
         let keys: Vec<CallKey> = self.calls.keys().collect();
         for key in keys {
             let Some(call) = self.calls.get(key) else {
                 continue;
             };
-            if call.new.reply.is_closed() {
+            if call.spec.reply.is_closed() {
                 self.abandon(key);
                 continue;
             }
             match call.current {
-                None if now >= call.new.deadline => {
+                None if now >= call.spec.deadline => {
                     let detail = "the deadline passed before a server took the call";
-                    self.give_up(key, Failure::not_run(Cause::DeadlinePassed, detail));
+                    self.fail_call(key, Failure::not_run(Cause::DeadlinePassed, detail));
                 }
                 None if now >= call.next_try => self.route(key),
-                Some(_) if now >= call.new.deadline + GRACE => {
+                Some(_) if now >= call.spec.deadline + AGENT_GRACE => {
                     self.cancel(key);
                     let detail = "the deadline passed and the agent said nothing";
-                    self.give_up(key, Failure::may_have_run(Cause::DeadlinePassed, detail));
+                    self.fail_call(key, Failure::may_have_run(Cause::DeadlinePassed, detail));
                 }
                 Some(_) | None => {}
             }
@@ -202,36 +202,38 @@
     fn abandon(&mut self, key: CallKey) {
         self.cancel(key);
         let detail = "the caller is gone";
-        self.give_up(key, Failure::may_have_run(Cause::Cancelled, detail));
+        self.fail_call(key, Failure::may_have_run(Cause::Cancelled, detail));
     }
 
     fn cancel(&mut self, key: CallKey) {
         if let Some(call) = self.calls.get(key) {
-            self.to_current(call.new.request, |slot: Slot| ToAgent::Cancel { slot });
+            self.send_to_current(call.spec.request, |slot: Slot| ToAgent::Cancel { slot });
         }
     }
 
-    fn end_attempt(&mut self, key: AttemptKey) -> Option<super::call::Handover> {
-        let handover = self.attempts.remove(key)?;
-        if let Some(server) = self.servers.get_mut(handover.server) {
+    fn end_attempt(&mut self, key: AttemptKey) -> Option<super::call::OpenAttempt> {
+        let attempt = self.attempts.remove(key)?;
+        if let Some(server) = self.servers.get_mut(attempt.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
         }
-        Some(handover)
+        Some(attempt)
     }
 
     fn finish(&mut self, key: AttemptKey, call: CallKey, end: Reply) {
         let now = self.context.clock.now();
-        let handover = self.end_attempt(key);
+        let attempt = self.end_attempt(key);
         let Some(call) = self.remove(call) else {
             return;
         };
-        if let Some(handover) = handover
-            && let Some(server) = self.servers.get_mut(handover.server)
+        if let Some(attempt) = attempt
+            && let Some(server) = self.servers.get_mut(attempt.server)
         {
             server.health.record_success();
-            server.latency.note(now, UNKNOWN, call.taken(handover, now));
+            server
+                .latency
+                .note(now, DEFAULT_LATENCY_MS, call.scaled_duration(attempt, now));
         }
-        let request = call.new.request;
+        let request = call.spec.request;
         if let Some(model) = call.model() {
             let model = model.to_owned();
             let spans = call.spans.clone();
@@ -240,15 +242,15 @@
         }
         self.ledger.note(now, request, Event::Finished);
         metrics::counter!("redwing_calls_finished_total").increment(1);
-        let pool = (call.new.team.clone(), call.new.pool.clone());
-        if let Some(budget) = self.budgets.get_mut(&pool) {
+        let pool = (call.spec.team.clone(), call.spec.pool.clone());
+        if let Some(budget) = self.retry_budgets.get_mut(&pool) {
             budget.record_success();
         }
         call.reply(end);
     }
 
     /// Lets a failure count against the server, if it is the server's fault.
-    fn judge(&mut self, server: ServerKey, failure: &Failure, now: Millis) {
+    fn record_server_failure(&mut self, server: ServerKey, failure: &Failure, now: Millis) {
         let at_fault = matches!(
             failure.cause,
             Cause::BackendBroken | Cause::BackendUnreachable | Cause::VersionUncertain
@@ -268,8 +270,8 @@
 
     fn remove(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(key)?;
-        self.ids.remove(&call.new.request);
-        self.admission.release(&call.new.team, &call.new.class);
+        self.call_keys.remove(&call.spec.request);
+        self.admission.release(&call.spec.team, &call.spec.class);
         if let Some(attempt) = call.current
             && !attempt.is_null()
         {
--- a/src/entry/owned_step.rs
+++ b/src/entry/owned_step.rs
@@ -1,6 +1,6 @@
 //! A step that this entry owns: its state, its attempts and its open fetches.
 
-use super::rollout::Asked;
+use super::rollout::TrainerReply;
 use crate::{
     base::{Millis, WeightVersion},
     policy::{
@@ -21,8 +21,8 @@
 /// A fetch that waits for finished groups.
 pub(super) struct Fetch {
     pub(super) have: Bitmap,
-    pub(super) reply: oneshot::Sender<Asked>,
-    pub(super) until: Millis,
+    pub(super) reply: oneshot::Sender<TrainerReply>,
+    pub(super) deadline: Millis,
     pub(super) version: WeightVersion,
 }
 
@@ -35,8 +35,8 @@
 }
 
 /// The groups and the bytes of text handed out by one fetch.
-const MOST_GROUPS: usize = 64;
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+const MAX_FETCH_GROUPS: usize = 64;
+const MAX_FETCH_BYTES: usize = 4 * 1024 * 1024;
 
 impl OwnedStep {
     pub(super) fn new(step: Step) -> Self {
@@ -59,9 +59,9 @@
         }
         let fetched = self
             .step
-            .fetch(now, &fetch.have, fetch.version, MOST_GROUPS);
+            .fetch(now, &fetch.have, fetch.version, MAX_FETCH_GROUPS);
         let nothing = fetched.groups.is_empty() && !fetched.last;
-        if nothing && now < fetch.until {
+        if nothing && now < fetch.deadline {
             return;
         }
         let Some(fetch) = self.fetch.take() else {
@@ -71,10 +71,10 @@
         let mut bytes = 0;
         let mut groups = Vec::new();
         for group in &fetched.groups {
-            if bytes > MOST_BYTES {
+            if bytes > MAX_FETCH_BYTES {
                 break;
             }
-            groups.push(self.group(*group, &fetch.have, &mut bytes));
+            groups.push(self.group_json(*group, &fetch.have, &mut bytes));
         }
         let answer = json!({
             "done": fetched.last && groups.len() == fetched.groups.len(),
@@ -83,10 +83,10 @@
             "groups": groups,
             "regenerated": self.step.regenerated(),
         });
-        let _ = fetch.reply.send(Asked::Answer(Ok(answer)));
+        let _ = fetch.reply.send(TrainerReply::Answer(Ok(answer)));
     }
 
-    fn group(&self, group: u32, have: &Bitmap, bytes: &mut usize) -> Value {
+    fn group_json(&self, group: u32, have: &Bitmap, bytes: &mut usize) -> Value {
         let samples: Vec<Value> = self
             .step
             .numbers(group)
@@ -94,7 +94,7 @@
             .filter_map(|number| {
                 let sample = self.step.sample(number)?;
                 *bytes += sample.tokens.text().len();
-                Some(describe(
+                Some(sample_json(
                     self.step.group_and_index(number).1,
                     number,
                     sample,
@@ -113,7 +113,7 @@
     }
 }
 
-fn describe(index: u32, number: u32, sample: &Sample) -> Value {
+fn sample_json(index: u32, number: u32, sample: &Sample) -> Value {
     let tokens: Vec<&str> = sample.tokens.iter().collect();
     json!({
         "finish_reason": sample.finish,
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -1,7 +1,7 @@
 //! How the rollout duty gets, keeps and gives up trainers' leases.
 
 use super::{
-    rollout::{Asked, Rollout, Told, TrainerKey},
+    rollout::{Rollout, TaskReport, TrainerKey, TrainerReply},
     trainer::Ownership, //
 };
 use crate::{
@@ -11,16 +11,16 @@
 };
 
 /// How long a look at the row counts as fresh.
-pub(super) const FRESH: Millis = Millis(1_000);
+pub(super) const MAX_LEASE_AGE: Millis = Millis(1_000);
 
 /// How often a lease that is held or wanted is looked at.
-const LOOK: Millis = Millis(500);
+const CHECK_INTERVAL: Millis = Millis(500);
 
 /// A lease is wanted for this long after the trainer's last request.
-const WANTED: Millis = Millis(30_000);
+const LEASE_IDLE_TIMEOUT: Millis = Millis(30_000);
 
 /// What a look at a lease's row found.
-pub(super) struct Look {
+pub(super) struct LeaseCheck {
     /// The row, and whether this entry wrote it just now; an error when the
     /// table gave no answer.
     found: Result<(Option<Lease>, bool), StoreError>,
@@ -28,58 +28,64 @@
 
 impl Rollout {
     /// Looks at the leases that are due, and forgets trainers that are gone.
-    pub(super) fn tend_leases(&mut self, now: Millis) {
+    pub(super) fn check_leases(&mut self, now: Millis) {
         let due: Vec<TrainerKey> = self
             .trainers
             .iter()
-            .filter(|(_, trainer)| !trainer.looking && now.since(trainer.seen) >= LOOK)
-            .filter(|(_, trainer)| trainer.epoch().is_some() || now.since(trainer.wanted) < WANTED)
+            .filter(|(_, trainer)| {
+                !trainer.checking && now.since(trainer.checked_at) >= CHECK_INTERVAL
+            })
+            .filter(|(_, trainer)| {
+                trainer.epoch().is_some() || now.since(trainer.last_request) < LEASE_IDLE_TIMEOUT
+            })
             .map(|(key, _)| key.clone())
             .collect();
         for key in due {
-            self.look(&key);
+            self.check_lease(&key);
         }
         self.trainers.retain(|_, trainer| {
-            trainer.epoch().is_some() || trainer.looking || now.since(trainer.wanted) < WANTED
+            trainer.epoch().is_some()
+                || trainer.checking
+                || now.since(trainer.last_request) < LEASE_IDLE_TIMEOUT
         });
         if self.draining {
-            self.hand_over_all();
+            self.release_leases();
         }
     }
 
     /// Begins a look at the lease of `key`, with a write if one is due.
-    pub(super) fn look(&mut self, key: &TrainerKey) {
-        let Some(trainer) = self.trainers.get_mut(key).filter(|t| !t.looking) else {
+    pub(super) fn check_lease(&mut self, key: &TrainerKey) {
+        let Some(trainer) = self.trainers.get_mut(key).filter(|t| !t.checking) else {
             return;
         };
-        trainer.looking = true;
-        let look = Looker {
+        trainer.checking = true;
+        let check = LeaseChecker {
             clock: self.clock,
             me: self.me.clone(),
-            path: path(key),
+            path: lease_path(key),
             platform: self.platform.clone(),
             watch: trainer.watch.clone(),
         };
-        let (key, told) = (key.clone(), self.told.clone());
+        let (key, reports) = (key.clone(), self.reports.clone());
         tokio::task::spawn_local(async move {
-            let found = look.run().await;
-            let outcome = Look { found };
-            let _ = told.send(Told::Lease { key, outcome }).await;
+            let found = check.run().await;
+            let outcome = LeaseCheck { found };
+            let _ = reports.send(TaskReport::Lease { key, outcome }).await;
         });
     }
 
     /// Takes in what a look found, and answers the questions that waited.
-    pub(super) fn on_look(&mut self, key: &TrainerKey, look: Look) {
+    pub(super) fn on_lease_check(&mut self, key: &TrainerKey, check: LeaseCheck) {
         let now = self.clock.now();
         let me = self.me.clone();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
         };
-        trainer.looking = false;
+        trainer.checking = false;
         let before = trainer.epoch();
-        match look.found {
+        match check.found {
             Ok((row, _)) => {
-                trainer.seen = now;
+                trainer.checked_at = now;
                 trainer.watch.observe(now, row.clone());
                 trainer.ownership = match row {
                     Some(row) if me.holds(&row) => Ownership::Mine(row.epoch),
@@ -93,7 +99,7 @@
             // can be taken: two entries could both believe they own it.
             Err(error) => {
                 tracing::warn!(%error, trainer = key.1, "lease not seen");
-                trainer.seen = now;
+                trainer.checked_at = now;
             }
         }
 
@@ -109,38 +115,38 @@
             );
         }
         if before.is_some() && before != after {
-            trainer.lose();
+            trainer.clear_steps();
         }
-        self.answer_waiting(key);
+        self.answer_deferred(key);
     }
 
-    fn answer_waiting(&mut self, key: &TrainerKey) {
+    fn answer_deferred(&mut self, key: &TrainerKey) {
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
         };
         let known = !matches!(trainer.ownership, Ownership::Unknown);
-        for question in std::mem::take(&mut trainer.waiting) {
+        for request in std::mem::take(&mut trainer.deferred) {
             if known {
-                self.on_question(question);
+                self.on_request(request);
                 continue;
             }
             let detail = "the trainer's owner can't be found out: the table gives no answer";
             let failure = Failure::not_run(Cause::StoreDown, detail).retry_after(Millis(500));
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
         }
     }
 
     /// A stopping entry gives its leases back, so that the next owner need
     /// not wait until they lapse. The trainer submits its step there again.
-    fn hand_over_all(&mut self) {
+    fn release_leases(&mut self) {
         for (key, trainer) in std::mem::take(&mut self.trainers) {
             let Some(epoch) = trainer.epoch() else {
                 continue;
             };
-            let (platform, path) = (self.platform.clone(), path(&key));
+            let (platform, path) = (self.platform.clone(), lease_path(&key));
             let me = self.me.clone();
             tokio::task::spawn_local(async move {
-                if let Err(error) = give_back(&platform, &path, &me, epoch).await {
+                if let Err(error) = release_lease(&platform, &path, &me, epoch).await {
                     tracing::warn!(%error, path, "lease not given back; it will lapse");
                 }
             });
@@ -149,12 +155,12 @@
 }
 
 /// The row of a trainer's lease.
-pub(super) fn path((team, trainer): &TrainerKey) -> String {
+pub(super) fn lease_path((team, trainer): &TrainerKey) -> String {
     format!("{LEASE_PREFIX}{team}/{trainer}")
 }
 
 /// One look at a row, apart from the duty's loop.
-struct Looker {
+struct LeaseChecker {
     clock: crate::base::Clock,
     me: Claimant,
     path: String,
@@ -162,7 +168,7 @@
     watch: LeaseWatch,
 }
 
-impl Looker {
+impl LeaseChecker {
     async fn run(mut self) -> Result<(Option<Lease>, bool), StoreError> {
         let row = self.platform.get(&self.path).await?;
         let version = row.as_ref().map_or(0, |row| row.version);
@@ -173,7 +179,7 @@
             return Ok((lease, false));
         };
         let content = (next.epoch, next.renewals);
-        let write = write(&self.path, version, &next, &self.me, content);
+        let write = lease_transaction(&self.path, version, &next, &self.me, content);
         match self.platform.transact(&write).await? {
             Written::Committed(_) => Ok((Some(next), true)),
             Written::Conflict { .. } => Ok((lease, false)),
@@ -181,7 +187,7 @@
     }
 }
 
-async fn give_back(
+async fn release_lease(
     platform: &Platform,
     path: &str,
     me: &Claimant,
@@ -198,11 +204,11 @@
         holder: String::new(),
         ..lease
     };
-    let write = write(path, row.version, &free, me, (epoch, u64::MAX));
+    let write = lease_transaction(path, row.version, &free, me, (epoch, u64::MAX));
     platform.transact(&write).await.map(|_| ())
 }
 
-fn write(
+fn lease_transaction(
     path: &str,
     expect: u64,
     lease: &Lease,
--- a/src/entry/peer_door.rs
+++ b/src/entry/peer_server.rs
@@ -2,9 +2,9 @@
 
 use super::{
     directory::Directory,
-    forward::TUNING,
-    learner::{HOLD, PATH},
-    news::News,
+    directory_update::DirectoryUpdate,
+    forward::PEER_LINK_TUNING,
+    learner::{DIRECTORY_PATH, LONG_POLL_TIMEOUT},
     trainer_api::{self, TrainerApi}, //
 };
 use crate::{
@@ -38,7 +38,7 @@
 const MAX_LINKS: usize = 1_024;
 
 /// The messages that may wait on one connection.
-const RING: usize = 64;
+const MAX_QUEUED_EVENTS: usize = 64;
 
 /// What other entries may ask for.
 #[derive(Clone)]
@@ -54,13 +54,13 @@
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
     };
-    let room = Arc::new(Semaphore::new(MAX_LINKS));
+    let permits = Arc::new(Semaphore::new(MAX_LINKS));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = context.reached(Phase::Stopped) => return,
         };
-        let (Ok((stream, _)), Ok(permit)) = (accepted, room.clone().try_acquire_owned()) else {
+        let (Ok((stream, _)), Ok(permit)) = (accepted, permits.clone().try_acquire_owned()) else {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             continue;
         };
@@ -77,8 +77,8 @@
     let Ok(opened) = handshake(stream, &peers.hello).await else {
         return;
     };
-    let (inbox, mut events) = mpsc::channel(RING);
-    let link = run_link(opened, (), inbox, TUNING);
+    let (inbox, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let link = run_link(opened, (), inbox, PEER_LINK_TUNING);
     let exchange = async {
         let Some(LinkEvent::Up { sender, .. }) = events.recv().await else {
             return;
@@ -111,33 +111,33 @@
 
 async fn answer(peers: &Peers, head: CallHead) -> (StatusCode, Bytes) {
     let (path, query) = head.path.split_once('?').unwrap_or((&head.path, ""));
-    if path == PATH {
-        let news = news(
+    if path == DIRECTORY_PATH {
+        let update = wait_for_update(
             peers,
-            parameter(query, "revision"),
-            parameter(query, "stamp"),
+            query_number(query, "revision"),
+            query_number(query, "stamp"),
         );
-        return (StatusCode::OK, news.await);
+        return (StatusCode::OK, update.await);
     }
     trainer_api::handle(&peers.trainers, &head.method, path, head.body, true).await
 }
 
 /// What is newer than the peer's settings and list, as soon as anything is,
 /// or nothing after the hold.
-async fn news(peers: &Peers, revision: u64, stamp: u64) -> Bytes {
+async fn wait_for_update(peers: &Peers, revision: u64, stamp: u64) -> Bytes {
     let mut watch = peers.directory.clone();
-    let any = watch.wait_for(|now| now.is_known() && now.news(revision, stamp).is_some());
-    let _ = tokio::time::timeout(HOLD.as_duration(), any).await;
-    let news = peers.directory.borrow().news(revision, stamp);
-    let news = news.unwrap_or_else(|| News {
+    let any = watch.wait_for(|now| now.is_loaded() && now.update_since(revision, stamp).is_some());
+    let _ = tokio::time::timeout(LONG_POLL_TIMEOUT.as_duration(), any).await;
+    let update = peers.directory.borrow().update_since(revision, stamp);
+    let update = update.unwrap_or_else(|| DirectoryUpdate {
         revision,
-        ..News::default()
+        ..DirectoryUpdate::default()
     });
-    Bytes::from(serde_json::to_vec(&news).unwrap_or_default())
+    Bytes::from(serde_json::to_vec(&update).unwrap_or_default())
 }
 
 /// A number from a query; 0 where there is none.
-fn parameter(query: &str, name: &str) -> u64 {
+fn query_number(query: &str, name: &str) -> u64 {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let value = pairs.find(|(key, _)| *key == name).map(|(_, value)| value);
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
--- a/src/entry/request_body.rs
+++ b/src/entry/request_body.rs
@@ -18,17 +18,17 @@
 };
 
 /// How long a body, or the next part of a streamed one, may take to arrive.
-const BODY_TIME: Millis = Millis(10_000);
+const BODY_TIMEOUT: Millis = Millis(10_000);
 
 /// Sends a streamed body on as fast as the service takes it.
-pub(super) async fn pump(
+pub(super) async fn stream_body(
     mut body: Incoming,
     request: RequestId,
     traffic: mpsc::Sender<Command>,
     window: Arc<Semaphore>,
 ) {
     loop {
-        let frame = timeout(BODY_TIME.as_duration(), body.frame()).await;
+        let frame = timeout(BODY_TIMEOUT.as_duration(), body.frame()).await;
         let mut data = match frame {
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(data) => data,
@@ -65,9 +65,9 @@
 }
 
 /// Gathers a body of at most `limit` bytes.
-pub(super) async fn whole(body: Incoming, limit: usize) -> Result<Bytes, Failure> {
+pub(super) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Failure> {
     let gathered = Limited::new(body, limit).collect();
-    match timeout(BODY_TIME.as_duration(), gathered).await {
+    match timeout(BODY_TIMEOUT.as_duration(), gathered).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) => {
             let too_large = error.is::<http_body_util::LengthLimitError>();
--- a/src/entry/issue.rs
+++ b/src/entry/request_ids.rs
@@ -14,14 +14,14 @@
 
 /// The issuer of this process's life; clones share the sequence.
 #[derive(Clone, Debug)]
-pub(super) struct Issue {
+pub(super) struct RequestIds {
     clock: Clock,
     incarnation: Incarnation,
     issuer: Issuer,
     sequence: Arc<AtomicU32>,
 }
 
-impl Issue {
+impl RequestIds {
     pub(super) fn new(clock: Clock, incarnation: Incarnation, instance: &str) -> Self {
         Self {
             clock,
--- a/src/entry/rollout.rs
+++ b/src/entry/rollout.rs
@@ -3,9 +3,9 @@
 use super::{
     command::Command,
     directory::Directory,
-    issue::Issue,
     owned_step::{Fetch, OwnedStep},
-    swaps::Swapped,
+    request_ids::RequestIds,
+    swaps::SwapResult,
     trainer::{Ownership, Trainer},
     view::View, //
 };
@@ -37,7 +37,7 @@
 };
 
 /// What a trainer asks.
-pub(super) enum Ask {
+pub(super) enum Operation {
     Cancel(u64),
     Fetch {
         epoch: u64,
@@ -51,16 +51,16 @@
 }
 
 /// How a question is answered.
-pub(super) enum Asked {
+pub(super) enum TrainerReply {
     Answer(Result<Value, Failure>),
     /// Another entry owns the trainer.
     Elsewhere(Lease),
 }
 
 /// A question of a trainer, in a request of its own.
-pub(super) struct Question {
-    pub(super) ask: Ask,
-    pub(super) reply: oneshot::Sender<Asked>,
+pub(super) struct TrainerRequest {
+    pub(super) operation: Operation,
+    pub(super) reply: oneshot::Sender<TrainerReply>,
     pub(super) team: String,
     pub(super) trainer: String,
 }
@@ -69,18 +69,18 @@
 pub(super) type TrainerKey = (String, String);
 
 /// What tasks of this duty report to its loop.
-pub(super) enum Told {
+pub(super) enum TaskReport {
     Lease {
         key: TrainerKey,
-        outcome: super::ownership::Look,
+        outcome: super::ownership::LeaseCheck,
     },
-    Made {
+    Sample {
         key: TrainerKey,
         number: u32,
         result: Box<Result<Sample, Failure>>,
         step: u64,
     },
-    Swapped(Swapped),
+    Swap(SwapResult),
 }
 
 /// All that the rollout duty owns.
@@ -88,26 +88,26 @@
     pub(super) clock: Clock,
     pub(super) directory: Arc<Directory>,
     pub(super) draining: bool,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) me: Claimant,
     pub(super) platform: Platform,
-    pub(super) told: mpsc::Sender<Told>,
+    pub(super) reports: mpsc::Sender<TaskReport>,
     pub(super) traffic: mpsc::Sender<Command>,
     pub(super) trainers: BTreeMap<TrainerKey, Trainer>,
     pub(super) view: Arc<View>,
 }
 
 /// What the rollout duty begins with.
-pub(super) struct Seed {
+pub(super) struct RolloutInputs {
     pub(super) clock: Clock,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) me: Claimant,
     pub(super) platform: SocketAddr,
-    pub(super) questions: mpsc::Receiver<Question>,
+    pub(super) requests: mpsc::Receiver<TrainerRequest>,
     pub(super) traffic: mpsc::Sender<Command>,
 }
 
-impl Seed {
+impl RolloutInputs {
     /// Starts the duty.
     pub(super) fn spawn(
         self,
@@ -116,32 +116,39 @@
         view: watch::Receiver<Arc<View>>,
     ) -> Result<Duty, DutyError> {
         duty::spawn("rollout", supervisor, move |context| {
-            let (told, reports) = mpsc::channel(TOLD);
+            let (reports, task_reports) = mpsc::channel(MAX_QUEUED_REPORTS);
             let rollout = Rollout {
                 clock: self.clock,
                 directory: Arc::default(),
                 draining: false,
-                issue: self.issue,
+                request_ids: self.request_ids,
                 me: self.me,
                 platform: Platform::open(self.platform),
-                told,
+                reports,
                 traffic: self.traffic,
                 trainers: BTreeMap::new(),
                 view: Arc::default(),
             };
-            run(context, rollout, reports, self.questions, directory, view)
+            run(
+                context,
+                rollout,
+                task_reports,
+                self.requests,
+                directory,
+                view,
+            )
         })
     }
 }
 
 /// How often leases, swaps, samples and fetches are looked at.
-const TICK: Millis = Millis(20);
+const TICK_INTERVAL: Millis = Millis(20);
 
 /// The reports of tasks that may wait; their senders wait when it is full.
-const TOLD: usize = 1_024;
+const MAX_QUEUED_REPORTS: usize = 1_024;
 
 /// The questions of trainers that may wait; further ones are refused.
-pub(super) const RING: usize = 256;
+pub(super) const MAX_QUEUED_REQUESTS: usize = 256;
 
 /// Steps of one trainer kept at once; the oldest gives way.
 const MAX_STEPS: usize = 4;
@@ -150,17 +157,17 @@
 async fn run(
     context: Context,
     mut rollout: Rollout,
-    mut told: mpsc::Receiver<Told>,
-    mut questions: mpsc::Receiver<Question>,
+    mut reports: mpsc::Receiver<TaskReport>,
+    mut requests: mpsc::Receiver<TrainerRequest>,
     directory: watch::Receiver<Arc<Directory>>,
     view: watch::Receiver<Arc<View>>,
 ) {
-    let mut tick = interval(TICK.as_duration());
+    let mut tick = interval(TICK_INTERVAL.as_duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            Some(told) = told.recv() => rollout.on_told(told),
-            Some(question) = questions.recv() => rollout.on_question(question),
+            Some(report) = reports.recv() => rollout.on_report(report),
+            Some(request) = requests.recv() => rollout.on_request(request),
             _ = tick.tick() => {
                 rollout.directory = directory.borrow().clone();
                 rollout.view = view.borrow().clone();
@@ -177,40 +184,42 @@
 
 impl Rollout {
     /// Answers a question, or keeps it until the trainer's owner is known.
-    pub(super) fn on_question(&mut self, question: Question) {
+    pub(super) fn on_request(&mut self, request: TrainerRequest) {
         let now = self.clock.now();
-        let key = (question.team.clone(), question.trainer.clone());
+        let key = (request.team.clone(), request.trainer.clone());
         if self.rollout_settings(&key.0).is_none() {
             let detail = format!("no team `{}` with rollouts", key.0);
             let failure = Failure::not_run(Cause::NotFound, detail);
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
             return;
         }
         if self.draining && !self.trainers.contains_key(&key) {
             let failure = Failure::not_run(Cause::Draining, "the entry is stopping");
             let failure = failure.retry_after(Millis(100));
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
             return;
         }
 
         let trainer = self.trainers.entry(key.clone()).or_default();
-        trainer.wanted = now;
+        trainer.last_request = now;
         match trainer.ownership.clone() {
-            Ownership::Elsewhere(lease) if now.since(trainer.seen) < super::ownership::FRESH => {
-                let _ = question.reply.send(Asked::Elsewhere(lease));
+            Ownership::Elsewhere(lease)
+                if now.since(trainer.checked_at) < super::ownership::MAX_LEASE_AGE =>
+            {
+                let _ = request.reply.send(TrainerReply::Elsewhere(lease));
             }
-            Ownership::Mine(epoch) => self.answer(&key, epoch, question),
+            Ownership::Mine(epoch) => self.answer(&key, epoch, request),
             Ownership::Elsewhere(_) | Ownership::Unknown => {
-                trainer.put_off(question);
-                self.look(&key);
+                trainer.defer(request);
+                self.check_lease(&key);
             }
         }
     }
 
     fn on_tick(&mut self) {
         let now = self.clock.now();
-        self.tend_leases(now);
-        self.tend_swaps(now);
+        self.check_leases(now);
+        self.order_swaps(now);
         self.dispatch(now);
         for trainer in self.trainers.values_mut() {
             let Some(epoch) = trainer.epoch() else {
@@ -222,20 +231,20 @@
         }
     }
 
-    fn on_told(&mut self, told: Told) {
-        match told {
-            Told::Lease { key, outcome } => self.on_look(&key, outcome),
-            Told::Made {
+    fn on_report(&mut self, report: TaskReport) {
+        match report {
+            TaskReport::Lease { key, outcome } => self.on_lease_check(&key, outcome),
+            TaskReport::Sample {
                 key,
                 number,
                 result,
                 step,
-            } => self.on_made(&key, step, number, *result),
-            Told::Swapped(swapped) => self.on_swapped(swapped),
+            } => self.on_sample(&key, step, number, *result),
+            TaskReport::Swap(result) => self.on_swap_result(result),
         }
     }
 
-    fn on_made(
+    fn on_sample(
         &mut self,
         key: &TrainerKey,
         step: u64,
@@ -262,17 +271,17 @@
         }
     }
 
-    fn answer(&mut self, key: &TrainerKey, epoch: u64, question: Question) {
+    fn answer(&mut self, key: &TrainerKey, epoch: u64, request: TrainerRequest) {
         let now = self.clock.now();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
         };
-        let answer = match question.ask {
-            Ask::Cancel(step) => {
+        let answer = match request.operation {
+            Operation::Cancel(step) => {
                 let known = trainer.steps.remove(&step).is_some();
                 Ok(json!({ "cancelled": known, "epoch": epoch }))
             }
-            Ask::Fetch {
+            Operation::Fetch {
                 epoch: seen,
                 have,
                 step,
@@ -283,37 +292,37 @@
                 // The trainer has seen a newer owner: this one was paused
                 // past its lease, and must hand out nothing.
                 if seen > epoch {
-                    trainer.lose();
+                    trainer.clear_steps();
                     trainer.ownership = Ownership::Unknown;
                     let failure = Failure::not_run(Cause::StaleFence, "the lease has moved on");
                     let failure = failure.retry_after(Millis(200));
-                    let _ = question.reply.send(Asked::Answer(Err(failure)));
+                    let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
                     return;
                 }
                 let version = trainer.version;
                 let Some(owned) = trainer.steps.get_mut(&step) else {
                     let failure = unknown_step(step);
-                    let _ = question.reply.send(Asked::Answer(Err(failure)));
+                    let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
                     return;
                 };
                 owned.fetch = Some(Fetch {
                     have,
-                    reply: question.reply,
-                    until: now + wait,
+                    reply: request.reply,
+                    deadline: now + wait,
                     version,
                 });
                 owned.answer_fetch(now, epoch);
                 return;
             }
-            Ask::Submit(number, spec) => submit(trainer, number, *spec, epoch, now),
-            Ask::Version(model, version) => {
+            Operation::Submit(number, spec) => submit(trainer, number, *spec, epoch, now),
+            Operation::Version(model, version) => {
                 trainer.version = trainer.version.max(version);
                 trainer.model = Some(model);
                 let version = trainer.version;
                 Ok(json!({ "epoch": epoch, "weight_version": version }))
             }
         };
-        let _ = question.reply.send(Asked::Answer(answer));
+        let _ = request.reply.send(TrainerReply::Answer(answer));
     }
 
     pub(super) fn rollout_settings(&self, team: &str) -> Option<&RolloutSettings> {
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -1,8 +1,8 @@
 //! Makes one sample: a generation and its score.
 
 use super::{
-    command::{Command, NewCall, REPLIES, Reply},
-    issue::Issue, //
+    command::{Command, MAX_QUEUED_REPLIES, NewCall, Reply},
+    request_ids::RequestIds, //
 };
 use crate::{
     base::{
@@ -28,9 +28,9 @@
 
 /// What making a sample takes.
 #[derive(Clone)]
-pub(super) struct Maker {
+pub(super) struct Sampler {
     pub(super) clock: Clock,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) pool: String,
     pub(super) scorer: String,
     pub(super) team: String,
@@ -38,18 +38,18 @@
 }
 
 /// The class under which a team's samples appear in accounts and decisions.
-const CLASS: &str = "rollout";
+const ROLLOUT_CLASS: &str = "rollout";
 
 /// Samples are bounded by their team's settings, not by a call limit.
-const LIMITS: Limits = Limits {
+const NO_LIMITS: Limits = Limits {
     class: u32::MAX,
     team: u32::MAX,
 };
 
 /// How long one score may take, and how often it is asked for.
-const SCORE_TIME: Millis = Millis(10_000);
-const SCORE_TRIES: u32 = 5;
-const SCORE_WAIT: Millis = Millis(200);
+const SCORE_TIMEOUT: Millis = Millis(10_000);
+const MAX_SCORE_ATTEMPTS: u32 = 5;
+const SCORE_RETRY_DELAY: Millis = Millis(200);
 
 #[derive(Deserialize)]
 struct Score {
@@ -57,30 +57,32 @@
 }
 
 /// A generation that came to its end.
-struct Made {
+struct FinishedGeneration {
     finish: Finish,
     spans: Vec<Span>,
     tokens: Tokens,
 }
 
-impl Maker {
-    /// Generates with weights of at least `least`, then has it scored.
-    pub(super) async fn make(
+impl Sampler {
+    /// Generates with weights of at least `min_version`, then has it scored.
+    pub(super) async fn sample(
         &self,
         generation: Generation,
-        least: WeightVersion,
+        min_version: WeightVersion,
         deadline: Millis,
     ) -> Result<Sample, Failure> {
-        let request = self.issue.next();
+        let request = self.request_ids.next();
         let prompt = generation.prompt.clone();
-        let made = self.generate(request, generation, least, deadline).await?;
-        let score = self.score(&prompt, &made.tokens, request).await?;
+        let generated = self
+            .generate(request, generation, min_version, deadline)
+            .await?;
+        let score = self.score(&prompt, &generated.tokens, request).await?;
         Ok(Sample {
-            finish: made.finish.word(),
+            finish: generated.finish.word(),
             request,
             score,
-            spans: made.spans,
-            tokens: made.tokens,
+            spans: generated.spans,
+            tokens: generated.tokens,
         })
     }
 
@@ -88,12 +90,12 @@
         &self,
         request: RequestId,
         generation: Generation,
-        least: WeightVersion,
+        min_version: WeightVersion,
         deadline: Millis,
-    ) -> Result<Made, Failure> {
+    ) -> Result<FinishedGeneration, Failure> {
         let pool = self.pool.clone();
         let work = Work::Generate(generation);
-        let mut call = self.call(request, pool, work, least, deadline);
+        let mut call = self.new_call(request, pool, work, min_version, deadline);
         call.priority = Priority::Rollout;
         let mut replies = self.send(call).await?;
         let mut tokens = Tokens::default();
@@ -101,7 +103,7 @@
         while let Some(reply) = replies.recv().await {
             match reply {
                 Reply::End(Some(finish)) => {
-                    return Ok(Made {
+                    return Ok(FinishedGeneration {
                         finish,
                         spans,
                         tokens,
@@ -110,17 +112,17 @@
                 Reply::Failed(failure) => return Err(failure),
                 Reply::Spans(more) => {
                     Span::extend(&mut spans, more);
-                    self.credit(request, MESSAGE_COST).await;
+                    self.return_credit(request, MESSAGE_COST).await;
                 }
                 Reply::Tokens(from, part) => {
                     tokens.splice(from, &part);
                     let cost = part.text().len() as u32 + 4 * part.len() + MESSAGE_COST;
-                    self.credit(request, cost).await;
+                    self.return_credit(request, cost).await;
                 }
                 Reply::Credit(_) | Reply::Data(_) | Reply::End(None) | Reply::Head { .. } => {}
             }
         }
-        Err(gone())
+        Err(traffic_ended())
     }
 
     /// Asks the team's scoring service; the request key is the sample's
@@ -132,19 +134,19 @@
         sample: RequestId,
     ) -> Result<f64, Failure> {
         let body = serde_json::json!({ "prompt": prompt, "text": tokens.text() }).to_string();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             match self.score_once(body.clone(), sample).await {
                 Ok(score) => return Ok(score),
-                Err(failure) if tries >= SCORE_TRIES => return Err(failure),
-                Err(_) => tokio::time::sleep(SCORE_WAIT.as_duration()).await,
+                Err(failure) if attempts >= MAX_SCORE_ATTEMPTS => return Err(failure),
+                Err(_) => tokio::time::sleep(SCORE_RETRY_DELAY.as_duration()).await,
             }
         }
     }
 
     async fn score_once(&self, body: String, sample: RequestId) -> Result<f64, Failure> {
-        let request = self.issue.next();
+        let request = self.request_ids.next();
         let json = Bytes::from_static(b"application/json");
         let work = Work::Call(CallHead {
             body: Bytes::from(body),
@@ -153,48 +155,50 @@
             path: "/score".to_owned(),
             whole: true,
         });
-        let deadline = self.clock.now() + SCORE_TIME;
+        let deadline = self.clock.now() + SCORE_TIMEOUT;
         let pool = self.scorer.clone();
-        let mut call = self.call(request, pool, work, WeightVersion(0), deadline);
+        let mut call = self.new_call(request, pool, work, WeightVersion(0), deadline);
         call.key = Some(sample.to_string());
         let mut replies = self.send(call).await?;
-        let mut code = 0;
+        let mut status_code = 0;
         let mut answer = BytesMut::new();
         while let Some(reply) = replies.recv().await {
             match reply {
                 Reply::Data(bytes) => {
                     answer.extend_from_slice(&bytes);
                     let cost = bytes.len() as u32 + MESSAGE_COST;
-                    self.credit(request, cost).await;
+                    self.return_credit(request, cost).await;
                 }
-                Reply::End(_) if code == 200 => {
+                Reply::End(_) if status_code == 200 => {
                     let score: Result<Score, _> = serde_json::from_slice(&answer);
-                    return score.map(|score| score.score).map_err(|_| unscored(code));
+                    return score
+                        .map(|score| score.score)
+                        .map_err(|_| missing_score(status_code));
                 }
-                Reply::End(_) => return Err(unscored(code)),
+                Reply::End(_) => return Err(missing_score(status_code)),
                 Reply::Failed(failure) => return Err(failure),
-                Reply::Head { status, .. } => code = status,
+                Reply::Head { status, .. } => status_code = status,
                 Reply::Credit(_) | Reply::Spans(_) | Reply::Tokens(..) => {}
             }
         }
-        Err(gone())
+        Err(traffic_ended())
     }
 
-    fn call(
+    fn new_call(
         &self,
         request: RequestId,
         pool: String,
         work: Work,
-        least: WeightVersion,
+        min_version: WeightVersion,
         deadline: Millis,
     ) -> NewCall {
         NewCall {
-            class: CLASS.to_owned(),
+            class: ROLLOUT_CLASS.to_owned(),
             deadline,
             idempotent: true,
             key: None,
-            least,
-            limits: LIMITS,
+            min_version,
+            limits: NO_LIMITS,
             pool,
             priority: Priority::Background,
             reply: mpsc::channel(1).0,
@@ -205,25 +209,25 @@
         }
     }
 
-    async fn credit(&self, request: RequestId, bytes: u32) {
+    async fn return_credit(&self, request: RequestId, bytes: u32) {
         let _ = self.traffic.send(Command::Credit { request, bytes }).await;
     }
 
     async fn send(&self, mut call: NewCall) -> Result<mpsc::Receiver<Reply>, Failure> {
-        let (reply, replies) = mpsc::channel(REPLIES);
+        let (reply, replies) = mpsc::channel(MAX_QUEUED_REPLIES);
         call.reply = reply;
         match self.traffic.send(Command::Start(Box::new(call))).await {
             Ok(()) => Ok(replies),
-            Err(_) => Err(gone()),
+            Err(_) => Err(traffic_ended()),
         }
     }
 }
 
-fn gone() -> Failure {
+fn traffic_ended() -> Failure {
     Failure::may_have_run(Cause::Draining, "the traffic duty has ended")
 }
 
-fn unscored(status: u16) -> Failure {
+fn missing_score(status: u16) -> Failure {
     let detail = format!("the scoring service answered with status {status}, without a score");
     Failure::may_have_run(Cause::BackendBroken, detail)
 }
--- a/src/entry/swaps.rs
+++ b/src/entry/swaps.rs
@@ -3,7 +3,7 @@
 use super::{
     command::Command,
     ownership,
-    rollout::{Rollout, Told, TrainerKey},
+    rollout::{Rollout, TaskReport, TrainerKey},
     server::ServerKey, //
 };
 use crate::{
@@ -17,45 +17,45 @@
 };
 
 /// The outcome of one order.
-pub(super) struct Swapped {
+pub(super) struct SwapResult {
     key: TrainerKey,
     result: Result<EngineState, Failure>,
     server: ServerKey,
 }
 
 /// The wait before an engine whose swap failed is ordered again.
-const RETRY: Millis = Millis(500);
+const SWAP_RETRY_DELAY: Millis = Millis(500);
 
 /// How long an order may take.
-const ORDER_TIME: Millis = Millis(45_000);
+const ORDER_TIMEOUT: Millis = Millis(45_000);
 
 /// How long a confirmed version counts before a report that shows another.
-const CONFIRMED: Millis = Millis(2_500);
+const CONFIRMATION_LIFETIME: Millis = Millis(2_500);
 
 impl Rollout {
     /// Orders swaps for every trainer whose engines lag behind it.
-    pub(super) fn tend_swaps(&mut self, now: Millis) {
+    pub(super) fn order_swaps(&mut self, now: Millis) {
         let keys: Vec<TrainerKey> = self.trainers.keys().cloned().collect();
         for key in keys {
-            self.tend_swap(&key, now);
+            self.order_trainer_swaps(&key, now);
         }
     }
 
     /// Takes in the outcome of an order.
-    pub(super) fn on_swapped(&mut self, swapped: Swapped) {
+    pub(super) fn on_swap_result(&mut self, outcome: SwapResult) {
         let now = self.clock.now();
-        let Some(trainer) = self.trainers.get_mut(&swapped.key) else {
+        let Some(trainer) = self.trainers.get_mut(&outcome.key) else {
             return;
         };
         let model = trainer.model.clone().unwrap_or_default();
-        let swap = trainer.swaps.entry(swapped.server).or_default();
+        let swap = trainer.swaps.entry(outcome.server).or_default();
         swap.running = false;
-        match swapped.result {
+        match outcome.result {
             Ok(state) => {
                 swap.confirmed = state.version(&model).map(|version| (now, version));
             }
             Err(failure) => {
-                swap.not_before = now + RETRY;
+                swap.not_before = now + SWAP_RETRY_DELAY;
                 swap.confirmed = None;
                 tracing::warn!(model, detail = failure.detail, "swap failed");
                 metrics::counter!("redwing_swaps_failed_total").increment(1);
@@ -63,12 +63,12 @@
         }
     }
 
-    fn tend_swap(&mut self, key: &TrainerKey, now: Millis) {
+    fn order_trainer_swaps(&mut self, key: &TrainerKey, now: Millis) {
         let Some(settings) = self.rollout_settings(&key.0) else {
             return;
         };
         let pool = settings.pool.clone();
-        let width = self.directory.shared.pools.get(&pool).map_or(1, |p| p.wave);
+        let max_swaps = self.directory.shared.pools.get(&pool).map_or(1, |p| p.wave);
         let view = self.view.clone();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
@@ -86,7 +86,7 @@
                 // A report lags behind the order's own outcome.
                 let confirmed = swap
                     .confirmed
-                    .filter(|(at, _)| now.since(*at) < CONFIRMED)
+                    .filter(|(confirmed_at, _)| now.since(*confirmed_at) < CONFIRMATION_LIFETIME)
                     .map(|(_, version)| version);
                 Engine {
                     key: server.key,
@@ -97,7 +97,7 @@
             })
             .collect();
         let target = trainer.version;
-        let chosen = wave::next(now, &engines, target, width);
+        let chosen = wave::next(now, &engines, target, max_swaps);
         for server in &chosen {
             trainer.swaps.entry(*server).or_default().running = true;
         }
@@ -105,7 +105,7 @@
             let order = Order {
                 fence,
                 kind: OrderKind::Load { version: target },
-                lease: ownership::path(key),
+                lease: ownership::lease_path(key),
                 model: model.clone(),
             };
             let name = view.servers.iter().find(|one| one.key == server);
@@ -126,20 +126,20 @@
     }
 
     fn spawn_order(&self, key: TrainerKey, server: ServerKey, order: Order) {
-        let (told, traffic) = (self.told.clone(), self.traffic.clone());
+        let (reports, traffic) = (self.reports.clone(), self.traffic.clone());
         tokio::task::spawn_local(async move {
-            let result = give(&traffic, server, order).await;
-            let swapped = Swapped {
+            let result = send_order(&traffic, server, order).await;
+            let swap = SwapResult {
                 key,
                 result,
                 server,
             };
-            let _ = told.send(Told::Swapped(swapped)).await;
+            let _ = reports.send(TaskReport::Swap(swap)).await;
         });
     }
 }
 
-async fn give(
+async fn send_order(
     traffic: &tokio::sync::mpsc::Sender<Command>,
     server: ServerKey,
     order: Order,
@@ -151,7 +151,7 @@
         server,
     };
     let _ = traffic.send(command).await;
-    match timeout(ORDER_TIME.as_duration(), outcome).await {
+    match timeout(ORDER_TIMEOUT.as_duration(), outcome).await {
         Ok(Ok(result)) => result,
         Ok(Err(_)) | Err(_) => {
             let detail = "no outcome of the order";
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -1,10 +1,10 @@
 //! The duty that owns the links to agents and every call under way.
 
 use super::{
-    call::{AttemptKey, Call, CallKey, Handover},
+    call::{AttemptKey, Call, CallKey, OpenAttempt},
     command::{Command, Reply},
     directory::Directory,
-    issue::Issue,
+    request_ids::RequestIds,
     server::{Server, ServerKey},
     view::{ServerView, View}, //
 };
@@ -46,47 +46,47 @@
 /// All that the traffic duty owns.
 pub(super) struct Traffic {
     pub(super) admission: Admission,
-    pub(super) attempts: SlotMap<AttemptKey, Handover>,
-    pub(super) budgets: HashMap<(String, String), RetryBudget>,
+    pub(super) attempts: SlotMap<AttemptKey, OpenAttempt>,
+    pub(super) retry_budgets: HashMap<(String, String), RetryBudget>,
     pub(super) calls: SlotMap<CallKey, Call>,
     pub(super) context: Context,
     pub(super) hello: Hello,
-    pub(super) ids: HashMap<RequestId, CallKey>,
+    pub(super) call_keys: HashMap<RequestId, CallKey>,
     pub(super) inbox: mpsc::Sender<TrafficEvent>,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) ledger: Ledger,
     pub(super) orders: HashMap<Slot, PendingOrder>,
-    pub(super) queries: HashMap<Slot, super::explain::Asked>,
+    pub(super) queries: HashMap<Slot, super::explain::PendingQuery>,
     pub(super) servers: SlotMap<ServerKey, Server>,
     pub(super) settings: EntrySettings,
-    pub(super) turn: u64,
+    pub(super) sequence: u64,
     view: watch::Sender<Arc<View>>,
-    viewed: Millis,
+    view_sent: Millis,
 }
 
 /// How often deadlines are looked at.
-const TICK: Millis = Millis(25);
+const TICK_INTERVAL: Millis = Millis(25);
 
 /// How often the step duty gets a new view.
-const VIEW: Millis = Millis(100);
+const VIEW_INTERVAL: Millis = Millis(100);
 
 /// The link events that may wait; a full ring stops the reading of links.
-const EVENTS: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// The accounts kept for the support engineer.
 const MAX_ACCOUNTS: usize = 20_000;
 
 /// What the traffic duty begins with.
-pub(super) struct Seed {
+pub(super) struct TrafficInputs {
     pub(super) commands: mpsc::Receiver<Command>,
     pub(super) directory: watch::Receiver<Arc<Directory>>,
     pub(super) hello: Hello,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) settings: EntrySettings,
     pub(super) view: watch::Sender<Arc<View>>,
 }
 
-impl Seed {
+impl TrafficInputs {
     /// Starts the duty.
     pub(super) fn spawn(self, supervisor: &ActorRef<SupervisorMessage>) -> Result<Duty, DutyError> {
         duty::spawn("traffic", supervisor, move |context| run(context, self))
@@ -94,18 +94,18 @@
 }
 
 /// Runs until the program stops.
-async fn run(context: Context, seed: Seed) {
-    let Seed {
+async fn run(context: Context, inputs: TrafficInputs) {
+    let TrafficInputs {
         mut commands,
         mut directory,
         hello,
-        issue,
+        request_ids,
         settings,
         view,
-    } = seed;
-    let (inbox, mut events) = mpsc::channel(EVENTS);
-    let mut traffic = Traffic::new(context.clone(), settings, hello, issue, inbox, view);
-    let mut tick = interval(TICK.as_duration());
+    } = inputs;
+    let (inbox, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let mut traffic = Traffic::new(context.clone(), settings, hello, request_ids, inbox, view);
+    let mut tick = interval(TICK_INTERVAL.as_duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     directory.mark_changed();
 
@@ -134,28 +134,28 @@
         context: Context,
         settings: EntrySettings,
         hello: Hello,
-        issue: Issue,
+        request_ids: RequestIds,
         inbox: mpsc::Sender<TrafficEvent>,
         view: watch::Sender<Arc<View>>,
     ) -> Self {
         Self {
             admission: Admission::default(),
             attempts: SlotMap::with_key(),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             calls: SlotMap::with_key(),
             context,
             hello,
-            ids: HashMap::new(),
+            call_keys: HashMap::new(),
             inbox,
-            issue,
+            request_ids,
             ledger: Ledger::new(MAX_ACCOUNTS),
             orders: HashMap::new(),
             queries: HashMap::new(),
             servers: SlotMap::with_key(),
             settings,
-            turn: 0,
+            sequence: 0,
             view,
-            viewed: Millis(0),
+            view_sent: Millis(0),
         }
     }
 
@@ -165,18 +165,18 @@
                 request,
                 bytes,
                 last,
-            } => self.pass_body(request, bytes, last),
+            } => self.forward_body(request, bytes, last),
             Command::Credit { request, bytes } => {
-                self.to_current(request, |slot| ToAgent::Credit { slot, bytes });
+                self.send_to_current(request, |slot| ToAgent::Credit { slot, bytes });
             }
-            Command::Delivered(requests) => self.note_delivered(&requests),
+            Command::Delivered(requests) => self.record_delivered(&requests),
             Command::Explain(request, reply) => self.explain(request, reply),
             Command::Order {
                 order,
                 reply,
                 server,
-            } => self.order(server, order, reply),
-            Command::Start(new) => self.arrive(*new),
+            } => self.send_order(server, order, reply),
+            Command::Start(new) => self.admit_call(*new),
             Command::View(reply) => {
                 let _ = reply.send(self.view());
             }
@@ -185,7 +185,7 @@
 
     fn on_event(&mut self, event: TrafficEvent) {
         match event {
-            LinkEvent::Down { link, reason } => self.on_down(link, reason),
+            LinkEvent::Down { link, reason } => self.on_link_down(link, reason),
             LinkEvent::Message { link, message } => self.on_message(link, message),
             LinkEvent::Up { link, sender, .. } => {
                 if let Some(server) = self.servers.get_mut(link) {
@@ -208,7 +208,7 @@
             }
             FromAgent::Report(report) => {
                 if let Some(server) = self.servers.get_mut(server) {
-                    server.hear(self.context.clock.now(), report);
+                    server.record_report(self.context.clock.now(), report);
                 }
             }
             message => {
@@ -220,8 +220,8 @@
                 // finds nobody.
                 let key = AttemptKey::from(KeyData::from_ffi(slot.0));
                 match self.attempts.get(key) {
-                    Some(handover) if handover.server == server => {
-                        self.on_answer(key, handover.call, message);
+                    Some(attempt) if attempt.server == server => {
+                        self.on_call_message(key, attempt.call, message);
                     }
                     Some(_) | None => metrics::counter!("redwing_late_answers_total").increment(1),
                 }
@@ -231,12 +231,12 @@
 
     fn on_tick(&mut self) {
         let now = self.context.clock.now();
-        self.sweep(now);
+        self.check_calls(now);
         self.expire_queries(now);
-        if now.since(self.viewed) >= VIEW {
-            self.viewed = now;
+        if now.since(self.view_sent) >= VIEW_INTERVAL {
+            self.view_sent = now;
             self.view.send_replace(Arc::new(self.view()));
-            self.drop_unlisted();
+            self.remove_unlisted();
         }
         if self.context.phase() >= Phase::Draining && self.calls.is_empty() {
             self.context.drained();
@@ -259,13 +259,13 @@
         }
     }
 
-    fn order(
+    fn send_order(
         &mut self,
         server: ServerKey,
         order: crate::wire::Order,
         reply: oneshot::Sender<Result<EngineState, Failure>>,
     ) {
-        let slot = self.fresh_slot();
+        let slot = self.next_slot();
         let sent = self.servers.get(server).is_some_and(|server| {
             let link = server.link.as_ref();
             link.is_some_and(|link| link.try_send(ToAgent::Order { slot, order }))
@@ -281,18 +281,25 @@
 
     /// A slot for a question or an order. These have tables of their own, so
     /// one that equals an attempt's slot is not taken for it.
-    pub(super) fn fresh_slot(&mut self) -> Slot {
-        self.turn += 1;
-        Slot(u64::MAX - self.turn)
+    pub(super) fn next_slot(&mut self) -> Slot {
+        self.sequence += 1;
+        Slot(u64::MAX - self.sequence)
     }
 
     /// Sends to the agent that has the request now.
-    pub(super) fn to_current(&self, request: RequestId, message: impl FnOnce(Slot) -> ToAgent) {
-        let call = self.ids.get(&request).and_then(|key| self.calls.get(*key));
+    pub(super) fn send_to_current(
+        &self,
+        request: RequestId,
+        message: impl FnOnce(Slot) -> ToAgent,
+    ) {
+        let call = self
+            .call_keys
+            .get(&request)
+            .and_then(|key| self.calls.get(*key));
         let Some(key) = call.and_then(|call| call.current) else {
             return;
         };
-        let server = self.attempts.get(key).map(|handover| handover.server);
+        let server = self.attempts.get(key).map(|attempt| attempt.server);
         let server = server.and_then(|server| self.servers.get(server));
         if let Some(link) = server.and_then(|server| server.link.as_ref()) {
             let _ = link.try_send(message(Slot(key.data().as_ffi())));
--- a/src/entry/trainer.rs
+++ b/src/entry/trainer.rs
@@ -2,7 +2,7 @@
 
 use super::{
     owned_step::OwnedStep,
-    rollout::{Asked, Question},
+    rollout::{TrainerReply, TrainerRequest},
     server::ServerKey, //
 };
 use crate::{
@@ -39,25 +39,25 @@
 #[derive(Default)]
 pub(super) struct Trainer {
     /// Whether a look at the lease's row is under way.
-    pub(super) looking: bool,
+    pub(super) checking: bool,
     pub(super) model: Option<String>,
     pub(super) ownership: Ownership,
     /// When the row was last looked at.
-    pub(super) seen: Millis,
+    pub(super) checked_at: Millis,
     /// Steps by number.
     pub(super) steps: BTreeMap<u64, OwnedStep>,
     pub(super) swaps: HashMap<ServerKey, Swap>,
     /// The highest version that the trainer has named.
     pub(super) version: WeightVersion,
     /// Questions that wait until the lease's row is known.
-    pub(super) waiting: VecDeque<Question>,
+    pub(super) deferred: VecDeque<TrainerRequest>,
     /// When the trainer asked last; without questions no lease is wanted.
-    pub(super) wanted: Millis,
+    pub(super) last_request: Millis,
     pub(super) watch: LeaseWatch,
 }
 
 /// The questions that may wait for a lease.
-const MAX_WAITING: usize = 32;
+const MAX_DEFERRED: usize = 32;
 
 impl Trainer {
     /// The epoch under which this entry owns the trainer.
@@ -69,21 +69,21 @@
     }
 
     /// Gives everything up: another entry is the owner, or may be.
-    pub(super) fn lose(&mut self) {
+    pub(super) fn clear_steps(&mut self) {
         self.steps.clear();
         self.swaps.clear();
     }
 
-    /// Keeps `question` until the lease's row is known.
-    pub(super) fn put_off(&mut self, question: Question) {
-        if self.waiting.len() >= MAX_WAITING {
+    /// Keeps `request` until the lease's row is known.
+    pub(super) fn defer(&mut self, request: TrainerRequest) {
+        if self.deferred.len() >= MAX_DEFERRED {
             let detail = "too many requests wait for the trainer's owner";
             let cause = crate::base::Cause::Overloaded;
             let failure = crate::base::Failure::not_run(cause, detail);
             let failure = failure.retry_after(Millis(500));
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
             return;
         }
-        self.waiting.push_back(question);
+        self.deferred.push_back(request);
     }
 }
--- a/src/entry/trainer_api.rs
+++ b/src/entry/trainer_api.rs
@@ -1,8 +1,8 @@
 //! HTTP towards trainers: steps, fetches and weight versions.
 
 use super::{
-    forward::{self, Forward},
-    rollout::{Ask, Asked, Question}, //
+    forward::{self, Forwarder},
+    rollout::{Operation, TrainerReply, TrainerRequest}, //
 };
 use crate::{
     base::{Cause, Failure, Millis, WeightVersion},
@@ -22,8 +22,8 @@
 /// What is needed to answer trainers.
 #[derive(Clone)]
 pub(super) struct TrainerApi {
-    pub(super) forward: Forward,
-    pub(super) rollout: mpsc::Sender<Question>,
+    pub(super) forward: Forwarder,
+    pub(super) rollout: mpsc::Sender<TrainerRequest>,
 }
 
 /// The body of a fetch.
@@ -49,10 +49,10 @@
 }
 
 /// The longest that a fetch is held.
-const LONGEST_WAIT: Millis = Millis(30_000);
+const MAX_FETCH_WAIT: Millis = Millis(30_000);
 
 /// How long the owner of a trainer may take beyond that.
-const OWNER_TIME: Millis = Millis(5_000);
+const OWNER_MARGIN: Millis = Millis(5_000);
 
 /// Answers a trainer's request, or passes it to the entry that owns the
 /// trainer; a request that was passed on once is not passed on again.
@@ -63,38 +63,38 @@
     body: Bytes,
     forwarded: bool,
 ) -> (StatusCode, Bytes) {
-    let question = match parse(method, path, &body) {
-        Ok(question) => question,
-        Err(failure) => return failed(&failure),
+    let request = match parse(method, path, &body) {
+        Ok(request) => request,
+        Err(failure) => return problem_response(&failure),
     };
     let (reply, answer) = oneshot::channel();
-    let (team, trainer, ask) = question;
-    let question = Question {
-        ask,
+    let (team, trainer, operation) = request;
+    let request = TrainerRequest {
+        operation,
         reply,
         team,
         trainer,
     };
-    if api.rollout.try_send(question).is_err() {
+    if api.rollout.try_send(request).is_err() {
         let detail = "too many trainers' requests wait";
         let failure = Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(200));
-        return failed(&failure);
+        return problem_response(&failure);
     }
     match answer.await {
-        Ok(Asked::Answer(Ok(value))) => (StatusCode::OK, Bytes::from(value.to_string())),
-        Ok(Asked::Answer(Err(failure))) => failed(&failure),
-        Ok(Asked::Elsewhere(lease)) if !forwarded => {
-            pass_on(api, &lease.address, method, path, body).await
+        Ok(TrainerReply::Answer(Ok(value))) => (StatusCode::OK, Bytes::from(value.to_string())),
+        Ok(TrainerReply::Answer(Err(failure))) => problem_response(&failure),
+        Ok(TrainerReply::Elsewhere(lease)) if !forwarded => {
+            forward_to_owner(api, &lease.address, method, path, body).await
         }
-        Ok(Asked::Elsewhere(lease)) => {
+        Ok(TrainerReply::Elsewhere(lease)) => {
             let detail = format!("the trainer's owner is now `{}`", lease.holder);
-            failed(&Failure::not_run(Cause::Unknown, detail).retry_after(Millis(200)))
+            problem_response(&Failure::not_run(Cause::Unknown, detail).retry_after(Millis(200)))
         }
-        Err(_) => failed(&Failure::not_run(Cause::Draining, "the entry is stopping")),
+        Err(_) => problem_response(&Failure::not_run(Cause::Draining, "the entry is stopping")),
     }
 }
 
-async fn pass_on(
+async fn forward_to_owner(
     api: &TrainerApi,
     address: &str,
     method: &str,
@@ -103,38 +103,38 @@
 ) -> (StatusCode, Bytes) {
     let Ok(peer) = address.parse() else {
         let detail = "the owner's address is not understood";
-        return failed(&Failure::not_run(Cause::Unknown, detail));
+        return problem_response(&Failure::not_run(Cause::Unknown, detail));
     };
-    let wait = LONGEST_WAIT + OWNER_TIME;
+    let wait = MAX_FETCH_WAIT + OWNER_MARGIN;
     match forward::send(&api.forward, peer, method, path, body, wait).await {
         Ok(answer) => answer,
-        Err(failure) => failed(&failure.retry_after(Millis(300))),
+        Err(failure) => problem_response(&failure.retry_after(Millis(300))),
     }
 }
 
 /// A failure as status and problem details.
-fn failed(failure: &Failure) -> (StatusCode, Bytes) {
+fn problem_response(failure: &Failure) -> (StatusCode, Bytes) {
     let status = StatusCode::from_u16(failure.cause.status()).unwrap_or_default();
     (status, Bytes::from(crate::duty::details(failure, None)))
 }
 
-fn parse(method: &str, path: &str, body: &[u8]) -> Result<(String, String, Ask), Failure> {
+fn parse(method: &str, path: &str, body: &[u8]) -> Result<(String, String, Operation), Failure> {
     let not_found = || Failure::not_run(Cause::NotFound, format!("no such resource: `{path}`"));
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let ["v1", "teams", team, "trainers", trainer, rest @ ..] = parts.as_slice() else {
         return Err(not_found());
     };
-    let ask = match (method, rest) {
+    let operation = match (method, rest) {
         ("POST", ["version"]) => {
             let body: VersionBody = decode(body)?;
-            Ask::Version(body.model, body.weight_version)
+            Operation::Version(body.model, body.weight_version)
         }
-        ("DELETE", ["steps", step]) => Ask::Cancel(number(step)?),
+        ("DELETE", ["steps", step]) => Operation::Cancel(step_number(step)?),
         ("POST", ["steps", step]) => {
             let spec: StepSpec = decode(body)?;
             spec.check()
                 .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))?;
-            Ask::Submit(number(step)?, Box::new(spec))
+            Operation::Submit(step_number(step)?, Box::new(spec))
         }
         ("POST", ["steps", step, "fetch"]) => {
             let body: FetchBody = decode(body)?;
@@ -142,17 +142,17 @@
                 let detail = "`have` is no bitmap in hexadecimal";
                 Failure::not_run(Cause::BadRequest, detail)
             })?;
-            Ask::Fetch {
+            Operation::Fetch {
                 epoch: body.epoch,
                 have,
-                step: number(step)?,
+                step: step_number(step)?,
                 version: body.weight_version,
-                wait: Millis(body.wait_ms.min(LONGEST_WAIT.0)),
+                wait: Millis(body.wait_ms.min(MAX_FETCH_WAIT.0)),
             }
         }
         _ => return Err(not_found()),
     };
-    Ok(((*team).to_owned(), (*trainer).to_owned(), ask))
+    Ok(((*team).to_owned(), (*trainer).to_owned(), operation))
 }
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
@@ -160,7 +160,7 @@
         .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))
 }
 
-fn number(text: &str) -> Result<u64, Failure> {
+fn step_number(text: &str) -> Result<u64, Failure> {
     text.parse().map_err(|_| {
         let detail = format!("`{text}` is no step number");
         Failure::not_run(Cause::BadRequest, detail)
