--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -123,13 +123,13 @@
         let (parts, body) = request.into_parts();
         let expected = body.size_hint().upper();
         let is_buffered = expected.is_some_and(|size| size <= MAX_BUFFERED_BODY as u64);
-        let (first, streamed) = match is_buffered {
+        let (buffered, streamed) = match is_buffered {
             true => (read_body(body, MAX_BUFFERED_BODY).await?, None),
             false => (Bytes::new(), Some(body)),
         };
         let claim_path = self.claim_key(id, &target, &options).await?;
         let work = Work::Call(CallHead {
-            body: first,
+            body: buffered,
             headers: forwarded_headers(&parts.headers),
             method: parts.method.to_string(),
             path: rest,
@@ -180,8 +180,8 @@
                 let detail = "too many request keys wait to be claimed";
                 Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(500))
             })?;
-        let left = options.deadline.since(self.clock.now());
-        match timeout(left.as_duration(), outcome).await {
+        let time_left = options.deadline.since(self.clock.now());
+        match timeout(time_left.as_duration(), outcome).await {
             Ok(Ok(outcome)) => outcome.map(|()| Some(path)),
             Ok(Err(_)) => Err(Failure::not_run(Cause::Draining, "the entry is stopping")),
             Err(_) => {
--- a/src/entry/entry_handle.rs
+++ b/src/entry/entry_handle.rs
@@ -9,7 +9,7 @@
     forward::Forwarder,
     front,
     learner,
-    peer_server::{self, Peers},
+    peer_server::{self, PeerApi},
     request_ids::RequestIds,
     rollout::{self, RolloutInputs},
     traffic,
@@ -83,7 +83,7 @@
             forward: forward.clone(),
             rollout: rollout_tx,
         };
-        let peers = Peers {
+        let peers = PeerApi {
             directory: directory.clone(),
             hello: hello.clone(),
             trainers: trainers.clone(),
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -55,11 +55,11 @@
                 pools.entry(pool).or_default().push(instance);
             }
         }
-        let me = &self.settings.common.instance;
+        let own_name = &self.settings.common.instance;
         let mut wanted = BTreeMap::new();
         for pool in pools.into_values() {
             let names = pool.iter().map(|instance| instance.name.as_str());
-            let chosen: BTreeSet<&str> = subset::choose(me, names, subset::SUBSET_SIZE)
+            let chosen: BTreeSet<&str> = subset::choose(own_name, names, subset::SUBSET_SIZE)
                 .into_iter()
                 .collect();
             let kept = pool
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -42,14 +42,14 @@
 
 /// What other entries may ask for.
 #[derive(Clone)]
-pub(super) struct Peers {
+pub(super) struct PeerApi {
     pub(super) directory: watch::Receiver<Arc<Directory>>,
     pub(super) hello: Hello,
     pub(super) trainers: TrainerApi,
 }
 
 /// Answers until the program stops.
-pub(super) async fn run(context: Context, listener: std::net::TcpListener, peers: Peers) {
+pub(super) async fn run(context: Context, listener: std::net::TcpListener, peers: PeerApi) {
     context.drained();
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
@@ -73,7 +73,7 @@
 }
 
 /// Answers the one request of a connection.
-async fn serve(stream: TcpStream, peers: Peers) {
+async fn serve(stream: TcpStream, peers: PeerApi) {
     let Ok(opened) = handshake(stream, &peers.hello).await else {
         return;
     };
@@ -109,7 +109,7 @@
     tokio::join!(link, exchange);
 }
 
-async fn answer(peers: &Peers, head: CallHead) -> (StatusCode, Bytes) {
+async fn answer(peers: &PeerApi, head: CallHead) -> (StatusCode, Bytes) {
     let (path, query) = head.path.split_once('?').unwrap_or((&head.path, ""));
     if path == DIRECTORY_PATH {
         let update = wait_for_update(
@@ -124,7 +124,7 @@
 
 /// What is newer than the peer's settings and list, as soon as anything is,
 /// or nothing after the hold.
-async fn wait_for_update(peers: &Peers, revision: u64, stamp: u64) -> Bytes {
+async fn wait_for_update(peers: &PeerApi, revision: u64, stamp: u64) -> Bytes {
     let mut watch = peers.directory.clone();
     let any = watch.wait_for(|now| now.is_loaded() && now.update_since(revision, stamp).is_some());
     let _ = tokio::time::timeout(LONG_POLL_TIMEOUT.as_duration(), any).await;
--- a/src/entry/swaps.rs
+++ b/src/entry/swaps.rs
@@ -108,7 +108,7 @@
                 lease: ownership::lease_path(key),
                 model: model.clone(),
             };
-            let name = view.servers.iter().find(|one| one.key == server);
+            let chosen_view = view.servers.iter().find(|view| view.key == server);
             tracing::info!(
                 target: "decision",
                 team = key.0,
@@ -116,7 +116,7 @@
                 model,
                 version = target.0,
                 fence,
-                chosen = name.map(|one| one.name.as_str()),
+                chosen = chosen_view.map(|view| view.name.as_str()),
                 lagging = engines.len(),
                 reason = "oldest weights first",
                 "swap"
