--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers: one application call from its arrival to its answer.
+//! The HTTP API for callers: answers application calls.
 
 use super::{
     call_options::{Options, forwarded_headers, read_options},
@@ -34,25 +34,29 @@
     time::timeout, //
 };
 
-/// What is needed to answer callers.
+/// What is needed to answer application calls; cheap to clone.
 #[derive(Clone)]
 pub(super) struct AppApi {
+    /// Requests to the duty that claims request keys.
     pub(super) claims: mpsc::Sender<ClaimRequest>,
     pub(super) clock: Clock,
+    /// Receives the ids of requests whose whole answer was handed over.
     pub(super) delivered: mpsc::Sender<RequestId>,
     pub(super) directory: watch::Receiver<Arc<Directory>>,
     pub(super) request_ids: RequestIds,
     pub(super) traffic: mpsc::Sender<Command>,
 }
 
-/// The header of an answer that names the settings it was made under.
+/// The response header with the revision of the settings that were in force when the
+/// call arrived.
 const REVISION_HEADER: &str = "redwing-settings-revision";
 
-/// The bytes of a body that is gathered before the call is routed, so that
-/// it can be sent to a second server.
+/// The largest body, in bytes, that is read whole before the call is routed, so that it
+/// can be sent again to another server. Larger bodies, and those of unknown length, are
+/// streamed.
 const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
-/// The bytes of a request to an engine.
+/// The largest body of a call to an engine pool, in bytes.
 const MAX_CHAT_BODY: usize = 160 * 1024;
 
 impl AppApi {
@@ -72,6 +76,7 @@
         answer
     }
 
+    /// Finds the class of the call, and runs the call in the pool of the class.
     async fn route(&self, id: RequestId, request: Request<Incoming>) -> Result<Answer, Failure> {
         let path = request.uri().path_and_query();
         let path = path.map_or("/", |path| path.as_str()).to_owned();
@@ -85,6 +90,7 @@
         }
     }
 
+    /// Runs a call to an engine pool.
     async fn chat_call(
         &self,
         id: RequestId,
@@ -112,6 +118,7 @@
         answer
     }
 
+    /// Runs a call to a service pool.
     async fn service_call(
         &self,
         id: RequestId,
@@ -157,8 +164,9 @@
         }
     }
 
-    /// Claims the key of a call that must run at most once, before anything
-    /// of it leaves this process; returns the key's row.
+    /// Claims the request key of a non-idempotent call, before any part of the call
+    /// leaves this process. Returns the path of the key's row; `None` if the call needs
+    /// no claim.
     async fn claim_key(
         &self,
         request: RequestId,
@@ -191,17 +199,18 @@
         }
     }
 
-    /// Gives a claimed key back if its call did not run.
+    /// Releases a claimed key if its call did not run.
     fn release_key(&self, claim_path: Option<String>, failure: &Failure) {
         if let Some(path) = claim_path
             && !failure.verdict.may_have_run()
         {
-            // If the ring is full the key stays claimed: the caller's repeat
-            // is refused as a duplicate, which errs on the safe side.
+            // If the queue is full, the key stays claimed. A repeat of the call is then
+            // refused as a duplicate, which is safe.
             let _ = self.claims.try_send(ClaimRequest::Release(path));
         }
     }
 
+    /// Passes the call to the traffic duty; returns the replies to it.
     fn start_call(
         &self,
         request: RequestId,
@@ -226,8 +235,8 @@
             team,
             work,
         };
-        // The ring's length bounds how far the traffic duty can fall behind;
-        // past it a call is refused at once rather than made to wait.
+        // The queue's length bounds how far the traffic duty can fall behind. When the
+        // queue is full, a call is refused at once rather than delayed.
         self.traffic
             .try_send(Command::Start(Box::new(call)))
             .map_err(|_| {
@@ -247,6 +256,7 @@
     }
 }
 
+/// The response to a service call, from the head of the backend server's response.
 fn response(status: u16, headers: Vec<(String, Bytes)>, mut replies: Replies) -> Answer {
     let length = headers
         .iter()
@@ -264,7 +274,8 @@
     answer
 }
 
-/// The answer of a generation, whole or streamed.
+/// The response to a generation: one JSON body, or server-sent events if the caller
+/// asked for a stream.
 async fn chat_response(call: ChatCall, mut replies: Replies) -> Result<Answer, Failure> {
     if !call.stream {
         let body = call.full_response(replies).await?;
@@ -282,6 +293,7 @@
     }
 }
 
+/// The failure of a call whose replies ended, or began with an unexpected one.
 fn ended_without_reply() -> Failure {
     Failure::may_have_run(Cause::LinkLost, "this entry ended the call without a word")
 }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -1,4 +1,4 @@
-//! How the traffic duty takes calls in, routes them and sends them out.
+//! How the traffic duty admits calls, routes them and sends them to agents.
 
 use super::{
     call::{Call, CallKey, OpenAttempt},
@@ -14,14 +14,14 @@
 use bytes::Bytes;
 use slotmap::Key;
 
-/// The wait before a call that found no server looks again.
+/// The delay before a call for which no server was found is routed again.
 const NO_SERVER_RETRY_DELAY: Millis = Millis(50);
 
-/// How long a call looks for a server before it is refused.
+/// How long after its admission a call may wait for a server.
 const NO_SERVER_TIMEOUT: Millis = Millis(2_000);
 
 impl Traffic {
-    /// Takes a call in, or refuses it.
+    /// Admits a call and routes it, or refuses it.
     pub(super) fn admit_call(&mut self, new: NewCall) {
         let now = self.context.clock.now();
         let request = new.request;
@@ -34,7 +34,7 @@
                 team = new.team,
                 class = new.class,
                 cause = cause.word(),
-                "shed"
+                "call refused by admission"
             );
             self.ledger
                 .note(now, request, Event::Failed { cause, verdict });
@@ -48,7 +48,8 @@
         self.route(key);
     }
 
-    /// Finds a server for the call and hands it over.
+    /// Chooses a server for the call and starts an attempt there. If no server is
+    /// eligible, the call waits or fails.
     pub(super) fn route(&mut self, key: CallKey) {
         let now = self.context.clock.now();
         let Some(call) = self.calls.get(key) else {
@@ -73,23 +74,24 @@
             chosen = self.servers.get(server).map(|s| s.instance.name.as_str()),
             reason = reason.word(),
             attempt = call.attempts,
-            "routed"
+            "call routed"
         );
         self.start_attempt(key, server, reason, now);
     }
 
-    /// A further part of a request's body.
+    /// Sends a further part of a request's body to the agent that has the request.
     pub(super) fn forward_body(&mut self, request: RequestId, bytes: Bytes, last: bool) {
         self.send_to_current(request, |slot| ToAgent::Data { slot, bytes, last });
     }
 
+    /// The servers of the call's pool, as the router sees them.
     fn candidates(&self, call: &Call, now: Millis) -> Vec<Candidate<ServerKey>> {
         let pool = self
             .servers
             .iter()
             .filter(|(_, server)| server.instance.pool.as_deref() == Some(&call.spec.pool));
         let all: Vec<(ServerKey, &Server)> = pool.collect();
-        // When all were tried, each may be tried again.
+        // Once all have been tried, each may be tried again.
         let exhausted = all.iter().all(|(key, _)| call.tried.contains(key));
         all.into_iter()
             .map(|(key, server)| {
@@ -98,6 +100,8 @@
                     .model()
                     .is_some_and(|model| !server.has_weights(model, call.spec.min_version));
                 let mut candidate = server.candidate(key, now, tried || lacks_weights);
+                // The baseline ignores whether the agent takes new work, and whether this
+                // call has tried the server.
                 if self.settings.policy == Policy::Baseline {
                     candidate.eligible = server.link.is_some() && server.listed && !lacks_weights;
                 }
@@ -106,6 +110,8 @@
             .collect()
     }
 
+    /// Chooses a server. Instead of a random number, the router gets a hash of the request
+    /// id and the number of attempts.
     fn choose(
         &self,
         call: &Call,
@@ -120,6 +126,7 @@
         router::choose(self.settings.policy, candidates, self.sequence, draw)
     }
 
+    /// Sends the call to `server`.
     fn start_attempt(&mut self, key: CallKey, server: ServerKey, reason: Reason, now: Millis) {
         let attempt = self.attempts.insert(OpenAttempt {
             call: key,
@@ -158,13 +165,14 @@
             .as_ref()
             .is_some_and(|link| link.try_send(start));
         if !sent {
-            // Nothing of it left this process.
+            // No part of the call has left this process.
             let detail = "the link to the agent takes no more";
             let failure = Failure::not_run(Cause::LinkLost, detail);
             self.fail_attempt(attempt, failure);
         }
     }
 
+    /// Has the call routed again after a delay, or fails it if it has waited too long.
     fn retry_routing(&mut self, key: CallKey, now: Millis) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! One call under way at an entry.
+//! One call in progress at an entry.
 
 use super::{
     command::{NewCall, Reply},
@@ -11,41 +11,45 @@
 };
 
 slotmap::new_key_type! {
-    /// A call's place in the entry's arena.
+    /// Identifies a call in the traffic duty.
     pub struct CallKey;
 
-    /// A hand-over's place; its number is the slot on the link.
+    /// Identifies an attempt in the traffic duty; its number is the slot on the link.
     pub struct AttemptKey;
 }
 
-/// One hand-over of a call to an agent.
+/// An attempt in progress: a call that was sent to an agent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenAttempt {
     pub(super) call: CallKey,
-    /// When the call was handed over.
+    /// When the call was sent.
     pub(super) sent: Millis,
     pub(super) server: ServerKey,
 }
 
-/// The length to which generations' times are scaled.
+/// The number of tokens to which the durations of generations are scaled.
 const REFERENCE_TOKENS: f64 = 32.0;
 
 /// A call from its admission to its last reply.
 pub(super) struct Call {
+    /// The number of attempts so far.
     pub(super) attempts: u8,
+    /// The attempt in progress.
     pub(super) current: Option<AttemptKey>,
-    /// Whether an attempt that is over may have run.
+    /// Whether an attempt that has ended may have run.
     pub(super) may_have_run: bool,
     pub(super) spec: NewCall,
-    /// When to look for a server again; only while no attempt is under way.
+    /// When to route the call again; counts only while no attempt is in progress.
     pub(super) next_try: Millis,
     pub(super) admitted_at: Millis,
+    /// The weight versions of the confirmed tokens.
     pub(super) spans: Vec<Span>,
     /// The tokens of a generation so far.
     pub(super) tokens: Tokens,
-    /// Servers that were tried and failed.
+    /// The servers on which an attempt failed.
     pub(super) tried: Vec<ServerKey>,
-    /// Whether the caller has part of an answer that can't be gone on with.
+    /// Whether the caller has seen part of an answer that another attempt can't
+    /// continue.
     pub(super) visible: bool,
 }
 
@@ -69,7 +73,7 @@
         }
     }
 
-    /// The call as the retry policy sees it.
+    /// What the retry policy decides by.
     pub(super) fn retry_input(&self) -> Attempt {
         let replayable = match &self.spec.work {
             Work::Call(head) => head.whole,
@@ -84,8 +88,8 @@
         }
     }
 
-    /// Drops the tokens whose version was not confirmed, so that another
-    /// engine goes on behind the last certain one.
+    /// Drops the tokens whose weight version was not confirmed, so that the next engine
+    /// continues after the last confirmed one.
     pub(super) fn drop_unconfirmed(&mut self) {
         let confirmed = self.spans.last().map_or(0, |span| span.to);
         if self.tokens.len() > confirmed {
@@ -94,8 +98,8 @@
         }
     }
 
-    /// How long the attempt took, in milliseconds, made comparable between
-    /// generations of different lengths.
+    /// The duration of the attempt in ms. That of a generation is scaled to
+    /// `REFERENCE_TOKENS`, so that generations of different lengths are comparable.
     pub(super) fn scaled_duration(&self, attempt: OpenAttempt, now: Millis) -> f64 {
         let elapsed = now.since(attempt.sent).0 as f64;
         match &self.spec.work {
@@ -104,7 +108,7 @@
         }
     }
 
-    /// The model asked for, if it is a generation.
+    /// The model of a generation; `None` for a service call.
     pub(super) fn model(&self) -> Option<&str> {
         match &self.spec.work {
             Work::Call(_) => None,
@@ -112,12 +116,12 @@
         }
     }
 
-    /// Passes `reply` on; false when the caller is gone or broke its window.
+    /// Queues `reply` for the caller; false if the caller has left or its queue is full.
     pub(super) fn reply(&self, reply: Reply) -> bool {
         self.spec.reply.try_send(reply).is_ok()
     }
 
-    /// The work for the next attempt.
+    /// The work for the next attempt; a generation continues after the tokens so far.
     pub(super) fn work(&self) -> Work {
         let mut work = self.spec.work.clone();
         if let Work::Generate(generation) = &mut work {
--- a/src/entry/call_options.rs
+++ b/src/entry/call_options.rs
@@ -1,4 +1,4 @@
-//! What a caller says about its call, in headers.
+//! The options of a call, which the caller sets in request headers.
 
 use super::call_target::Target;
 use crate::{
@@ -12,24 +12,26 @@
     header::{AUTHORIZATION, HeaderMap}, //
 };
 
-/// The header with which a caller says whether a call may be repeated.
+/// The header that says whether the call is idempotent.
 const IDEMPOTENT_HEADER: &str = "redwing-idempotent";
 
-/// The header with a call's time in milliseconds.
+/// The header with the time limit of the call, in ms.
 const DEADLINE_HEADER: &str = "redwing-deadline-ms";
 
-/// The bytes of a request key.
+/// The largest length of a request key, in bytes.
 const MAX_KEY_LENGTH: usize = 128;
 
-/// What a caller asks of a class.
+/// The options of one call.
 pub(super) struct Options {
-    /// The point in time at which the call's time is over.
+    /// When the call's time limit ends.
     pub(super) deadline: Millis,
+    /// Whether the call may run more than once.
     pub(super) idempotent: bool,
+    /// The caller's key for the call; the same in all repeats of the call.
     pub(super) key: Option<String>,
 }
 
-/// Reads what the caller says about the call itself.
+/// Reads the options from the headers; the class and the method give the defaults.
 pub(super) fn read_options(
     target: &Target,
     now: Millis,
@@ -50,8 +52,8 @@
             Millis(number)
         }
     };
-    // Engines' answers have no effects; for services the method decides, as
-    // HTTP defines it, unless the caller says otherwise.
+    // Generations have no side effects. For services, the HTTP method decides unless the
+    // caller sets the header.
     let by_method = target.kind == BackendKind::Engine || method.is_idempotent();
     let idempotent = match header(IDEMPOTENT_HEADER) {
         None => by_method,
@@ -78,7 +80,7 @@
     })
 }
 
-/// The caller's headers that a service gets to see.
+/// The caller's headers that are forwarded to the service.
 pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     headers
         .iter()
--- a/src/entry/call_target.rs
+++ b/src/entry/call_target.rs
@@ -1,4 +1,4 @@
-//! The class that a call is for.
+//! Finds the class that a call is for.
 
 use super::directory::Directory;
 use crate::{
@@ -11,17 +11,20 @@
     HeaderMap, //
 };
 
-/// A class and its team, as found for a call.
+/// The class of a call, and what else its team and pool specify for the call.
 pub(super) struct Target {
     pub(super) class: ClassSettings,
     pub(super) kind: BackendKind,
+    /// The limits on calls in progress.
     pub(super) limits: Limits,
+    /// The names of the team and the class.
     pub(super) names: (String, String),
+    /// How many retries a hundred successful calls of the team pay for.
     pub(super) retry_share: u64,
 }
 
 impl Target {
-    /// Finds the class that `path` names, and the path behind it.
+    /// Finds the class in `/v1/app/TEAM/CLASS/REST`; returns it with the path `/REST`.
     pub(super) fn find(
         directory: &Directory,
         path: &str,
@@ -63,6 +66,7 @@
     }
 }
 
+/// Whether the key in the `authorization` header permits calls of an internal class.
 fn may_call(team: &TeamSettings, class: &str, headers: &HeaderMap) -> bool {
     let value = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
     let key = value.and_then(|value| value.strip_prefix("Bearer "));
--- a/src/entry/chat_api.rs
+++ b/src/entry/chat_api.rs
@@ -1,7 +1,7 @@
-//! The completions and chat requests that callers send to engine pools.
+//! The completion and chat requests that callers send to engine pools.
 //!
-//! The subset: `model`, `prompt` or `messages`, `max_tokens`, `temperature`,
-//! `seed`, `stream`. A member outside it is refused rather than ignored.
+//! Supported members are `model`, `prompt` or `messages`, `max_tokens`, `temperature`,
+//! `seed` and `stream`. A request with any other member is refused.
 
 use super::reply_body::{
     Body,
@@ -27,13 +27,15 @@
 
 use super::command::Reply;
 
-/// Which of the two shapes a caller speaks.
+/// The API endpoint that a caller uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Endpoint {
     Chat,
     Completion,
 }
 
+/// The body of a request. Serde puts the name of this type into error texts, which are
+/// sent to callers, so the name can't change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Asked {
@@ -50,20 +52,21 @@
     temperature: f32,
 }
 
-/// A caller's request to an engine pool.
+/// A parsed request to an engine pool.
 pub(super) struct ChatCall {
     pub(super) generation: Generation,
     pub(super) endpoint: Endpoint,
     pub(super) stream: bool,
 }
 
-/// What we add to the protocol's answers.
+/// Our extension of the response: which weight versions generated the tokens.
 #[derive(Serialize)]
 struct Provenance<'a> {
     request_id: String,
     weight_versions: &'a [Span],
 }
 
+/// The body of a response, or one event of a streamed response.
 #[derive(Serialize)]
 struct CompletionResponse<'a> {
     choices: [Choice; 1],
@@ -90,7 +93,7 @@
 }
 
 impl Endpoint {
-    /// The shape that is asked for at `path`.
+    /// The endpoint at `path`.
     pub(super) fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/chat/completions" => Some(Self::Chat),
@@ -99,6 +102,7 @@
         }
     }
 
+    /// The value of the member `object`.
     fn object(self, stream: bool) -> &'static str {
         match (self, stream) {
             (Self::Chat, false) => "chat.completion",
@@ -107,6 +111,7 @@
         }
     }
 
+    /// The one choice in a response or event, with `text` as its content.
     fn choice(self, text: String, stream: bool, finish: Option<Finish>) -> Choice {
         let finish_reason = finish.map(|finish| finish.word().to_owned());
         let empty = Choice {
@@ -137,7 +142,7 @@
 }
 
 impl ChatCall {
-    /// Reads a request body of `endpoint`.
+    /// Parses the body of a request to `endpoint`.
     pub(super) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, Failure> {
         let refuse = |detail: String| Failure::not_run(Cause::BadRequest, detail);
         let request: Asked =
@@ -172,7 +177,7 @@
         })
     }
 
-    /// Gathers the whole answer.
+    /// Waits for the whole generation; returns the body of the response.
     pub(super) async fn full_response(&self, mut replies: Replies) -> Result<Bytes, Failure> {
         let mut tokens = Tokens::default();
         let mut spans: Vec<Span> = Vec::new();
@@ -208,7 +213,7 @@
         Err(Failure::may_have_run(Cause::LinkLost, "the answer was cut"))
     }
 
-    /// The answer as server-sent events, beginning with `first`.
+    /// The response as server-sent events; `first` is the first reply to the call.
     pub(super) fn event_stream(self, first: Reply, replies: Replies) -> Body {
         let stream = ResponseStream {
             call: self,
@@ -232,25 +237,28 @@
     }
 }
 
-/// A streamed answer under way.
+/// A streamed response in progress.
 struct ResponseStream {
     call: ChatCall,
-    /// Whether the last event was sent, and whether it was the whole answer.
+    /// Set once the last event was sent: whether the answer was whole.
     ended: Option<bool>,
     first: Option<Reply>,
     replies: Replies,
-    /// Tokens that the caller has seen.
+    /// The number of tokens sent to the caller.
     sent_tokens: u32,
     spans: Vec<Span>,
 }
 
+/// The next item of a streamed response.
 enum StreamItem {
+    /// The response breaks off, for this reason.
     Error(String),
     End,
     Events(String),
 }
 
 impl ResponseStream {
+    /// Waits for the next item.
     async fn next(&mut self) -> StreamItem {
         match self.ended {
             Some(true) => return StreamItem::End,
@@ -280,8 +288,8 @@
                 }
                 Some(Reply::Tokens(from, part)) => {
                     self.replies.return_credit(flow_cost(&part)).await;
-                    // Tokens that were taken back can't be unsaid: the stream
-                    // is cut rather than go on with another text.
+                    // Tokens that were sent can't be revoked, so the stream is broken off
+                    // rather than continued with another text.
                     if from < self.sent_tokens {
                         return StreamItem::Error("tokens shown could not be confirmed".to_owned());
                     }
@@ -297,6 +305,7 @@
         }
     }
 
+    /// One event, with further text or the finish reason.
     fn event(&self, text: String, finish: Option<Finish>) -> String {
         let call = &self.call;
         let provenance = finish.map(|_| provenance(self.replies.request, &self.spans));
@@ -312,6 +321,7 @@
     }
 }
 
+/// The prompt for the messages: one line each, with the role.
 fn chat_prompt(messages: &[Message]) -> String {
     let lines: Vec<String> = messages
         .iter()
@@ -331,6 +341,7 @@
     }
 }
 
+/// What the tokens cost of the flow-control window, without the message's own cost.
 fn flow_cost(part: &Tokens) -> usize {
     part.text().len() + 4 * part.len() as usize
 }
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -19,30 +19,32 @@
     oneshot, //
 };
 
-/// What the claimer is asked.
+/// A request to the claimer.
 pub(super) enum ClaimRequest {
-    /// The request did not run: the key is free again.
+    /// Release the key at this path, because its call did not run.
     Release(String),
+    /// Claim a key, and send the outcome.
     Take(PendingClaim, oneshot::Sender<Result<(), Failure>>),
 }
 
-/// The row of a claimed key.
+/// The row of a claimed key in the table.
 #[derive(Deserialize, Serialize)]
 struct Row {
     request: String,
 }
 
-/// The questions that may wait; further calls are refused.
+/// The requests that may wait; further calls with keys are refused.
 pub(super) const MAX_QUEUED_CLAIMS: usize = 512;
 
-/// How long a repeat of a key is recognised. Callers that got no answer ask
-/// again within minutes; an hour of keys at today's rate is some 50,000 rows.
+/// How long a claimed key is kept, and a repeat of its call recognised. Callers that got
+/// no answer repeat their call within minutes. One hour of keys is about 50,000 rows at
+/// the present rate.
 const KEY_RETENTION: Millis = Millis(3_600_000);
 
-/// How often old keys are looked for while no call comes.
+/// How often expired keys are removed while there are no requests.
 const CLEANUP_INTERVAL: Millis = Millis(1_000);
 
-/// Claims until the program stops.
+/// Runs the claimer until the program stops.
 pub(super) async fn run(
     context: Context,
     platform: SocketAddr,
@@ -64,8 +66,7 @@
             () = tokio::time::sleep(CLEANUP_INTERVAL.as_duration()) => {}
             () = context.reached(Phase::Stopped) => return,
         }
-        // All that came while the last transaction was under way goes into
-        // the next one.
+        // Requests that arrived during the last transaction go into the next one.
         while let Ok(request) = requests.try_recv() {
             claimer.accept(request);
         }
@@ -73,22 +74,26 @@
     }
 }
 
-/// The path of a team's request key in the table.
+/// The path of the row of a team's request key.
 pub(super) fn claim_path(team: &str, key: &str) -> String {
     let hash = blake3::hash(key.as_bytes()).to_hex();
     format!("claims/{team}/{hash}")
 }
 
+/// The state of the duty.
 struct Claimer {
     claims: ClaimQueue,
     context: Context,
     instance: String,
     platform: Platform,
+    /// Where the outcomes of claims are sent.
     replies: HashMap<RequestId, oneshot::Sender<Result<(), Failure>>>,
+    /// The number of transactions so far; part of their tokens.
     transactions: u64,
 }
 
 impl Claimer {
+    /// Queues a request, or refuses it if too many claims wait.
     fn accept(&mut self, request: ClaimRequest) {
         match request {
             ClaimRequest::Release(path) => self.claims.release(&path),
@@ -105,6 +110,7 @@
         }
     }
 
+    /// Writes transactions until no claim and no removal is due.
     async fn write_all(&mut self, requests: &mut mpsc::Receiver<ClaimRequest>) {
         while let Some(batch) = self.claims.next_batch(self.context.clock.now()) {
             self.write(batch).await;
@@ -114,6 +120,7 @@
         }
     }
 
+    /// Writes one transaction, and sends the outcomes of its claims.
     async fn write(&mut self, batch: Batch) {
         let transaction = self.transaction(&batch);
         match self.platform.transact(&transaction).await {
@@ -130,10 +137,10 @@
                     self.reply(&refused, ClaimOutcome::Taken(owner));
                 }
             }
-            // Without the table nobody can tell whether the key is new: the
-            // call is refused, truthfully as not run, and never run twice.
+            // Without the table, nobody knows whether the keys are new. The calls have
+            // not run and are refused as such, so that none runs twice.
             Err(error) => {
-                tracing::warn!(%error, "keys not claimed");
+                tracing::warn!(%error, "could not claim request keys");
                 for pending in &batch.claims {
                     self.reply(pending, ClaimOutcome::Undecided);
                 }
@@ -141,6 +148,7 @@
         }
     }
 
+    /// Sends the outcome of a claim to the call that waits for it.
     fn reply(&mut self, pending: &PendingClaim, outcome: ClaimOutcome) {
         let Some(reply) = self.replies.remove(&pending.request) else {
             return;
@@ -158,19 +166,21 @@
                 Err(failure.retry_after(Millis(1_000)))
             }
         });
-        // The caller went away or its deadline passed meanwhile: the call
-        // will not be made, so its key is free again.
+        // The caller has left or the deadline has passed in the meantime. The call will
+        // not be sent, so its key is released.
         if sent.is_err() && outcome == ClaimOutcome::Granted {
             self.claims.release(&pending.path);
         }
     }
 
+    /// The request that owns the key at `path`.
     async fn owner(&self, path: &str) -> Option<RequestId> {
         let row = self.platform.get(path).await.ok()??;
         let row: Row = serde_json::from_str(&row.value).ok()?;
         row.request.parse().ok()
     }
 
+    /// The transaction for `batch`.
     fn transaction(&mut self, batch: &Batch) -> Transaction {
         self.transactions += 1;
         let token = stable_hash(&[
--- a/src/entry/command.rs
+++ b/src/entry/command.rs
@@ -1,4 +1,4 @@
-//! What other duties ask of the traffic duty.
+//! Commands to the traffic duty, and its replies to calls.
 
 use super::{
     server::ServerKey,
@@ -15,70 +15,81 @@
     oneshot, //
 };
 
-/// A request to be routed, run and answered.
+/// A call to be routed, run and answered.
 pub(super) struct NewCall {
     pub(super) class: String,
     pub(super) deadline: Millis,
     pub(super) idempotent: bool,
+    /// The request key that the caller set.
     pub(super) key: Option<String>,
     pub(super) limits: Limits,
-    /// The oldest weights that will do, for generations.
+    /// The oldest acceptable weight version, for generations.
     pub(super) min_version: WeightVersion,
     pub(super) pool: String,
     pub(super) priority: Priority,
+    /// Receives the replies to the call.
     pub(super) reply: mpsc::Sender<Reply>,
     pub(super) request: RequestId,
-    /// The share of the team's successes that may be retried, in percent.
+    /// How many retries a hundred successful calls of the team pay for.
     pub(super) retry_share: u64,
     pub(super) team: String,
     pub(super) work: Work,
 }
 
-/// What comes back for a call.
+/// A reply from the traffic duty to the task that started a call.
 #[derive(Debug)]
 pub(super) enum Reply {
-    /// The agent took this much of the request's body.
+    /// The agent has consumed this many bytes of the request's body.
     Credit(u32),
+    /// A part of the response body of a service call.
     Data(Bytes),
+    /// The end of the answer; a generation has a finish reason.
     End(Option<Finish>),
     Failed(Failure),
+    /// The head of the response of a service call.
     Head {
         status: u16,
         headers: Vec<(String, Bytes)>,
     },
+    /// Confirmed weight versions of tokens.
     Spans(Vec<Span>),
-    /// Tokens from an index on; those before at these indices are void.
+    /// Tokens from an index on; they replace earlier tokens from there on.
     Tokens(u32, Tokens),
 }
 
-/// The replies that may wait for one call; the window bounds them by bytes,
-/// and each costs at least `MESSAGE_COST` of it.
+/// The replies that may wait for one call. The flow-control window bounds them, since
+/// each costs at least `MESSAGE_COST` of it.
 pub(super) const MAX_QUEUED_REPLIES: usize =
     (crate::wire::WINDOW / crate::wire::MESSAGE_COST) as usize + 8;
 
 /// A command to the traffic duty.
 pub(super) enum Command {
+    /// A further part of a request's body.
     Body {
         request: RequestId,
         bytes: Bytes,
         last: bool,
     },
+    /// The caller's side has consumed this many bytes of the answer.
     Credit {
         request: RequestId,
         bytes: u32,
     },
-    /// Whole answers of these were handed to their callers' connections.
+    /// The whole answers to these requests were handed to the callers' connections.
     Delivered(Vec<RequestId>),
+    /// What happened to a request.
     Explain(RequestId, oneshot::Sender<Result<Explanation, Failure>>),
+    /// An order to a server's engine.
     Order {
         order: Order,
         reply: oneshot::Sender<Result<EngineState, Failure>>,
         server: ServerKey,
     },
     Start(Box<NewCall>),
+    /// The current view of the fleet.
     View(oneshot::Sender<View>),
 }
 
-/// The commands that may wait. A full ring refuses new calls, and makes body
+/// The commands that may wait. When the queue is full, new calls are refused, and body
 /// parts and credit wait.
 pub(super) const MAX_QUEUED_COMMANDS: usize = 2_048;
--- a/src/entry/dialer.rs
+++ b/src/entry/dialer.rs
@@ -1,4 +1,4 @@
-//! Keeps a link to one agent up.
+//! Keeps the link to one agent open.
 
 use super::{
     server::ServerKey,
@@ -15,14 +15,15 @@
     time::timeout, //
 };
 
-/// The wait before the first new try; it doubles up to the last.
+/// The delay before the first new attempt to connect; it doubles up to the maximum.
 const MIN_RECONNECT_DELAY: Millis = Millis(50);
 const MAX_RECONNECT_DELAY: Millis = Millis(1_000);
 
-/// How long a connection may take to open.
+/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
-/// Dials `address` again and again until it is aborted.
+/// Opens a link to the agent at `address`, and a new one whenever it is lost; runs until
+/// its task is aborted.
 pub(super) async fn maintain_link(
     key: ServerKey,
     address: SocketAddr,
@@ -39,12 +40,11 @@
                     delay = MIN_RECONNECT_DELAY;
                     run_link(opened, key, inbox.clone(), LinkTuning::default()).await;
                 }
-                Err(error) => tracing::warn!(%address, %error, "no link"),
+                Err(error) => tracing::warn!(%address, %error, "handshake with the agent failed"),
             }
         }
         attempts += 1;
-        // After an outage all entries would dial at the same moment: each
-        // waits another share of the time.
+        // Jitter keeps the entries from all connecting at the same moment after an outage.
         let jitter = stable_hash(&[hello.instance.as_bytes(), &attempts.to_le_bytes()]) % 1_000;
         let jittered_delay = delay.0 / 2 + delay.0 * jitter / 1_000;
         tokio::time::sleep(Millis(jittered_delay).as_duration()).await;
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! How the traffic duty follows the platform's list.
+//! How the traffic duty follows the list of instances.
 
 use super::{
     dialer,
@@ -22,7 +22,8 @@
 };
 
 impl Traffic {
-    /// Follows the platform's list: links to the chosen subset of each pool.
+    /// Follows a new list of instances: opens links to the agents of this entry's subset
+    /// of each pool.
     pub(super) fn on_directory(&mut self, directory: &Directory) {
         let wanted = self.chosen_instances(&directory.instances);
         for server in self.servers.values_mut() {
@@ -48,6 +49,7 @@
         self.remove_unlisted();
     }
 
+    /// This entry's subset of each pool, by instance name.
     fn chosen_instances<'a>(&self, instances: &'a [Instance]) -> BTreeMap<&'a str, &'a Instance> {
         let mut pools: BTreeMap<&str, Vec<&Instance>> = BTreeMap::new();
         for instance in instances {
@@ -70,6 +72,7 @@
         wanted
     }
 
+    /// Adds a server, and starts the task that keeps its link open.
     fn add_server(&mut self, instance: Instance) {
         let (hello, inbox) = (self.hello.clone(), self.inbox.clone());
         let distance = self.settings.distance(&instance.data_centre);
@@ -93,8 +96,8 @@
         });
     }
 
-    /// Lets go of servers that the platform no longer lists, once nothing
-    /// of ours runs there.
+    /// Removes the servers that are no longer listed, once no request of this entry is in
+    /// flight there.
     pub(super) fn remove_unlisted(&mut self) {
         self.servers.retain(|_, server| {
             let keep = server.listed || server.in_flight > 0;
--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -1,4 +1,4 @@
-//! How the traffic duty takes answers and failures, and ends calls.
+//! How the traffic duty passes replies on, retries failed attempts and ends calls.
 
 use super::{
     call::{AttemptKey, Call, CallKey},
@@ -17,12 +17,12 @@
 };
 use slotmap::Key;
 
-/// How long after a deadline the agent's own word on it is waited for. Only
-/// the agent can say that a request did not run.
+/// How long after a call's deadline to wait for the agent's reply. Only the agent can say
+/// that a request did not run.
 const AGENT_GRACE: Millis = Millis(150);
 
 impl Traffic {
-    /// An answer that belongs to a call under way.
+    /// Takes a message from an agent that belongs to an attempt in progress.
     pub(super) fn on_call_message(&mut self, key: AttemptKey, call: CallKey, message: FromAgent) {
         let delivered = match message {
             FromAgent::Credit { bytes, .. } => self.reply_to(call, Reply::Credit(bytes)),
@@ -58,14 +58,14 @@
         }
     }
 
-    /// A link is gone: every request on it is settled by its verdict.
+    /// Takes the loss of a link: the attempts and orders on it fail.
     pub(super) fn on_link_down(&mut self, server: ServerKey, reason: &'static str) {
         let now = self.context.clock.now();
         let Some(state) = self.servers.get_mut(server) else {
             return;
         };
         let name = state.instance.name.clone();
-        tracing::info!(server = name, reason, "link down");
+        tracing::info!(server = name, reason, "link to agent lost");
         metrics::counter!("redwing_links_down_total", "reason" => reason).increment(1);
         state.link = None;
         state.health.record_failure(now);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// An attempt is over without a whole answer.
+    /// Ends an attempt that gave no whole answer; the call is retried or fails.
     pub(super) fn fail_attempt(&mut self, key: AttemptKey, failure: Failure) {
         let now = self.context.clock.now();
         let Some(attempt) = self.end_attempt(key) else {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The call ends with `failure`, told at once.
+    /// Ends the call, and sends `failure` to its caller.
     pub(super) fn fail_call(&mut self, key: CallKey, mut failure: Failure) {
         let now = self.context.clock.now();
         let Some(call) = self.remove(key) else {
@@ -163,7 +163,8 @@
         call.reply(Reply::Failed(failure));
     }
 
-    /// Notes that callers' connections were handed whole answers.
+    /// Records that the whole answers to `requests` were handed to the callers'
+    /// connections.
     pub(super) fn record_delivered(&mut self, requests: &[RequestId]) {
         let now = self.context.clock.now();
         for request in requests {
@@ -171,7 +172,8 @@
         }
     }
 
-    /// Looks at every call: callers gone, deadlines passed, waits over.
+    /// Checks every call. Ends it if the caller has left or the deadline has passed; routes
+    /// it if its delay is over.
     pub(super) fn check_calls(&mut self, now: Millis) {
         let keys: Vec<CallKey> = self.calls.keys().collect();
         for key in keys {
@@ -198,19 +200,21 @@
         }
     }
 
-    /// Nobody waits for the call any more.
+    /// Cancels a call whose caller has left, or does not read its replies.
     fn abandon(&mut self, key: CallKey) {
         self.cancel(key);
         let detail = "the caller is gone";
         self.fail_call(key, Failure::may_have_run(Cause::Cancelled, detail));
     }
 
+    /// Tells the agent that has the call to cancel it.
     fn cancel(&mut self, key: CallKey) {
         if let Some(call) = self.calls.get(key) {
             self.send_to_current(call.spec.request, |slot: Slot| ToAgent::Cancel { slot });
         }
     }
 
+    /// Removes an attempt.
     fn end_attempt(&mut self, key: AttemptKey) -> Option<super::call::OpenAttempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(server) = self.servers.get_mut(attempt.server) {
@@ -219,6 +223,7 @@
         Some(attempt)
     }
 
+    /// Ends a call whose attempt has succeeded, and sends the last reply.
     fn finish(&mut self, key: AttemptKey, call: CallKey, end: Reply) {
         let now = self.context.clock.now();
         let attempt = self.end_attempt(key);
@@ -249,7 +254,7 @@
         call.reply(end);
     }
 
-    /// Lets a failure count against the server, if it is the server's fault.
+    /// Records the failure in the server's circuit breaker, if the server is at fault.
     fn record_server_failure(&mut self, server: ServerKey, failure: &Failure, now: Millis) {
         let at_fault = matches!(
             failure.cause,
@@ -260,6 +265,7 @@
         }
     }
 
+    /// Records confirmed weight versions, and passes them on.
     fn on_spans(&mut self, key: CallKey, spans: Vec<Span>) -> bool {
         let Some(call) = self.calls.get_mut(key) else {
             return false;
@@ -268,6 +274,7 @@
         call.reply(Reply::Spans(spans))
     }
 
+    /// Removes a call, with its attempt in progress and its place in admission.
     fn remove(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(key)?;
         self.call_keys.remove(&call.spec.request);
--- a/src/entry/reply_body.rs
+++ b/src/entry/reply_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, as it comes from the agent.
+//! The replies to a call, and the response body that is made from them.
 
 use super::command::{
     Command,
@@ -24,27 +24,28 @@
     mpsc, //
 };
 
-/// A body that may end in an error.
+/// A response body that may end in an error.
 pub(super) type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// The replies to one call, with the credit that is owed for them.
+/// The replies to one call, and the credit that is owed for them.
 pub(super) struct Replies {
-    /// Told of requests whose whole answer was handed over.
+    /// Receives the ids of requests whose whole answer was handed over.
     pub(super) delivered: mpsc::Sender<RequestId>,
-    /// The body's length, once it is known.
+    /// The length of the body, if the response has a `content-length`.
     pub(super) expected_length: Option<u64>,
+    /// The credit for consumed replies that was not returned to the agent yet.
     pub(super) owed_credit: u32,
     /// The bytes of the body handed over so far.
     pub(super) bytes_sent: u64,
     pub(super) receiver: mpsc::Receiver<Reply>,
     pub(super) request: RequestId,
     pub(super) traffic: mpsc::Sender<Command>,
-    /// What the request's body may still send.
+    /// The flow-control window of the request's body.
     pub(super) window: Arc<Semaphore>,
 }
 
 impl Replies {
-    /// The next reply; the credit of request bodies is taken out.
+    /// The next reply. Credit for the request's body goes to `window` instead.
     pub(super) async fn next(&mut self) -> Option<Reply> {
         loop {
             match self.receiver.recv().await? {
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Notes that `payload` bytes of one message were taken; the agent learns
-    /// of it in larger parts.
+    /// Records that a message with `payload` bytes was consumed. The credit is returned to
+    /// the agent once half a window is owed.
     pub(super) async fn return_credit(&mut self, payload: usize) {
         self.owed_credit += payload as u32 + MESSAGE_COST;
         if self.owed_credit < WINDOW / 2 {
@@ -71,15 +72,15 @@
         let _ = self.traffic.send(credit).await;
     }
 
-    /// The whole answer was handed over.
+    /// Reports that the whole answer was handed to the caller's connection.
     pub(super) fn mark_delivered(&mut self) {
         self.expected_length = None;
-        // Full only under extreme load: the account then says that delivery
-        // is not known, which is true.
+        // The queue is full only under extreme load. The request's account then shows no
+        // delivery, so that the delivery counts as unknown, which is true.
         let _ = self.delivered.try_send(self.request);
     }
 
-    /// The rest of a plain call's answer.
+    /// The rest of the answer to a service call, as a response body.
     pub(super) fn into_body(self) -> Body {
         let frames = futures_util::stream::unfold(Some(self), |state| async {
             let mut replies = state?;
@@ -102,8 +103,8 @@
 }
 
 impl Drop for Replies {
-    /// A body of known length is dropped as soon as its last byte was taken,
-    /// without being asked for its end.
+    /// The HTTP server drops a body of known length after its last byte, without reading
+    /// its end.
     fn drop(&mut self) {
         if self.expected_length == Some(self.bytes_sent) {
             self.mark_delivered();
@@ -111,8 +112,8 @@
     }
 }
 
-/// The error that ends a body early: the connection is closed before the
-/// body's end marker, so nobody takes the part for the whole.
+/// The error that ends a body early. The connection is closed without the end marker of
+/// the body, so that the caller does not take a part for the whole.
 pub(super) fn body_error(detail: &str) -> io::Error {
     io::Error::other(detail.to_owned())
 }
--- a/src/entry/request_body.rs
+++ b/src/entry/request_body.rs
@@ -1,4 +1,4 @@
-//! The bodies of callers' requests.
+//! Reads the bodies of callers' requests.
 
 use super::command::Command;
 use crate::{
@@ -17,10 +17,10 @@
     time::timeout, //
 };
 
-/// How long a body, or the next part of a streamed one, may take to arrive.
+/// How long a whole body, or the next part of a streamed one, may take to arrive.
 const BODY_TIMEOUT: Millis = Millis(10_000);
 
-/// Sends a streamed body on as fast as the service takes it.
+/// Sends a body to the agent in parts, as fast as the service consumes them.
 pub(super) async fn stream_body(
     mut body: Incoming,
     request: RequestId,
@@ -35,8 +35,8 @@
                 Err(_) => continue,
             },
             Ok(None) => break,
-            // The caller went away or stalled: the service gets no end of the
-            // body, so it can't take the part for the whole.
+            // The caller has left or stalled. The service gets no end of the body, so it
+            // can't take a part for the whole.
             Ok(Some(Err(_))) | Err(_) => return,
         };
         while !data.is_empty() {
@@ -64,7 +64,7 @@
     let _ = traffic.send(last).await;
 }
 
-/// Gathers a body of at most `limit` bytes.
+/// Reads a whole body of at most `limit` bytes.
 pub(super) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Failure> {
     let gathered = Limited::new(body, limit).collect();
     match timeout(BODY_TIMEOUT.as_duration(), gathered).await {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -8,36 +8,40 @@
 };
 use tokio::task::JoinHandle;
 
-/// What a server of which nothing is known is taken to need, in ms: it gets a request
-/// soon, which tells.
+/// The assumed latency, in ms, of a server where no request has completed yet. It is low,
+/// so that the server soon gets a request and its latency becomes known.
 pub(super) const DEFAULT_LATENCY_MS: f64 = 1.0;
 
 slotmap::new_key_type! {
-    /// A server's place in the entry's arena.
+    /// Identifies a server in the traffic duty.
     pub struct ServerKey;
 }
 
 /// A backend server and the link to its agent.
 pub(super) struct Server {
+    /// The task that keeps the link open.
     pub(super) dialer: JoinHandle<()>,
+    /// The one-way delay to its data centre.
     pub(super) distance: Millis,
     pub(super) health: CircuitBreaker,
+    /// This entry's requests in flight there.
     pub(super) in_flight: u32,
     pub(super) instance: Instance,
+    /// The link to its agent, while it is open.
     pub(super) link: Option<Link<ToAgent>>,
-    /// Whether the platform still lists it.
+    /// Whether it is in the latest list of instances, and in this entry's subset.
     pub(super) listed: bool,
     pub(super) latency: Latency,
+    /// The agent's last report.
     pub(super) report: Report,
-    /// When the report came.
+    /// When the report arrived.
     pub(super) reported_at: Millis,
-    /// This entry's requests there when the report came.
+    /// This entry's requests in flight there when the report arrived.
     pub(super) own_at_report: u32,
 }
 
 impl Server {
-    /// The server as the router sees it. The baseline goes by the platform's
-    /// list alone.
+    /// The server as the router sees it; an excluded server is not eligible.
     pub(super) fn candidate(
         &self,
         key: ServerKey,
@@ -57,21 +61,21 @@
         }
     }
 
-    /// Whether the model's weights there are whole and at least `min_version`.
+    /// Whether the server has confirmed weights of the model, of `min_version` or newer.
     pub(super) fn has_weights(&self, model: &str, min_version: WeightVersion) -> bool {
         let version = self.report.engine.version(model);
         version.is_some_and(|version| version >= min_version)
     }
 
-    /// Notes what the agent says of itself.
+    /// Records the agent's report.
     pub(super) fn record_report(&mut self, now: Millis, report: Report) {
         self.reported_at = now;
         self.own_at_report = self.in_flight;
         self.report = report;
     }
 
-    /// Whether new work may go there at all. The agent's own word counts
-    /// before the platform's list, which lags.
+    /// Whether the server takes new work. The agent's report can exclude a server that the
+    /// platform still lists, because the list lags behind.
     pub(super) fn accepts_work(&self) -> bool {
         self.link.is_some()
             && self.listed
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -1,4 +1,4 @@
-//! The duty that owns the links to agents and every call under way.
+//! The duty that owns the links to agents and all calls in progress.
 
 use super::{
     call::{AttemptKey, Call, CallKey, OpenAttempt},
@@ -34,49 +34,55 @@
     time::{MissedTickBehavior, interval}, //
 };
 
-/// What the links tell the traffic duty.
+/// An event on the link to an agent.
 pub(super) type TrafficEvent = LinkEvent<ServerKey, FromAgent, ToAgent>;
 
-/// An order that waits for its outcome.
+/// An order to an engine whose outcome is not known yet.
 pub(super) struct PendingOrder {
     pub(super) reply: oneshot::Sender<Result<EngineState, Failure>>,
     pub(super) server: ServerKey,
 }
 
-/// All that the traffic duty owns.
+/// The state of the traffic duty.
 pub(super) struct Traffic {
     pub(super) admission: Admission,
     pub(super) attempts: SlotMap<AttemptKey, OpenAttempt>,
+    /// By team and pool.
     pub(super) retry_budgets: HashMap<(String, String), RetryBudget>,
     pub(super) calls: SlotMap<CallKey, Call>,
     pub(super) context: Context,
     pub(super) hello: Hello,
     pub(super) call_keys: HashMap<RequestId, CallKey>,
+    /// Receives the events of all links; cloned into the task of each link.
     pub(super) inbox: mpsc::Sender<TrafficEvent>,
     pub(super) request_ids: RequestIds,
     pub(super) ledger: Ledger,
     pub(super) orders: HashMap<Slot, PendingOrder>,
+    /// Queries to agents for a request's account.
     pub(super) queries: HashMap<Slot, super::explain::PendingQuery>,
     pub(super) servers: SlotMap<ServerKey, Server>,
     pub(super) settings: EntrySettings,
+    /// Increases with every call that is routed, and with every slot for a query or an
+    /// order.
     pub(super) sequence: u64,
     view: watch::Sender<Arc<View>>,
+    /// When the last view was sent.
     view_sent: Millis,
 }
 
-/// How often deadlines are looked at.
+/// How often deadlines are checked.
 const TICK_INTERVAL: Millis = Millis(25);
 
-/// How often the step duty gets a new view.
+/// How often the rollout duty gets a new view.
 const VIEW_INTERVAL: Millis = Millis(100);
 
-/// The link events that may wait; a full ring stops the reading of links.
+/// The link events that may wait; while the queue is full, links are not read.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// The accounts kept for the support engineer.
+/// The number of requests whose accounts are kept, for operators to look up.
 const MAX_ACCOUNTS: usize = 20_000;
 
-/// What the traffic duty begins with.
+/// What the traffic duty starts with.
 pub(super) struct TrafficInputs {
     pub(super) commands: mpsc::Receiver<Command>,
     pub(super) directory: watch::Receiver<Arc<Directory>>,
@@ -93,7 +99,7 @@
     }
 }
 
-/// Runs until the program stops.
+/// Runs the duty until the program stops.
 async fn run(context: Context, inputs: TrafficInputs) {
     let TrafficInputs {
         mut commands,
@@ -124,7 +130,7 @@
 
     let cut = traffic.calls.len();
     if cut > 0 {
-        tracing::error!(cut, "the stop cut off calls");
+        tracing::error!(cut, "calls cut off by the stop");
         metrics::counter!("redwing_stop_cut_total").increment(cut as u64);
     }
 }
@@ -159,6 +165,7 @@
         }
     }
 
+    /// Executes a command of another duty.
     fn on_command(&mut self, command: Command) {
         match command {
             Command::Body {
@@ -183,6 +190,7 @@
         }
     }
 
+    /// Takes an event on a link.
     fn on_event(&mut self, event: TrafficEvent) {
         match event {
             LinkEvent::Down { link, reason } => self.on_link_down(link, reason),
@@ -190,7 +198,7 @@
             LinkEvent::Up { link, sender, .. } => {
                 if let Some(server) = self.servers.get_mut(link) {
                     let name = &server.instance.name;
-                    tracing::info!(server = name, "link up");
+                    tracing::info!(server = name, "link to agent opened");
                     server.link = Some(sender);
                     server.report = Report::default();
                 }
@@ -198,6 +206,7 @@
         }
     }
 
+    /// Takes a message from an agent.
     fn on_message(&mut self, server: ServerKey, message: FromAgent) {
         match message {
             FromAgent::Account { slot, account } => self.on_account(slot, account),
@@ -215,9 +224,8 @@
                 let Some(slot) = message.slot() else {
                     return;
                 };
-                // A late answer carries a slot that was given up: its key has
-                // an old generation, or belongs to another server, and so
-                // finds nobody.
+                // A late message has the slot of an attempt that has ended. The key is of an
+                // old generation or belongs to another server, so no attempt matches.
                 let key = AttemptKey::from(KeyData::from_ffi(slot.0));
                 match self.attempts.get(key) {
                     Some(attempt) if attempt.server == server => {
@@ -229,6 +237,8 @@
         }
     }
 
+    /// Checks deadlines and query timeouts, sends a new view, and reports when the calls
+    /// have drained.
     fn on_tick(&mut self) {
         let now = self.context.clock.now();
         self.check_calls(now);
@@ -243,6 +253,7 @@
         }
     }
 
+    /// The fleet as this entry sees it now.
     fn view(&self) -> View {
         let servers = self.servers.iter().map(|(key, server)| ServerView {
             in_flight: server.in_flight,
@@ -259,6 +270,7 @@
         }
     }
 
+    /// Sends an order to a server's agent; its outcome goes to `reply`.
     fn send_order(
         &mut self,
         server: ServerKey,
@@ -279,14 +291,14 @@
         }
     }
 
-    /// A slot for a question or an order. These have tables of their own, so
-    /// one that equals an attempt's slot is not taken for it.
+    /// A new slot for a query or an order. These have tables of their own, so a slot that
+    /// equals that of an attempt is not taken for it.
     pub(super) fn next_slot(&mut self) -> Slot {
         self.sequence += 1;
         Slot(u64::MAX - self.sequence)
     }
 
-    /// Sends to the agent that has the request now.
+    /// Sends a message to the agent that has the request now, if any.
     pub(super) fn send_to_current(
         &self,
         request: RequestId,
@@ -306,7 +318,8 @@
         }
     }
 
-    /// Tells a caller that its request's credit was taken, and the like.
+    /// Sends a reply to a call; false if the call or its caller is gone, or if too many
+    /// replies wait.
     pub(super) fn reply_to(&self, call: CallKey, reply: Reply) -> bool {
         self.calls.get(call).is_some_and(|call| call.reply(reply))
     }
