--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,4 +1,4 @@
-//! The shared settings and the instances as this entry knows them.
+//! The shared settings and the list of instances, as this entry knows them.
 
 use super::directory_update::{
     DirectoryUpdate,
@@ -14,35 +14,39 @@
     sync::Arc, //
 };
 
-/// Settings and instances in force here.
+/// The shared settings and the instances in force at this entry.
 ///
 /// # Invariants
 ///
-/// The revision never goes back, nor does the version of any row.
+/// Neither the revision nor the version of any row ever decreases.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Directory {
-    /// Earlier lists of instances by their stamp, for telling peers just what
-    /// has changed.
+    /// Earlier lists of instances with their stamps, so that a peer that has one of them
+    /// is sent only the changes.
     history: VecDeque<(u64, Arc<Vec<Instance>>)>,
     pub(super) instances: Arc<Vec<Instance>>,
+    /// The rows of the shared settings.
     listing: Arc<Listing>,
+    /// The settings that the rows contain.
     pub(super) shared: Arc<Shared>,
+    /// Identifies the list of instances.
     stamp: u64,
 }
 
-/// The earlier lists kept. A peer that is further behind gets the whole list.
+/// The number of earlier lists that are kept. A peer with an older list is sent the whole
+/// new one.
 const MAX_HISTORY: usize = 8;
 
 impl Directory {
-    /// Whether any settings have come yet.
+    /// Whether any settings have been received.
     pub(super) fn is_loaded(&self) -> bool {
         self.listing.revision > 0
     }
 
-    /// This directory with what is newer in `update`; `None` if nothing is.
+    /// This directory with the newer parts of `update`; `None` if it has none.
     pub(super) fn apply(&self, update: DirectoryUpdate) -> Option<Self> {
         let mut next = self.clone();
-        // A peer may lag behind: its settings must not replace newer ones.
+        // A peer may lag behind: its rows must not replace newer ones.
         let newer = update.rows.into_iter().filter(|(path, row)| {
             let known = self.listing.rows.get(path);
             known.is_none_or(|known| known.version < row.version)
@@ -71,8 +75,8 @@
         changed.then_some(next)
     }
 
-    /// What is newer here than revision `revision` and the list `stamp`;
-    /// `None` if nothing is.
+    /// What is newer than the settings of `revision` and the list of instances with
+    /// `stamp`; `None` if nothing is.
     pub(super) fn update_since(&self, revision: u64, stamp: u64) -> Option<DirectoryUpdate> {
         if revision >= self.revision() && stamp == self.stamp {
             return None;
@@ -104,13 +108,14 @@
         self.stamp
     }
 
+    /// Parses the rows. Invalid settings are logged and left out.
     fn parse_settings(&mut self) {
         let rows = self.listing.rows.iter();
         let rows = rows.filter(|(_, row)| !row.value.is_empty());
         let texts = rows.map(|(path, row)| (path.as_str(), row.value.as_str()));
         let (shared, errors) = Shared::read(texts);
         for error in errors {
-            tracing::error!(%error, "shared settings with faults are left out");
+            tracing::error!(%error, "invalid shared settings ignored");
         }
         self.shared = Arc::new(shared);
     }
@@ -136,10 +141,9 @@
         }
     }
 
-    /// A peer that lags tells an entry of older settings: a user would see an
-    /// accepted configuration revert. The entry learned revision 9 from one
-    /// peer, then asks another that is still at 5. Cause: answers without an
-    /// order between peers. Each row's version only grows here.
+    /// Guards against an accepted configuration that reverts. An entry has revision 9
+    /// from one peer, then asks another that is still at 5. The answers of different
+    /// peers are not ordered, so the version of each row may only increase.
     #[test]
     fn an_older_update_from_a_peer_reverts_nothing() {
         let first = Directory::default().apply(update(9, &[("a", 9), ("b", 3)]));
--- a/src/entry/directory_update.rs
+++ b/src/entry/directory_update.rs
@@ -1,4 +1,4 @@
-//! What one entry tells another of settings and instances: only what changed.
+//! What one entry sends another about settings and instances: only the changes.
 
 use crate::table::{
     Instance,
@@ -13,29 +13,33 @@
     BTreeSet, //
 };
 
-/// A change of the list of instances.
+/// A change to the list of instances.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(super) enum InstancesChange {
+    /// The whole new list.
     All(Vec<Instance>),
     Part {
+        /// New instances, and those that differ.
         changed: Vec<Instance>,
+        /// The names of instances that are no longer listed.
         gone: Vec<String>,
     },
     #[default]
     Same,
 }
 
-/// What is newer than what the asker has.
+/// The settings and instances that are newer than those of the entry that asks.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(super) struct DirectoryUpdate {
     pub(super) instances: InstancesChange,
-    /// The table's revision that the rows bring the asker up to.
+    /// The revision of the settings that the rows bring that entry up to.
     pub(super) revision: u64,
+    /// Newer rows of the settings, by path.
     pub(super) rows: BTreeMap<String, Row>,
 }
 
 impl InstancesChange {
-    /// The list after this change of `before`.
+    /// The list that this change makes of `before`.
     pub(super) fn apply(self, before: &[Instance]) -> Vec<Instance> {
         match self {
             Self::All(list) => list,
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The change that leads from `before` to `after`.
+    /// The change that makes `after` of `before`.
     pub(super) fn between(before: &[Instance], after: &[Instance]) -> Self {
         let old: BTreeMap<&str, &Instance> =
             before.iter().map(|one| (one.name.as_str(), one)).collect();
--- a/src/entry/entry_handle.rs
+++ b/src/entry/entry_handle.rs
@@ -1,4 +1,4 @@
-//! A running entry.
+//! Starts an entry, and holds it while it runs.
 
 use super::{
     app_api::AppApi,
@@ -32,19 +32,22 @@
     watch, //
 };
 
-/// A running `redwing-entry`; dropping it ends it.
+/// A running `redwing-entry`; dropping it stops the entry.
 pub struct Entry {
+    /// The address of the HTTP API for operators.
     pub admin: SocketAddr,
+    /// The address of the HTTP API for callers and trainers.
     pub callers: SocketAddr,
     pub handle: Handle,
+    /// The address for links from other entries.
     pub links: SocketAddr,
 }
 
-/// The deliveries that may wait to be told.
+/// The ids of delivered answers that may wait to be reported to the traffic duty.
 const MAX_QUEUED_DELIVERIES: usize = 4_096;
 
 impl Entry {
-    /// Starts an entry.
+    /// Starts an entry with all its duties.
     pub fn open(settings: EntrySettings) -> Result<Self, DutyError> {
         let common = &settings.common;
         let mut handle = Handle::open(common.drain.bound)?;
@@ -98,7 +101,7 @@
             callers = %addresses.1,
             links = %links,
             admin = %addresses.0,
-            "entry up"
+            "entry started"
         );
 
         let supervisor = handle.supervisor().clone();
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -1,4 +1,5 @@
-//! What became of one request, from the live processes.
+//! Explains what happened to one request, from the accounts that this entry and the agents
+//! keep in memory.
 
 use super::{
     command::Command,
@@ -21,24 +22,28 @@
     oneshot, //
 };
 
-/// One agent's part in an open question.
+/// A query to one agent that is not answered yet.
 pub(super) struct PendingQuery {
     explanation: Rc<RefCell<OpenExplanation>>,
     expires: Millis,
 }
 
+/// An explanation that waits for accounts from agents.
 struct OpenExplanation {
+    /// The accounts of the agents that have answered.
     agents: Vec<Account>,
+    /// The account of this entry.
     entry: Option<Account>,
+    /// The number of open queries.
     unanswered: usize,
     reply: Option<oneshot::Sender<Result<Explanation, Failure>>>,
 }
 
-/// How long agents' answers are waited for.
+/// How long to wait for an agent's answer.
 const AGENT_TIMEOUT: Millis = Millis(500);
 
 impl Traffic {
-    /// Begins to find out what became of `request`.
+    /// Starts to explain `request`; the explanation is sent to `reply` when it is complete.
     pub(super) fn explain(
         &mut self,
         request: RequestId,
@@ -60,7 +65,7 @@
         reply_if_complete(&explanation);
     }
 
-    /// An agent's answer to a question.
+    /// Adds an agent's account to the explanation that queried it.
     pub(super) fn on_account(&mut self, slot: Slot, account: Option<Account>) {
         if let Some(query) = self.queries.remove(&slot) {
             let mut explanation = query.explanation.borrow_mut();
@@ -71,7 +76,8 @@
         }
     }
 
-    /// Answers the questions whose agents stay silent without them.
+    /// Gives up the queries that have timed out; their explanations go without an account
+    /// of these agents.
     pub(super) fn expire_queries(&mut self, now: Millis) {
         for (_, query) in self.queries.extract_if(|_, query| query.expires <= now) {
             query.explanation.borrow_mut().unanswered -= 1;
@@ -79,7 +85,8 @@
         }
     }
 
-    /// Asks the agents that had the request, or all when that isn't known.
+    /// Queries the agents to which the request was routed, or all agents if this entry has
+    /// no account of it.
     fn ask_agents(&mut self, request: RequestId, explanation: &Rc<RefCell<OpenExplanation>>) {
         let routed: Option<Vec<String>> = explanation.borrow().entry.as_ref().map(|account| {
             let events = account.events.iter();
@@ -112,7 +119,7 @@
     }
 }
 
-/// Answers a question to which all agents have answered.
+/// Sends the explanation if no query for it is open.
 fn reply_if_complete(explanation: &Rc<RefCell<OpenExplanation>>) {
     let mut explanation = explanation.borrow_mut();
     if explanation.unanswered > 0 {
@@ -124,7 +131,8 @@
     }
 }
 
-/// The entry's own routes on the operators' HTTP.
+/// The entry's own routes in the HTTP API for operators: `/v1/fleet` and
+/// `/v1/explain/REQUEST`.
 pub(super) fn routes(traffic: mpsc::Sender<Command>) -> Route {
     Arc::new(move |request| {
         let traffic = traffic.clone();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! Passes a small HTTP request on to another entry.
+//! Sends small HTTP requests to other entries.
 
 use crate::{
     base::{Cause, Clock, Failure, Incarnation, Issuer, Millis, Priority, RequestId},
@@ -30,31 +30,31 @@
     time::timeout, //
 };
 
-/// What is needed to open a link to another entry.
+/// What is needed to open links to other entries.
 #[derive(Clone)]
 pub(super) struct Forwarder {
     pub(super) clock: Clock,
     pub(super) hello: Hello,
 }
 
-/// The request's one slot; each forwarded request has a connection of its own.
+/// The slot of the request. One is enough, as each request has a connection of its own.
 const SLOT: Slot = Slot(1);
 
-/// The messages that may wait on that connection.
+/// The events that may wait on that connection.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// Questions are held for long while nothing is new, so their connections
-/// beat slowly; a silent end is found in time for settings to be learned
+/// Heartbeats on links between entries. They are slow, because long polls keep these links
+/// idle for long. A silent peer is still detected early enough to fetch the settings
 /// elsewhere within 8 s.
 pub(super) const PEER_LINK_TUNING: LinkTuning = LinkTuning {
     beat: Millis(2_500),
     silence: Millis(6_000),
 };
 
-/// The largest answer that is passed on.
+/// The largest body of an answer, in bytes.
 const MAX_ANSWER: usize = 32 * 1024 * 1024;
 
-/// Asks the entry at `peer` for `path`.
+/// Gets `path` from the entry at `peer`; any status except 200 is a failure.
 pub(super) async fn get(
     forward: &Forwarder,
     peer: SocketAddr,
@@ -68,7 +68,8 @@
     }
 }
 
-/// Sends a request with a whole body and reads the whole answer.
+/// Sends a request to the entry at `peer`, and reads the whole answer. The time limit
+/// counts from when the link is open.
 pub(super) async fn send(
     forward: &Forwarder,
     peer: SocketAddr,
@@ -109,6 +110,7 @@
     }
 }
 
+/// Reads the answer, and returns the credit for it.
 async fn receive_answer(
     link: &Link<ToAgent>,
     events: &mut mpsc::Receiver<LinkEvent<(), FromAgent, ToAgent>>,
@@ -142,10 +144,13 @@
     Err(incomplete_answer())
 }
 
+/// The failure of a request whose answer did not arrive whole.
 fn incomplete_answer() -> Failure {
     Failure::may_have_run(Cause::LinkLost, "the other entry gave no whole answer")
 }
 
+/// The message that starts the request. Its request id is a placeholder: the peer does not
+/// use it.
 fn start_message(
     forward: &Forwarder,
     method: &str,
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -1,4 +1,4 @@
-//! The duty that talks HTTP with callers and trainers.
+//! The duty that serves HTTP to callers and trainers.
 
 use super::{
     app_api::AppApi,
@@ -19,16 +19,16 @@
 };
 use tokio::sync::mpsc;
 
-/// The bytes of a trainer's request: a step of 2,048 prompts of 8 KB.
+/// The largest body of a trainer's request, in bytes: a step of 2,048 prompts of 8 KB.
 const MAX_TRAINER_BODY: usize = 16 * 1024 * 1024;
 
-/// How long a trainer's request may take to arrive.
+/// How long the body of a trainer's request may take to arrive.
 const TRAINER_BODY_TIMEOUT: Millis = Millis(30_000);
 
-/// Deliveries told to the traffic duty at once.
+/// The most ids in one `Command::Delivered`.
 const MAX_DELIVERY_BATCH: usize = 128;
 
-/// Serves until the program has drained.
+/// Serves until the program has drained, then waits until it stops.
 pub(super) async fn run(
     context: Context,
     server: HttpServer,
@@ -48,6 +48,7 @@
     context.reached(crate::duty::Phase::Stopped).await;
 }
 
+/// Answers one request.
 async fn route(app: AppApi, trainers: TrainerApi, request: Request<Incoming>) -> Answer {
     let path = request.uri().path();
     if path.starts_with("/v1/app/") {
@@ -60,6 +61,7 @@
     problem(&Failure::not_run(Cause::NotFound, detail), None)
 }
 
+/// Answers a request from a trainer.
 async fn answer_trainer(api: TrainerApi, request: Request<Incoming>) -> Answer {
     let (parts, body) = request.into_parts();
     let gathered = Limited::new(body, MAX_TRAINER_BODY).collect();
@@ -83,6 +85,7 @@
     text(status, kind, body)
 }
 
+/// Reports delivered answers to the traffic duty, in batches.
 async fn report_deliveries(
     mut delivered: mpsc::Receiver<RequestId>,
     traffic: mpsc::Sender<Command>,
--- a/src/entry/learner.rs
+++ b/src/entry/learner.rs
@@ -1,4 +1,4 @@
-//! The duty that learns the shared settings and the list of instances.
+//! The duty that fetches the shared settings and the list of instances.
 
 use super::{
     directory::Directory,
@@ -18,20 +18,21 @@
 };
 use tokio::sync::watch;
 
-/// The entries that read the platform. All others learn from these, so that
-/// the platform's reads don't grow with the fleet.
+/// The number of entries that read from the platform, called readers. All others fetch
+/// from the readers, so that the load on the platform does not grow with the fleet.
 const READER_COUNT: usize = 24;
 
-/// How often a reader reads, and the wait after a failure.
+/// How often a reader reads from the platform, and how long any entry waits after a
+/// failure, both before jitter.
 const READ_INTERVAL: Millis = Millis(1_000);
 
-/// How long a reader holds a peer's question while nothing is new.
+/// How long a reader holds a peer's request while there is nothing new.
 pub(super) const LONG_POLL_TIMEOUT: Millis = Millis(20_000);
 
-/// The path of the question to a reader.
+/// The path of that request.
 pub(super) const DIRECTORY_PATH: &str = "/internal/directory";
 
-/// Learns until the program stops.
+/// Fetches until the program stops.
 pub(super) async fn run(
     context: Context,
     settings: EntrySettings,
@@ -60,7 +61,7 @@
         if was_long_poll {
             continue;
         }
-        // Without a share of its own each, all would ask at the same moment.
+        // Jitter keeps the entries from all asking at the same moment.
         let name = settings.common.instance.as_bytes();
         let jitter = stable_hash(&[name, &context.clock.micros().to_le_bytes()]) % READ_INTERVAL.0;
         let wait = Millis(READ_INTERVAL.0 / 2 + jitter);
@@ -71,6 +72,7 @@
     }
 }
 
+/// Fetches from `peer`, or from the platform if there is none. Returns `None` on failure.
 async fn fetch_update(
     platform: &Platform,
     forward: &Forwarder,
@@ -100,10 +102,11 @@
     })
 }
 
-/// Whom to ask this time; `None` means the platform.
+/// The peer to ask next; `None` means the platform.
 ///
-/// Readers ask the platform, and a peer while it fails. The others ask the
-/// readers in turn, and the platform when all of them failed.
+/// Readers ask the platform, and peers in turn while it fails. Other entries ask the
+/// readers in turn, and the platform when all readers have failed. `failed` counts the
+/// failures since the last success.
 fn choose_peer(settings: &EntrySettings, current: &Directory, failed: usize) -> Option<SocketAddr> {
     let own_name = &settings.common.instance;
     let entries = || {
@@ -123,7 +126,7 @@
     }
 
     let is_reader = readers.is_empty() || readers.contains(&own_name.as_str());
-    // The platform's place among those asked in turn: first for a reader.
+    // The platform has one turn too: the first for a reader, otherwise the last.
     let turn = failed % (peers.len() + 1);
     match is_reader {
         true => turn.checked_sub(1).map(|index| peers[index]),
@@ -131,6 +134,7 @@
     }
 }
 
+/// Publishes the directory with `update` applied, if that changes it.
 fn apply_update(
     directory: &watch::Sender<Arc<Directory>>,
     current: &Directory,
@@ -144,7 +148,7 @@
         revision = next.revision(),
         instances = next.instances.len(),
         from = peer.map_or("platform".to_owned(), |peer| peer.to_string()),
-        "directory"
+        "directory updated"
     );
     metrics::gauge!("redwing_settings_revision").set(next.revision() as f64);
     directory.send_replace(Arc::new(next));
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -1,4 +1,4 @@
-//! The duty that answers other entries.
+//! The duty that answers requests of other entries.
 
 use super::{
     directory::Directory,
@@ -33,14 +33,14 @@
     sync::{Semaphore, mpsc, watch}, //
 };
 
-/// The connections open at once. A reader holds one for each entry that
-/// learns from it; with 460 entries and 24 readers that is some 18.
+/// The most connections open at once. A reader has one for each entry that fetches from
+/// it: about 18 with 460 entries and 24 readers.
 const MAX_LINKS: usize = 1_024;
 
-/// The messages that may wait on one connection.
+/// The events that may wait on one connection.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// What other entries may ask for.
+/// What is needed to answer other entries.
 #[derive(Clone)]
 pub(super) struct PeerApi {
     pub(super) directory: watch::Receiver<Arc<Directory>>,
@@ -109,6 +109,7 @@
     tokio::join!(link, exchange);
 }
 
+/// Answers a request for the directory, or a trainer's request that the peer has forwarded.
 async fn answer(peers: &PeerApi, head: CallHead) -> (StatusCode, Bytes) {
     let (path, query) = head.path.split_once('?').unwrap_or((&head.path, ""));
     if path == DIRECTORY_PATH {
@@ -122,8 +123,8 @@
     trainer_api::handle(&peers.trainers, &head.method, path, head.body, true).await
 }
 
-/// What is newer than the peer's settings and list, as soon as anything is,
-/// or nothing after the hold.
+/// Waits until there is something newer than the peer's settings and list of instances.
+/// After `LONG_POLL_TIMEOUT`, the update is empty.
 async fn wait_for_update(peers: &PeerApi, revision: u64, stamp: u64) -> Bytes {
     let mut watch = peers.directory.clone();
     let any = watch.wait_for(|now| now.is_loaded() && now.update_since(revision, stamp).is_some());
@@ -136,13 +137,14 @@
     Bytes::from(serde_json::to_vec(&update).unwrap_or_default())
 }
 
-/// A number from a query; 0 where there is none.
+/// A number from a query string; 0 if it is missing or invalid.
 fn query_number(query: &str, name: &str) -> u64 {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let value = pairs.find(|(key, _)| *key == name).map(|(_, value)| value);
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
+/// Sends the answer as fast as the peer's credit permits.
 async fn reply(
     link: &Link<FromAgent>,
     events: &mut mpsc::Receiver<LinkEvent<(), ToAgent, FromAgent>>,
--- a/src/entry/request_ids.rs
+++ b/src/entry/request_ids.rs
@@ -12,7 +12,7 @@
     atomic::{AtomicU32, Ordering}, //
 };
 
-/// The issuer of this process's life; clones share the sequence.
+/// Issues the request ids of this incarnation; clones share the sequence.
 #[derive(Clone, Debug)]
 pub(super) struct RequestIds {
     clock: Clock,
@@ -38,7 +38,7 @@
             && id.sequence < self.sequence.load(Ordering::Relaxed)
     }
 
-    /// Whether `id` claims to be of this process but was never issued.
+    /// Whether `id` names this process as its issuer, but was never issued.
     pub(super) fn is_forged(&self, id: RequestId) -> bool {
         id.issuer == self.issuer && id.incarnation == self.incarnation && !self.is_mine(id)
     }
