--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! How the rollout duty sends samples out.
+//! How the rollout duty starts samples.
 
 use super::{
     rollout::{Rollout, TaskReport, TrainerKey},
@@ -12,16 +12,16 @@
 };
 use std::collections::HashMap;
 
-/// Samples sent out beyond what the engines run at once, so that no engine
-/// waits for the next one.
+/// Samples in progress for each one that the engines can run at once. The surplus waits
+/// at the engines, so that none of them is idle between two samples.
 const DISPATCH_RATIO: f64 = 1.25;
 
-/// The least time that a sample of a step past its deadline gets.
+/// The shortest time limit of a sample, also when its step is past the deadline.
 const MIN_SAMPLE_TIME: Millis = Millis(60_000);
 
 impl Rollout {
-    /// Sends out samples as far as the engines have room: trainers in turn,
-    /// each with its oldest step first.
+    /// Starts samples while the engines have room: one for each trainer in turn, from the
+    /// trainer's oldest step that has one to start.
     pub(super) fn dispatch(&mut self, now: Millis) {
         let pools = self.directory.shared.pools.keys();
         let mut free_slots: HashMap<String, usize> = pools
@@ -48,6 +48,7 @@
         }
     }
 
+    /// Starts the next sample of a trainer; false if there is none to start.
     fn dispatch_one(&mut self, key: &TrainerKey, settings: &RolloutSettings, now: Millis) -> bool {
         let sampler = self.sampler(&key.0, settings);
         let reports = self.reports.clone();
@@ -71,8 +72,8 @@
         let spec = &owned.step.spec;
         let min_version = WeightVersion(version.0.saturating_sub(spec.staleness));
         let generation = generation(spec, owned.step.group_and_index(sample));
-        // An attempt may not outlive its step's deadline, but a step that is
-        // late still wants its samples.
+        // A sample ends at the deadline of its step. A late step still needs its samples,
+        // so they get a minimum time.
         let deadline = owned.step.deadline().max(now + MIN_SAMPLE_TIME);
         let key = key.clone();
         let task = tokio::task::spawn_local(async move {
@@ -89,6 +90,7 @@
         true
     }
 
+    /// The sampler for a team.
     fn sampler(&self, team: &str, settings: &RolloutSettings) -> Sampler {
         Sampler {
             clock: self.clock,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// How many more samples the engines of `pool` can be given.
+    /// The number of further samples that can be started in `pool`.
     fn free_slots(&self, pool: &str) -> usize {
         let servers = self.view.pool(pool);
         let capacity: u32 = servers.map(|server| server.report.capacity).sum();
@@ -117,9 +119,10 @@
     }
 }
 
+/// The generation of one sample of a step.
 fn generation(spec: &StepSpec, (group, index): (u32, u32)) -> Generation {
-    // Each sample of a group is drawn with a seed of its own, the same one
-    // whenever it is made anew.
+    // Each sample of a group has a seed of its own, which stays the same when the sample
+    // is generated again.
     let seed = crate::base::stable_hash(&[
         &spec.sampling.seed.to_le_bytes(),
         &group.to_le_bytes(),
--- a/src/entry/owned_step.rs
+++ b/src/entry/owned_step.rs
@@ -1,4 +1,4 @@
-//! A step that this entry owns: its state, its attempts and its open fetches.
+//! A step that this entry owns: its state, its samples in progress and its open fetch.
 
 use super::rollout::TrainerReply;
 use crate::{
@@ -18,24 +18,30 @@
     task::JoinHandle, //
 };
 
-/// A fetch that waits for finished groups.
+/// A fetch that waits for complete groups.
 pub(super) struct Fetch {
+    /// The samples that the trainer has.
     pub(super) have: Bitmap,
     pub(super) reply: oneshot::Sender<TrainerReply>,
+    /// When the fetch is answered even if no group is complete.
     pub(super) deadline: Millis,
+    /// The trainer's weight version.
     pub(super) version: WeightVersion,
 }
 
-/// A step and what runs for it. Dropping it ends its attempts.
+/// A step and the tasks that produce its samples; dropping it aborts them.
 pub(super) struct OwnedStep {
-    /// The latest fetch; a newer one takes its place.
+    /// The open fetch; a newer one replaces it.
     pub(super) fetch: Option<Fetch>,
     pub(super) step: Step,
+    /// By sample number.
     pub(super) tasks: HashMap<u32, JoinHandle<()>>,
 }
 
-/// The groups and the bytes of text handed out by one fetch.
+/// The most groups in the answer to a fetch.
 const MAX_FETCH_GROUPS: usize = 64;
+
+/// The length of text, in bytes, beyond which no further group is added to an answer.
 const MAX_FETCH_BYTES: usize = 4 * 1024 * 1024;
 
 impl OwnedStep {
@@ -47,8 +53,8 @@
         }
     }
 
-    /// Answers the open fetch if there is something to hand out, if the step
-    /// is whole, or if its time is over.
+    /// Answers the open fetch if there are groups to deliver, if the trainer has the whole
+    /// step, or if the fetch has reached its deadline.
     pub(super) fn answer_fetch(&mut self, now: Millis, epoch: u64) {
         let Some(fetch) = &self.fetch else {
             return;
@@ -86,6 +92,8 @@
         let _ = fetch.reply.send(TrainerReply::Answer(Ok(answer)));
     }
 
+    /// A group with the samples that the trainer does not have. Adds the length of their
+    /// texts to `bytes`.
     fn group_json(&self, group: u32, have: &Bitmap, bytes: &mut usize) -> Value {
         let samples: Vec<Value> = self
             .step
@@ -113,6 +121,7 @@
     }
 }
 
+/// A sample as it is delivered to the trainer.
 fn sample_json(index: u32, number: u32, sample: &Sample) -> Value {
     let tokens: Vec<&str> = sample.tokens.iter().collect();
     json!({
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -1,4 +1,4 @@
-//! How the rollout duty gets, keeps and gives up trainers' leases.
+//! How the rollout duty acquires, renews and releases trainers' leases.
 
 use super::{
     rollout::{Rollout, TaskReport, TrainerKey, TrainerReply},
@@ -10,24 +10,24 @@
     table::{Platform, StoreError, Transaction, Write, Written},
 };
 
-/// How long a look at the row counts as fresh.
+/// How long after a check requests are forwarded to another entry without a new check.
 pub(super) const MAX_LEASE_AGE: Millis = Millis(1_000);
 
-/// How often a lease that is held or wanted is looked at.
+/// How often a lease that is held or wanted is checked.
 const CHECK_INTERVAL: Millis = Millis(500);
 
-/// A lease is wanted for this long after the trainer's last request.
+/// How long after the trainer's last request its lease is wanted.
 const LEASE_IDLE_TIMEOUT: Millis = Millis(30_000);
 
-/// What a look at a lease's row found.
+/// The result of a check of a lease.
 pub(super) struct LeaseCheck {
-    /// The row, and whether this entry wrote it just now; an error when the
-    /// table gave no answer.
+    /// The row, and whether this check wrote it; an error if the table did not answer.
     found: Result<(Option<Lease>, bool), StoreError>,
 }
 
 impl Rollout {
-    /// Looks at the leases that are due, and forgets trainers that are gone.
+    /// Checks the leases that are due, and forgets idle trainers that this entry does not
+    /// own. Releases all leases if the entry drains.
     pub(super) fn check_leases(&mut self, now: Millis) {
         let due: Vec<TrainerKey> = self
             .trainers
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Begins a look at the lease of `key`, with a write if one is due.
+    /// Starts a check of the lease of `key`, in a task of its own, unless one is in
+    /// progress. The check also acquires or renews the lease if that is due.
     pub(super) fn check_lease(&mut self, key: &TrainerKey) {
         let Some(trainer) = self.trainers.get_mut(key).filter(|t| !t.checking) else {
             return;
@@ -74,7 +75,7 @@
         });
     }
 
-    /// Takes in what a look found, and answers the questions that waited.
+    /// Takes the result of a check, and answers the requests that waited for it.
     pub(super) fn on_lease_check(&mut self, key: &TrainerKey, check: LeaseCheck) {
         let now = self.clock.now();
         let me = self.me.clone();
@@ -93,12 +94,12 @@
                     Some(_) | None => Ownership::Unknown,
                 };
             }
-            // The table is down. A lease that is held stays held: nobody else
-            // can take it either, and the trainer refuses whatever comes from
-            // an older epoch than it has seen. Where nothing is known, nothing
-            // can be taken: two entries could both believe they own it.
+            // The table does not answer. A lease that is held stays held: no other entry
+            // can take it either, and the trainer refuses answers of an older epoch than it
+            // has seen. A trainer whose owner is unknown is not taken over: two entries
+            // could both believe that they own it.
             Err(error) => {
-                tracing::warn!(%error, trainer = key.1, "lease not seen");
+                tracing::warn!(%error, trainer = key.1, "could not check the lease of a trainer");
                 trainer.checked_at = now;
             }
         }
@@ -111,7 +112,7 @@
                 trainer = key.1,
                 epoch = after,
                 reason = if after.is_some() { "lease taken" } else { "lease lost" },
-                "step owner"
+                "ownership of a trainer changed"
             );
         }
         if before.is_some() && before != after {
@@ -120,6 +121,8 @@
         self.answer_deferred(key);
     }
 
+    /// Answers the requests that waited for a check; refuses them if the owner is still
+    /// unknown.
     fn answer_deferred(&mut self, key: &TrainerKey) {
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
@@ -136,8 +139,8 @@
         }
     }
 
-    /// A stopping entry gives its leases back, so that the next owner need
-    /// not wait until they lapse. The trainer submits its step there again.
+    /// Releases all leases, so that the next owners need not wait until these lapse. The
+    /// trainers submit their steps there again.
     fn release_leases(&mut self) {
         for (key, trainer) in std::mem::take(&mut self.trainers) {
             let Some(epoch) = trainer.epoch() else {
@@ -147,19 +150,19 @@
             let me = self.me.clone();
             tokio::task::spawn_local(async move {
                 if let Err(error) = release_lease(&platform, &path, &me, epoch).await {
-                    tracing::warn!(%error, path, "lease not given back; it will lapse");
+                    tracing::warn!(%error, path, "could not release a lease; it will lapse");
                 }
             });
         }
     }
 }
 
-/// The row of a trainer's lease.
+/// The path of the row of a trainer's lease.
 pub(super) fn lease_path((team, trainer): &TrainerKey) -> String {
     format!("{LEASE_PREFIX}{team}/{trainer}")
 }
 
-/// One look at a row, apart from the duty's loop.
+/// One check of a lease, which runs outside of the duty's loop.
 struct LeaseChecker {
     clock: crate::base::Clock,
     me: Claimant,
@@ -169,6 +172,7 @@
 }
 
 impl LeaseChecker {
+    /// Reads the row, and writes it if the lease is to be acquired or renewed.
     async fn run(mut self) -> Result<(Option<Lease>, bool), StoreError> {
         let row = self.platform.get(&self.path).await?;
         let version = row.as_ref().map_or(0, |row| row.version);
@@ -187,6 +191,7 @@
     }
 }
 
+/// Releases a lease, if this process still holds it under `epoch`.
 async fn release_lease(
     platform: &Platform,
     path: &str,
@@ -208,6 +213,8 @@
     platform.transact(&write).await.map(|_| ())
 }
 
+/// The transaction that writes `lease` over version `expect`. `content` tells apart the
+/// leases that a process may write over one version.
 fn lease_transaction(
     path: &str,
     expect: u64,
--- a/src/entry/rollout.rs
+++ b/src/entry/rollout.rs
@@ -1,4 +1,4 @@
-//! The duty that owns trainers' steps.
+//! The duty that owns trainers' steps: it has their samples generated, and delivers them.
 
 use super::{
     command::Command,
@@ -36,28 +36,36 @@
     time::{MissedTickBehavior, interval}, //
 };
 
-/// What a trainer asks.
+/// What a trainer requests.
 pub(super) enum Operation {
+    /// Drop the step with this number.
     Cancel(u64),
+    /// Deliver complete groups of a step.
     Fetch {
+        /// The highest epoch that the trainer has seen.
         epoch: u64,
+        /// The samples that the trainer has.
         have: Bitmap,
         step: u64,
+        /// The trainer's weight version.
         version: WeightVersion,
+        /// How long the answer may wait for a complete group.
         wait: Millis,
     },
+    /// Generate the samples of a step.
     Submit(u64, Box<StepSpec>),
+    /// The trainer now has this version of this model.
     Version(String, WeightVersion),
 }
 
-/// How a question is answered.
+/// The reply to a trainer's request.
 pub(super) enum TrainerReply {
     Answer(Result<Value, Failure>),
-    /// Another entry owns the trainer.
+    /// Another entry owns the trainer, by this lease.
     Elsewhere(Lease),
 }
 
-/// A question of a trainer, in a request of its own.
+/// A trainer's request, and where its reply goes.
 pub(super) struct TrainerRequest {
     pub(super) operation: Operation,
     pub(super) reply: oneshot::Sender<TrainerReply>,
@@ -68,36 +76,43 @@
 /// A trainer's team and name.
 pub(super) type TrainerKey = (String, String);
 
-/// What tasks of this duty report to its loop.
+/// What this duty's tasks report to its loop.
 pub(super) enum TaskReport {
+    /// A lease was checked.
     Lease {
         key: TrainerKey,
         outcome: super::ownership::LeaseCheck,
     },
+    /// A sample was produced, or failed.
     Sample {
         key: TrainerKey,
+        /// The number of the sample.
         number: u32,
         result: Box<Result<Sample, Failure>>,
         step: u64,
     },
+    /// An order to swap has an outcome.
     Swap(SwapResult),
 }
 
-/// All that the rollout duty owns.
+/// The state of the rollout duty.
 pub(super) struct Rollout {
     pub(super) clock: Clock,
     pub(super) directory: Arc<Directory>,
     pub(super) draining: bool,
     pub(super) request_ids: RequestIds,
+    /// This process, as a holder of leases.
     pub(super) me: Claimant,
     pub(super) platform: Platform,
+    /// Cloned into each task.
     pub(super) reports: mpsc::Sender<TaskReport>,
     pub(super) traffic: mpsc::Sender<Command>,
     pub(super) trainers: BTreeMap<TrainerKey, Trainer>,
+    /// The latest view of the fleet from the traffic duty.
     pub(super) view: Arc<View>,
 }
 
-/// What the rollout duty begins with.
+/// What the rollout duty starts with.
 pub(super) struct RolloutInputs {
     pub(super) clock: Clock,
     pub(super) request_ids: RequestIds,
@@ -141,19 +156,20 @@
     }
 }
 
-/// How often leases, swaps, samples and fetches are looked at.
+/// How often leases, swaps, samples to start and open fetches are checked.
 const TICK_INTERVAL: Millis = Millis(20);
 
-/// The reports of tasks that may wait; their senders wait when it is full.
+/// The reports of tasks that may wait; when the queue is full, the tasks wait.
 const MAX_QUEUED_REPORTS: usize = 1_024;
 
-/// The questions of trainers that may wait; further ones are refused.
+/// The trainers' requests that may wait; further ones are refused.
 pub(super) const MAX_QUEUED_REQUESTS: usize = 256;
 
-/// Steps of one trainer kept at once; the oldest gives way.
+/// The most steps kept of one trainer; beyond that, the one with the lowest number is
+/// dropped.
 const MAX_STEPS: usize = 4;
 
-/// Runs until the program stops.
+/// Runs the duty until the program stops.
 async fn run(
     context: Context,
     mut rollout: Rollout,
@@ -183,7 +199,7 @@
 }
 
 impl Rollout {
-    /// Answers a question, or keeps it until the trainer's owner is known.
+    /// Answers a request, or defers it until the trainer's owner is known.
     pub(super) fn on_request(&mut self, request: TrainerRequest) {
         let now = self.clock.now();
         let key = (request.team.clone(), request.trainer.clone());
@@ -216,6 +232,7 @@
         }
     }
 
+    /// Checks leases, swaps, samples to start and open fetches.
     fn on_tick(&mut self) {
         let now = self.clock.now();
         self.check_leases(now);
@@ -231,6 +248,7 @@
         }
     }
 
+    /// Takes the report of a task.
     fn on_report(&mut self, report: TaskReport) {
         match report {
             TaskReport::Lease { key, outcome } => self.on_lease_check(&key, outcome),
@@ -244,6 +262,8 @@
         }
     }
 
+    /// Records the result for a sample, and answers the open fetch if that is possible
+    /// now.
     fn on_sample(
         &mut self,
         key: &TrainerKey,
@@ -271,6 +291,7 @@
         }
     }
 
+    /// Answers a request for a trainer that this entry owns under `epoch`.
     fn answer(&mut self, key: &TrainerKey, epoch: u64, request: TrainerRequest) {
         let now = self.clock.now();
         let Some(trainer) = self.trainers.get_mut(key) else {
@@ -289,8 +310,8 @@
                 wait,
             } => {
                 trainer.version = trainer.version.max(version);
-                // The trainer has seen a newer owner: this one was paused
-                // past its lease, and must hand out nothing.
+                // The trainer has seen a newer owner: this process was paused beyond the end
+                // of its lease, and must not deliver anything.
                 if seen > epoch {
                     trainer.clear_steps();
                     trainer.ownership = Ownership::Unknown;
@@ -325,13 +346,14 @@
         let _ = request.reply.send(TrainerReply::Answer(answer));
     }
 
+    /// The settings for rollouts of `team`, if it has any.
     pub(super) fn rollout_settings(&self, team: &str) -> Option<&RolloutSettings> {
         let team = self.directory.shared.teams.get(team)?;
         team.rollout.as_ref()
     }
 }
 
-/// Takes a step, or recognises one that it has already.
+/// Adds a step to its trainer, unless it was submitted before.
 fn submit(
     trainer: &mut Trainer,
     number: u64,
@@ -361,6 +383,7 @@
     Ok(json!({ "epoch": epoch, "new": new, "samples": samples, "step": number }))
 }
 
+/// The failure of a fetch for a step that this entry does not have.
 fn unknown_step(step: u64) -> Failure {
     let detail = format!("step {step} is not known here: submit it again, then fetch");
     Failure::not_run(Cause::NotFound, detail)
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -1,4 +1,4 @@
-//! Makes one sample: a generation and its score.
+//! Produces one sample: a generation and its score.
 
 use super::{
     command::{Command, MAX_QUEUED_REPLIES, NewCall, Reply},
@@ -26,7 +26,7 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 
-/// What making a sample takes.
+/// Produces samples for one team.
 #[derive(Clone)]
 pub(super) struct Sampler {
     pub(super) clock: Clock,
@@ -37,26 +37,32 @@
     pub(super) traffic: mpsc::Sender<Command>,
 }
 
-/// The class under which a team's samples appear in accounts and decisions.
+/// The class of samples in accounts and log lines.
 const ROLLOUT_CLASS: &str = "rollout";
 
-/// Samples are bounded by their team's settings, not by a call limit.
+/// Admission does not limit samples: their number is limited by the team's settings for
+/// rollouts.
 const NO_LIMITS: Limits = Limits {
     class: u32::MAX,
     team: u32::MAX,
 };
 
-/// How long one score may take, and how often it is asked for.
+/// How long one call for a score may take.
 const SCORE_TIMEOUT: Millis = Millis(10_000);
+
+/// The most calls for one score.
 const MAX_SCORE_ATTEMPTS: u32 = 5;
+
+/// The delay between these calls.
 const SCORE_RETRY_DELAY: Millis = Millis(200);
 
+/// The answer of a scoring service.
 #[derive(Deserialize)]
 struct Score {
     score: f64,
 }
 
-/// A generation that came to its end.
+/// A finished generation.
 struct FinishedGeneration {
     finish: Finish,
     spans: Vec<Span>,
@@ -64,7 +70,7 @@
 }
 
 impl Sampler {
-    /// Generates with weights of at least `min_version`, then has it scored.
+    /// Generates with weights of at least `min_version`, then has the result scored.
     pub(super) async fn sample(
         &self,
         generation: Generation,
@@ -86,6 +92,7 @@
         })
     }
 
+    /// Runs the generation to its end.
     async fn generate(
         &self,
         request: RequestId,
@@ -125,8 +132,8 @@
         Err(traffic_ended())
     }
 
-    /// Asks the team's scoring service; the request key is the sample's
-    /// request, so that a service can tell a repeat from a new sample.
+    /// Gets the score from the team's scoring service. The request key is the sample's
+    /// request id, so that the service can tell a repeat from a new sample.
     async fn score(
         &self,
         prompt: &str,
@@ -145,6 +152,7 @@
         }
     }
 
+    /// Makes one call for the score.
     async fn score_once(&self, body: String, sample: RequestId) -> Result<f64, Failure> {
         let request = self.request_ids.next();
         let json = Bytes::from_static(b"application/json");
@@ -184,6 +192,7 @@
         Err(traffic_ended())
     }
 
+    /// A call of the team. `send` sets its reply channel.
     fn new_call(
         &self,
         request: RequestId,
@@ -209,10 +218,12 @@
         }
     }
 
+    /// Returns credit for consumed replies.
     async fn return_credit(&self, request: RequestId, bytes: u32) {
         let _ = self.traffic.send(Command::Credit { request, bytes }).await;
     }
 
+    /// Passes the call to the traffic duty; returns the replies to it.
     async fn send(&self, mut call: NewCall) -> Result<mpsc::Receiver<Reply>, Failure> {
         let (reply, replies) = mpsc::channel(MAX_QUEUED_REPLIES);
         call.reply = reply;
@@ -223,10 +234,12 @@
     }
 }
 
+/// The failure of a call whose replies end without a last one.
 fn traffic_ended() -> Failure {
     Failure::may_have_run(Cause::Draining, "the traffic duty has ended")
 }
 
+/// The failure of a call for a score whose answer has none.
 fn missing_score(status: u16) -> Failure {
     let detail = format!("the scoring service answered with status {status}, without a score");
     Failure::may_have_run(Cause::BackendBroken, detail)
--- a/src/entry/swaps.rs
+++ b/src/entry/swaps.rs
@@ -1,4 +1,4 @@
-//! How the rollout duty brings engines to a trainer's newest weights.
+//! How the rollout duty swaps engines to a trainer's newest weights.
 
 use super::{
     command::Command,
@@ -16,24 +16,24 @@
     time::timeout, //
 };
 
-/// The outcome of one order.
+/// The outcome of one order to swap.
 pub(super) struct SwapResult {
     key: TrainerKey,
     result: Result<EngineState, Failure>,
     server: ServerKey,
 }
 
-/// The wait before an engine whose swap failed is ordered again.
+/// The delay before an engine whose swap has failed gets another order.
 const SWAP_RETRY_DELAY: Millis = Millis(500);
 
-/// How long an order may take.
+/// How long an order may take, until its outcome is known.
 const ORDER_TIMEOUT: Millis = Millis(45_000);
 
-/// How long a confirmed version counts before a report that shows another.
+/// How long a confirmed version counts even if the engine's report shows an older one.
 const CONFIRMATION_LIFETIME: Millis = Millis(2_500);
 
 impl Rollout {
-    /// Orders swaps for every trainer whose engines lag behind it.
+    /// Orders swaps for every trainer whose engines have older weights than it has named.
     pub(super) fn order_swaps(&mut self, now: Millis) {
         let keys: Vec<TrainerKey> = self.trainers.keys().cloned().collect();
         for key in keys {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in the outcome of an order.
+    /// Records the outcome of an order.
     pub(super) fn on_swap_result(&mut self, outcome: SwapResult) {
         let now = self.clock.now();
         let Some(trainer) = self.trainers.get_mut(&outcome.key) else {
@@ -57,12 +57,17 @@
             Err(failure) => {
                 swap.not_before = now + SWAP_RETRY_DELAY;
                 swap.confirmed = None;
-                tracing::warn!(model, detail = failure.detail, "swap failed");
+                tracing::warn!(
+                    model,
+                    detail = failure.detail,
+                    "order to swap weights failed"
+                );
                 metrics::counter!("redwing_swaps_failed_total").increment(1);
             }
         }
     }
 
+    /// Orders the swaps that may start now for one trainer.
     fn order_trainer_swaps(&mut self, key: &TrainerKey, now: Millis) {
         let Some(settings) = self.rollout_settings(&key.0) else {
             return;
@@ -83,7 +88,7 @@
             .map(|server| {
                 let swap = trainer.swaps.entry(server.key).or_default();
                 let reported = server.report.engine.version(&model);
-                // A report lags behind the order's own outcome.
+                // Reports lag behind the outcomes of orders.
                 let confirmed = swap
                     .confirmed
                     .filter(|(confirmed_at, _)| now.since(*confirmed_at) < CONFIRMATION_LIFETIME)
@@ -119,12 +124,13 @@
                 chosen = chosen_view.map(|view| view.name.as_str()),
                 lagging = engines.len(),
                 reason = "oldest weights first",
-                "swap"
+                "swap of weights ordered"
             );
             self.spawn_order(key.clone(), server, order);
         }
     }
 
+    /// Starts a task that sends an order and reports its outcome.
     fn spawn_order(&self, key: TrainerKey, server: ServerKey, order: Order) {
         let (reports, traffic) = (self.reports.clone(), self.traffic.clone());
         tokio::task::spawn_local(async move {
@@ -139,6 +145,7 @@
     }
 }
 
+/// Sends an order and waits for its outcome.
 async fn send_order(
     traffic: &tokio::sync::mpsc::Sender<Command>,
     server: ServerKey,
--- a/src/entry/trainer.rs
+++ b/src/entry/trainer.rs
@@ -1,4 +1,4 @@
-//! One trainer as its owner, or a would-be owner, sees it.
+//! One trainer, at the entry that owns it or that has requests for it.
 
 use super::{
     owned_step::OwnedStep,
@@ -15,48 +15,53 @@
     VecDeque, //
 };
 
-/// Whose a trainer is.
+/// Which entry owns a trainer.
 #[derive(Clone, Debug, Default)]
 pub(super) enum Ownership {
-    /// Held by another entry.
+    /// Another entry, by this lease.
     Elsewhere(Lease),
-    /// Held here, under this epoch.
+    /// This entry, under this epoch.
     Mine(Fence),
     #[default]
     Unknown,
 }
 
-/// The swap of one engine, tried or under way.
+/// The swap of one engine to the weights of one trainer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Swap {
     /// The version that the engine confirmed last, and when.
     pub(super) confirmed: Option<(Millis, WeightVersion)>,
+    /// When the engine may get the next order.
     pub(super) not_before: Millis,
+    /// Whether an order is in progress.
     pub(super) running: bool,
 }
 
-/// A trainer and what it asked for.
+/// A trainer: its lease, its steps and its engines.
 #[derive(Default)]
 pub(super) struct Trainer {
-    /// Whether a look at the lease's row is under way.
+    /// Whether a check of the lease is in progress.
     pub(super) checking: bool,
+    /// The model that the trainer has named last.
     pub(super) model: Option<String>,
     pub(super) ownership: Ownership,
-    /// When the row was last looked at.
+    /// When the lease was last checked.
     pub(super) checked_at: Millis,
     /// Steps by number.
     pub(super) steps: BTreeMap<u64, OwnedStep>,
+    /// By engine.
     pub(super) swaps: HashMap<ServerKey, Swap>,
-    /// The highest version that the trainer has named.
+    /// The newest weight version that the trainer has named.
     pub(super) version: WeightVersion,
-    /// Questions that wait until the lease's row is known.
+    /// Requests that wait for a check of the lease.
     pub(super) deferred: VecDeque<TrainerRequest>,
-    /// When the trainer asked last; without questions no lease is wanted.
+    /// When the trainer last sent a request; the lease of an idle trainer is not wanted.
     pub(super) last_request: Millis,
+    /// What this entry has observed of the lease's row.
     pub(super) watch: LeaseWatch,
 }
 
-/// The questions that may wait for a lease.
+/// The requests that may wait for a check of the lease.
 const MAX_DEFERRED: usize = 32;
 
 impl Trainer {
@@ -68,13 +73,13 @@
         }
     }
 
-    /// Gives everything up: another entry is the owner, or may be.
+    /// Drops the steps and swaps, because another entry owns the trainer, or may own it.
     pub(super) fn clear_steps(&mut self) {
         self.steps.clear();
         self.swaps.clear();
     }
 
-    /// Keeps `request` until the lease's row is known.
+    /// Keeps `request` until the lease is checked, or refuses it if too many wait.
     pub(super) fn defer(&mut self, request: TrainerRequest) {
         if self.deferred.len() >= MAX_DEFERRED {
             let detail = "too many requests wait for the trainer's owner";
--- a/src/entry/trainer_api.rs
+++ b/src/entry/trainer_api.rs
@@ -1,4 +1,4 @@
-//! HTTP towards trainers: steps, fetches and weight versions.
+//! The HTTP API for trainers: steps, fetches and weight versions.
 
 use super::{
     forward::{self, Forwarder},
@@ -19,7 +19,7 @@
     oneshot, //
 };
 
-/// What is needed to answer trainers.
+/// What is needed to answer trainers; cheap to clone.
 #[derive(Clone)]
 pub(super) struct TrainerApi {
     pub(super) forward: Forwarder,
@@ -36,11 +36,12 @@
     /// The samples that the trainer has, as a bitmap in hexadecimal.
     have: String,
     #[serde(default)]
+    /// How long the answer may wait for a complete group.
     wait_ms: u64,
     weight_version: WeightVersion,
 }
 
-/// The body that names a trainer's weight version.
+/// The body of a request that names the trainer's weight version.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VersionBody {
@@ -48,14 +49,15 @@
     weight_version: WeightVersion,
 }
 
-/// The longest that a fetch is held.
+/// The longest time that a fetch may be held.
 const MAX_FETCH_WAIT: Millis = Millis(30_000);
 
-/// How long the owner of a trainer may take beyond that.
+/// How much longer than that the owner of a trainer may take to answer a forwarded
+/// request.
 const OWNER_MARGIN: Millis = Millis(5_000);
 
-/// Answers a trainer's request, or passes it to the entry that owns the
-/// trainer; a request that was passed on once is not passed on again.
+/// Answers a trainer's request, or forwards it to the entry that owns the trainer. A
+/// forwarded request is not forwarded again.
 pub(super) async fn handle(
     api: &TrainerApi,
     method: &str,
@@ -94,6 +96,7 @@
     }
 }
 
+/// Forwards a request to the owner's link address.
 async fn forward_to_owner(
     api: &TrainerApi,
     address: &str,
@@ -112,12 +115,13 @@
     }
 }
 
-/// A failure as status and problem details.
+/// A failure as an HTTP status and a body with problem details.
 fn problem_response(failure: &Failure) -> (StatusCode, Bytes) {
     let status = StatusCode::from_u16(failure.cause.status()).unwrap_or_default();
     (status, Bytes::from(crate::duty::details(failure, None)))
 }
 
+/// The team, the trainer and the operation that a request names.
 fn parse(method: &str, path: &str, body: &[u8]) -> Result<(String, String, Operation), Failure> {
     let not_found = || Failure::not_run(Cause::NotFound, format!("no such resource: `{path}`"));
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -155,11 +159,13 @@
     Ok(((*team).to_owned(), (*trainer).to_owned(), operation))
 }
 
+/// Parses a JSON body.
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
     serde_json::from_slice(body)
         .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))
 }
 
+/// Parses the number of a step in a path.
 fn step_number(text: &str) -> Result<u64, Failure> {
     text.parse().map_err(|_| {
         let detail = format!("`{text}` is no step number");
