--- a/src/entry/call_options.rs
+++ b/src/entry/call_options.rs
@@ -1,4 +1,4 @@
-//! What a caller says about its call, in headers.
+//! The options of a call, which the caller sets in request headers.
 
 use super::call_target::Target;
 use crate::{
@@ -12,25 +12,27 @@
     header::{AUTHORIZATION, HeaderMap}, //
 };
 
-/// The header with which a caller says whether a call may be repeated.
-const IDEMPOTENT: &str = "redwing-idempotent";
+/// The header that says whether the call is idempotent.
+const IDEMPOTENT_HEADER: &str = "redwing-idempotent";
 
-/// The header with a call's time in milliseconds.
-const DEADLINE: &str = "redwing-deadline-ms";
+/// The header with the time limit of the call, in ms.
+const DEADLINE_HEADER: &str = "redwing-deadline-ms";
 
-/// The bytes of a request key.
-const MAX_KEY: usize = 128;
+/// The largest length of a request key, in bytes.
+const MAX_KEY_LENGTH: usize = 128;
 
-/// What a caller asks of a class.
+/// The options of one call.
 pub(super) struct Options {
-    /// The point in time at which the call's time is over.
+    /// When the call's time limit ends.
     pub(super) deadline: Millis,
+    /// Whether the call may run more than once.
     pub(super) idempotent: bool,
+    /// The caller's key for the call; the same in all repeats of the call.
     pub(super) key: Option<String>,
 }
 
-/// Reads what the caller says about the call itself.
-pub(super) fn options(
+/// Reads the options from the headers; the class and the method give the defaults.
+pub(super) fn read_options(
     target: &Target,
     now: Millis,
     method: &Method,
@@ -38,35 +40,37 @@
 ) -> Result<Options, Failure> {
     let refuse = |detail: String| Failure::not_run(Cause::BadRequest, detail);
     let header = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or("?"));
-    let deadline = match header(DEADLINE) {
+    let deadline = match header(DEADLINE_HEADER) {
         None => target.class.deadline,
         Some(value) => {
             let number = value.parse().ok().filter(|ms| (1..=3_600_000).contains(ms));
             let number = number.ok_or_else(|| {
-                refuse(format!("`{DEADLINE}` is `{value}`, expected 1 to 3600000"))
+                refuse(format!(
+                    "`{DEADLINE_HEADER}` is `{value}`, expected 1 to 3600000"
+                ))
             })?;
             Millis(number)
         }
     };
-    // Engines' answers have no effects; for services the method decides, as
-    // HTTP defines it, unless the caller says otherwise.
+    // Generations have no side effects. For services, the HTTP method decides unless the
+    // caller sets the header.
     let by_method = target.kind == BackendKind::Engine || method.is_idempotent();
-    let idempotent = match header(IDEMPOTENT) {
+    let idempotent = match header(IDEMPOTENT_HEADER) {
         None => by_method,
         Some("true") => true,
         Some("false") => false,
         Some(value) => {
             return Err(refuse(format!(
-                "`{IDEMPOTENT}` is `{value}`, expected true or false"
+                "`{IDEMPOTENT_HEADER}` is `{value}`, expected true or false"
             )));
         }
     };
     let key = header(REQUEST_KEY).map(str::to_owned);
     if key.as_ref().is_some_and(|key| {
-        key.is_empty() || key.len() > MAX_KEY || !key.bytes().all(|b| b.is_ascii_graphic())
+        key.is_empty() || key.len() > MAX_KEY_LENGTH || !key.bytes().all(|b| b.is_ascii_graphic())
     }) {
         return Err(refuse(format!(
-            "`{REQUEST_KEY}` is not 1 to {MAX_KEY} visible characters"
+            "`{REQUEST_KEY}` is not 1 to {MAX_KEY_LENGTH} visible characters"
         )));
     }
     Ok(Options {
@@ -76,8 +80,8 @@
     })
 }
 
-/// The caller's headers that a service gets to see.
-pub(super) fn passed_on(headers: &HeaderMap) -> Vec<(String, Bytes)> {
+/// The caller's headers that are forwarded to the service.
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     headers
         .iter()
         .filter(|(name, _)| {
--- a/src/entry/chat_api.rs
+++ b/src/entry/chat_api.rs
@@ -1,12 +1,12 @@
-//! The completions and chat requests that callers send to engine pools.
+//! The completion and chat requests that callers send to engine pools.
 //!
-//! The subset: `model`, `prompt` or `messages`, `max_tokens`, `temperature`,
-//! `seed`, `stream`. A member outside it is refused rather than ignored.
+//! Supported members are `model`, `prompt` or `messages`, `max_tokens`, `temperature`,
+//! `seed` and `stream`. A request with any other member is refused.
 
 use super::reply_body::{
     Body,
     Replies,
-    cut, //
+    body_error, //
 };
 use crate::{
     base::{Cause, Failure, RequestId, Span, Tokens},
@@ -27,13 +27,15 @@
 
 use super::command::Reply;
 
-/// Which of the two shapes a caller speaks.
+/// The API endpoint that a caller uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Shape {
+pub(super) enum Endpoint {
     Chat,
     Completion,
 }
 
+/// The body of a request. Serde puts the name of this type into error texts, which are
+/// sent to callers, so the name can't change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Asked {
@@ -50,22 +52,23 @@
     temperature: f32,
 }
 
-/// A caller's request to an engine pool.
+/// A parsed request to an engine pool.
 pub(super) struct ChatCall {
     pub(super) generation: Generation,
-    pub(super) shape: Shape,
+    pub(super) endpoint: Endpoint,
     pub(super) stream: bool,
 }
 
-/// What we add to the protocol's answers.
+/// Our extension of the response: which weight versions generated the tokens.
 #[derive(Serialize)]
 struct Provenance<'a> {
     request_id: String,
     weight_versions: &'a [Span],
 }
 
+/// The body of a response, or one event of a streamed response.
 #[derive(Serialize)]
-struct Answer<'a> {
+struct CompletionResponse<'a> {
     choices: [Choice; 1],
     id: String,
     model: &'a str,
@@ -89,9 +92,9 @@
     256
 }
 
-impl Shape {
-    /// The shape that is asked for at `path`.
-    pub(super) fn at(path: &str) -> Option<Self> {
+impl Endpoint {
+    /// The endpoint at `path`.
+    pub(super) fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/chat/completions" => Some(Self::Chat),
             "/v1/completions" => Some(Self::Completion),
@@ -99,6 +102,7 @@
         }
     }
 
+    /// The value of the member `object`.
     fn object(self, stream: bool) -> &'static str {
         match (self, stream) {
             (Self::Chat, false) => "chat.completion",
@@ -107,6 +111,7 @@
         }
     }
 
+    /// The one choice in a response or event, with `text` as its content.
     fn choice(self, text: String, stream: bool, finish: Option<FinishReason>) -> Choice {
         let finish_reason = finish.map(|finish| finish.word().to_owned());
         let empty = Choice {
@@ -137,67 +142,69 @@
 }
 
 impl ChatCall {
-    /// Reads a request body of `shape`.
-    pub(super) fn parse(shape: Shape, body: &[u8]) -> Result<Self, Failure> {
+    /// Parses the body of a request to `endpoint`.
+    pub(super) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, Failure> {
         let refuse = |detail: String| Failure::not_run(Cause::BadRequest, detail);
-        let asked: Asked =
+        let request: Asked =
             serde_json::from_slice(body).map_err(|error| refuse(error.to_string()))?;
-        let prompt = match (shape, asked.messages, asked.prompt) {
-            (Shape::Chat, Some(messages), None) => chat_prompt(&messages),
-            (Shape::Completion, None, Some(prompt)) => prompt,
-            (Shape::Chat, _, _) => return Err(refuse("expected `messages`, no `prompt`".into())),
-            (Shape::Completion, _, _) => {
+        let prompt = match (endpoint, request.messages, request.prompt) {
+            (Endpoint::Chat, Some(messages), None) => chat_prompt(&messages),
+            (Endpoint::Completion, None, Some(prompt)) => prompt,
+            (Endpoint::Chat, _, _) => {
+                return Err(refuse("expected `messages`, no `prompt`".into()));
+            }
+            (Endpoint::Completion, _, _) => {
                 return Err(refuse("expected `prompt`, no `messages`".into()));
             }
         };
         let limit = crate::policy::step_spec::MAX_TOKENS;
-        if !(1..=limit).contains(&asked.max_tokens) {
+        if !(1..=limit).contains(&request.max_tokens) {
             return Err(refuse(format!("`max_tokens` is not within 1 to {limit}")));
         }
         Ok(Self {
             generation: Generation {
                 done: Tokens::default(),
-                model: asked.model,
+                model: request.model,
                 prompt,
                 sampling: Sampling {
-                    max_tokens: asked.max_tokens,
-                    seed: asked.seed,
-                    temperature: asked.temperature,
+                    max_tokens: request.max_tokens,
+                    seed: request.seed,
+                    temperature: request.temperature,
                 },
             },
-            shape,
-            stream: asked.stream,
+            endpoint,
+            stream: request.stream,
         })
     }
 
-    /// Gathers the whole answer.
-    pub(super) async fn whole(&self, mut replies: Replies) -> Result<Bytes, Failure> {
+    /// Waits for the whole generation; returns the body of the response.
+    pub(super) async fn full_response(&self, mut replies: Replies) -> Result<Bytes, Failure> {
         let mut tokens = Tokens::default();
         let mut spans: Vec<Span> = Vec::new();
         while let Some(reply) = replies.next().await {
             match reply {
                 Reply::End(finish) => {
                     let text = tokens.text().to_owned();
-                    let answer = Answer {
-                        choices: [self.shape.choice(text, false, finish)],
+                    let answer = CompletionResponse {
+                        choices: [self.endpoint.choice(text, false, finish)],
                         id: replies.request.to_string(),
                         model: &self.generation.model,
-                        object: self.shape.object(false),
+                        object: self.endpoint.object(false),
                         redwing: Some(provenance(replies.request, &spans)),
                         usage: Some(Usage {
                             completion_tokens: tokens.len(),
                         }),
                     };
-                    replies.whole();
+                    replies.mark_delivered();
                     return Ok(Bytes::from(encode(&answer)));
                 }
                 Reply::Failed(failure) => return Err(failure),
                 Reply::Spans(more) => {
-                    replies.took(0).await;
+                    replies.return_credit(0).await;
                     Span::extend(&mut spans, more);
                 }
                 Reply::Tokens(from, part) => {
-                    replies.took(size(&part)).await;
+                    replies.return_credit(flow_cost(&part)).await;
                     tokens.splice(from, &part);
                 }
                 Reply::Credit(_) | Reply::Data(_) | Reply::Head { .. } => {}
@@ -206,51 +213,56 @@
         Err(Failure::may_have_run(Cause::LinkLost, "the answer was cut"))
     }
 
-    /// The answer as server-sent events, beginning with `first`.
-    pub(super) fn events(self, first: Reply, replies: Replies) -> Body {
-        let stream = Stream {
+    /// The response as server-sent events; `first` is the first reply to the call.
+    pub(super) fn event_stream(self, first: Reply, replies: Replies) -> Body {
+        let stream = ResponseStream {
             call: self,
             ended: None,
             first: Some(first),
             replies,
-            sent: 0,
+            sent_tokens: 0,
             spans: Vec::new(),
         };
         let frames = futures_util::stream::unfold(Some(stream), |state| async {
             let mut stream = state?;
             match stream.next().await {
-                Next::Cut(detail) => Some((Err(cut(&detail)), None)),
-                Next::End => None,
-                Next::Events(text) => Some((Ok(Frame::data(Bytes::from(text))), Some(stream))),
+                StreamItem::Error(detail) => Some((Err(body_error(&detail)), None)),
+                StreamItem::End => None,
+                StreamItem::Events(text) => {
+                    Some((Ok(Frame::data(Bytes::from(text))), Some(stream)))
+                }
             }
         });
         StreamBody::new(frames).boxed_unsync()
     }
 }
 
-/// A streamed answer under way.
-struct Stream {
+/// A streamed response in progress.
+struct ResponseStream {
     call: ChatCall,
-    /// Whether the last event was sent, and whether it was the whole answer.
+    /// Set once the last event was sent: whether the answer was whole.
     ended: Option<bool>,
     first: Option<Reply>,
     replies: Replies,
-    /// Tokens that the caller has seen.
-    sent: u32,
+    /// The number of tokens sent to the caller.
+    sent_tokens: u32,
     spans: Vec<Span>,
 }
 
-enum Next {
-    Cut(String),
+/// The next item of a streamed response.
+enum StreamItem {
+    /// The response breaks off, for this reason.
+    Error(String),
     End,
     Events(String),
 }
 
-impl Stream {
-    async fn next(&mut self) -> Next {
+impl ResponseStream {
+    /// Waits for the next item.
+    async fn next(&mut self) -> StreamItem {
         match self.ended {
-            Some(true) => return Next::End,
-            Some(false) => return Next::Cut("the generation failed".to_owned()),
+            Some(true) => return StreamItem::End,
+            Some(false) => return StreamItem::Error("the generation failed".to_owned()),
             None => {}
         }
         loop {
@@ -262,45 +274,46 @@
                 Some(Reply::End(finish)) => {
                     self.ended = Some(true);
                     let last = self.event(String::new(), finish.or(Some(FinishReason::Stop)));
-                    self.replies.whole();
-                    return Next::Events(format!("{last}data: [DONE]\n\n"));
+                    self.replies.mark_delivered();
+                    return StreamItem::Events(format!("{last}data: [DONE]\n\n"));
                 }
                 Some(Reply::Failed(failure)) => {
                     self.ended = Some(false);
-                    let told = problem_details(&failure, Some(self.replies.request));
-                    return Next::Events(format!("event: error\ndata: {told}\n\n"));
+                    let problem = problem_details(&failure, Some(self.replies.request));
+                    return StreamItem::Events(format!("event: error\ndata: {problem}\n\n"));
                 }
                 Some(Reply::Spans(more)) => {
-                    self.replies.took(0).await;
+                    self.replies.return_credit(0).await;
                     Span::extend(&mut self.spans, more);
                 }
                 Some(Reply::Tokens(from, part)) => {
-                    self.replies.took(size(&part)).await;
-                    // Tokens that were taken back can't be unsaid: the stream
-                    // is cut rather than go on with another text.
-                    if from < self.sent {
-                        return Next::Cut("tokens shown could not be confirmed".to_owned());
+                    self.replies.return_credit(flow_cost(&part)).await;
+                    // Tokens that were sent can't be revoked, so the stream is broken off
+                    // rather than continued with another text.
+                    if from < self.sent_tokens {
+                        return StreamItem::Error("tokens shown could not be confirmed".to_owned());
                     }
                     if part.is_empty() {
                         continue;
                     }
-                    self.sent = from + part.len();
-                    return Next::Events(self.event(part.text().to_owned(), None));
+                    self.sent_tokens = from + part.len();
+                    return StreamItem::Events(self.event(part.text().to_owned(), None));
                 }
                 Some(Reply::Credit(_) | Reply::Data(_) | Reply::Head { .. }) => {}
-                None => return Next::Cut("the answer was cut".to_owned()),
+                None => return StreamItem::Error("the answer was cut".to_owned()),
             }
         }
     }
 
+    /// One event, with further text or the finish reason.
     fn event(&self, text: String, finish: Option<FinishReason>) -> String {
         let call = &self.call;
         let provenance = finish.map(|_| provenance(self.replies.request, &self.spans));
-        let answer = Answer {
-            choices: [call.shape.choice(text, true, finish)],
+        let answer = CompletionResponse {
+            choices: [call.endpoint.choice(text, true, finish)],
             id: self.replies.request.to_string(),
             model: &call.generation.model,
-            object: call.shape.object(true),
+            object: call.endpoint.object(true),
             redwing: provenance,
             usage: None,
         };
@@ -308,6 +321,7 @@
     }
 }
 
+/// The prompt for the messages: one line each, with the role.
 fn chat_prompt(messages: &[Message]) -> String {
     let lines: Vec<String> = messages
         .iter()
@@ -316,7 +330,7 @@
     lines.concat()
 }
 
-fn encode(answer: &Answer<'_>) -> String {
+fn encode(answer: &CompletionResponse<'_>) -> String {
     serde_json::to_string(answer).unwrap_or_default()
 }
 
@@ -327,6 +341,7 @@
     }
 }
 
-fn size(part: &Tokens) -> usize {
+/// What the tokens cost of the flow-control window, without the message's own cost.
+fn flow_cost(part: &Tokens) -> usize {
     part.text().len() + 4 * part.len() as usize
 }
--- a/src/entry/news.rs
+++ b/src/entry/directory_update.rs
@@ -1,4 +1,4 @@
-//! What one entry tells another of settings and instances: only what changed.
+//! What one entry sends another about settings and instances: only the changes.
 
 use crate::table::{
     Instance,
@@ -13,29 +13,33 @@
     BTreeSet, //
 };
 
-/// A change of the list of instances.
+/// A change to the list of instances.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(super) enum Change {
+pub(super) enum InstancesChange {
+    /// The whole new list.
     All(Vec<Instance>),
     Part {
+        /// New instances, and those that differ.
         changed: Vec<Instance>,
+        /// The names of instances that are no longer listed.
         gone: Vec<String>,
     },
     #[default]
     Same,
 }
 
-/// What is newer than what the asker has.
+/// The settings and instances that are newer than those of the entry that asks.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(super) struct News {
-    pub(super) instances: Change,
-    /// The table's revision that the rows bring the asker up to.
+pub(super) struct DirectoryUpdate {
+    pub(super) instances: InstancesChange,
+    /// The revision of the settings that the rows bring that entry up to.
     pub(super) revision: u64,
+    /// Newer rows of the settings, by path.
     pub(super) rows: BTreeMap<String, Row>,
 }
 
-impl Change {
-    /// The list after this change of `before`.
+impl InstancesChange {
+    /// The list that this change makes of `before`.
     pub(super) fn apply(self, before: &[Instance]) -> Vec<Instance> {
         match self {
             Self::All(list) => list,
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The change that leads from `before` to `after`.
+    /// The change that makes `after` of `before`.
     pub(super) fn between(before: &[Instance], after: &[Instance]) -> Self {
         let old: BTreeMap<&str, &Instance> =
             before.iter().map(|one| (one.name.as_str(), one)).collect();
@@ -96,7 +100,7 @@
     }
 
     #[test]
-    fn a_change_leads_from_one_list_to_the_other() {
+    fn applying_the_change_between_two_lists_gives_the_second() {
         let lists = [
             list(&[]),
             list(&[("a", 1)]),
@@ -105,7 +109,7 @@
         ];
         for before in &lists {
             for after in &lists {
-                let change = Change::between(before, after);
+                let change = InstancesChange::between(before, after);
                 assert_eq!(change.apply(before), *after);
             }
         }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -1,8 +1,8 @@
-//! How the rollout duty sends samples out.
+//! How the rollout duty starts samples.
 
 use super::{
-    rollout::{Rollout, Told, TrainerKey},
-    sample::Maker, //
+    rollout::{Rollout, TaskReport, TrainerKey},
+    sample::Sampler, //
 };
 use crate::{
     base::{Millis, WeightVersion},
@@ -12,20 +12,21 @@
 };
 use std::collections::HashMap;
 
-/// Samples sent out beyond what the engines run at once, so that no engine
-/// waits for the next one.
-const AHEAD: f64 = 1.25;
+/// Samples in progress for each one that the engines can run at once. The surplus waits
+/// at the engines, so that none of them is idle between two samples.
+const DISPATCH_RATIO: f64 = 1.25;
 
-/// The least time that a sample of a step past its deadline gets.
-const LATE_SAMPLE: Millis = Millis(60_000);
+/// The shortest time limit of a sample, also when its step is past the deadline.
+const MIN_SAMPLE_TIME: Millis = Millis(60_000);
 
 impl Rollout {
-    /// Sends out samples as far as the engines have room: trainers in turn,
-    /// each with its oldest step first.
+    /// Starts samples while the engines have room: one for each trainer in turn, from the
+    /// trainer's oldest step that has one to start.
     pub(super) fn dispatch(&mut self, now: Millis) {
         let pools = self.directory.shared.pools.keys();
-        let mut room: HashMap<String, usize> =
-            pools.map(|pool| (pool.clone(), self.room(pool))).collect();
+        let mut free_slots: HashMap<String, usize> = pools
+            .map(|pool| (pool.clone(), self.free_slots(pool)))
+            .collect();
         let keys: Vec<TrainerKey> = self.trainers.keys().cloned().collect();
         let mut any = true;
         while std::mem::take(&mut any) {
@@ -33,20 +34,24 @@
                 let Some(settings) = self.rollout_settings(&key.0).cloned() else {
                     continue;
                 };
-                let Some(room) = room.get_mut(&settings.pool).filter(|room| **room > 0) else {
+                let Some(free_slots) = free_slots
+                    .get_mut(&settings.pool)
+                    .filter(|free_slots| **free_slots > 0)
+                else {
                     continue;
                 };
                 if self.dispatch_one(key, &settings, now) {
-                    *room -= 1;
+                    *free_slots -= 1;
                     any = true;
                 }
             }
         }
     }
 
+    /// Starts the next sample of a trainer; false if there is none to start.
     fn dispatch_one(&mut self, key: &TrainerKey, settings: &RolloutSettings, now: Millis) -> bool {
-        let maker = self.maker(&key.0, settings);
-        let told = self.told.clone();
+        let sampler = self.sampler(&key.0, settings);
+        let reports = self.reports.clone();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return false;
         };
@@ -65,30 +70,31 @@
         };
 
         let spec = &owned.step.spec;
-        let least = WeightVersion(version.0.saturating_sub(spec.staleness));
+        let min_version = WeightVersion(version.0.saturating_sub(spec.staleness));
         let generation = generation(spec, owned.step.group_and_index(sample));
-        // An attempt may not outlive its step's deadline, but a step that is
-        // late still wants its samples.
-        let deadline = owned.step.deadline().max(now + LATE_SAMPLE);
+        // A sample ends at the deadline of its step. A late step still needs its samples,
+        // so they get a minimum time.
+        let deadline = owned.step.deadline().max(now + MIN_SAMPLE_TIME);
         let key = key.clone();
         let task = tokio::task::spawn_local(async move {
-            let result = maker.make(generation, least, deadline).await;
-            let made = Told::Made {
+            let result = sampler.sample(generation, min_version, deadline).await;
+            let report = TaskReport::Sample {
                 key,
                 number: sample,
                 result: Box::new(result),
                 step: number,
             };
-            let _ = told.send(made).await;
+            let _ = reports.send(report).await;
         });
         owned.tasks.insert(sample, task);
         true
     }
 
-    fn maker(&self, team: &str, settings: &RolloutSettings) -> Maker {
-        Maker {
+    /// The sampler for a team.
+    fn sampler(&self, team: &str, settings: &RolloutSettings) -> Sampler {
+        Sampler {
             clock: self.clock,
-            issue: self.issue.clone(),
+            request_ids: self.request_ids.clone(),
             pool: settings.pool.clone(),
             scorer: settings.scorer.clone(),
             team: team.to_owned(),
@@ -96,8 +102,8 @@
         }
     }
 
-    /// How many more samples the engines of `pool` can be given.
-    fn room(&self, pool: &str) -> usize {
+    /// The number of further samples that can be started in `pool`.
+    fn free_slots(&self, pool: &str) -> usize {
         let servers = self.view.pool(pool);
         let capacity: u32 = servers.map(|server| server.report.capacity).sum();
         let steps = self
@@ -109,13 +115,14 @@
             })
             .flat_map(|(_, trainer)| trainer.steps.values());
         let running: usize = steps.map(|step| step.tasks.len()).sum();
-        ((f64::from(capacity) * AHEAD) as usize).saturating_sub(running)
+        ((f64::from(capacity) * DISPATCH_RATIO) as usize).saturating_sub(running)
     }
 }
 
+/// The generation of one sample of a step.
 fn generation(spec: &StepSpec, (group, index): (u32, u32)) -> Generation {
-    // Each sample of a group is drawn with a seed of its own, the same one
-    // whenever it is made anew.
+    // Each sample of a group has a seed of its own, which stays the same when the sample
+    // is generated again.
     let seed = crate::base::stable_hash(&[
         &spec.sampling.seed.to_le_bytes(),
         &group.to_le_bytes(),
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -1,4 +1,4 @@
-//! The duty that talks HTTP with callers and trainers.
+//! The duty that serves HTTP to callers and trainers.
 
 use super::{
     app_api::AppApi,
@@ -19,16 +19,16 @@
 };
 use tokio::sync::mpsc;
 
-/// The bytes of a trainer's request: a step of 2,048 prompts of 8 KB.
-const TRAINER_BODY: usize = 16 * 1024 * 1024;
+/// The largest body of a trainer's request, in bytes: a step of 2,048 prompts of 8 KB.
+const MAX_TRAINER_BODY: usize = 16 * 1024 * 1024;
 
-/// How long a trainer's request may take to arrive.
-const TRAINER_TIME: Millis = Millis(30_000);
+/// How long the body of a trainer's request may take to arrive.
+const TRAINER_BODY_TIMEOUT: Millis = Millis(30_000);
 
-/// Deliveries told to the traffic duty at once.
-const BATCH: usize = 128;
+/// The most ids in one `Command::Delivered`.
+const MAX_DELIVERY_BATCH: usize = 128;
 
-/// Serves until the program has drained.
+/// Serves until the program has drained, then waits until it stops.
 pub(super) async fn run(
     context: Context,
     server: HttpServer,
@@ -37,7 +37,7 @@
     trainers: TrainerApi,
     delivered: mpsc::Receiver<RequestId>,
 ) {
-    tokio::spawn(tell_delivered(delivered, app.traffic.clone()));
+    tokio::spawn(report_deliveries(delivered, app.traffic.clone()));
     server
         .serve(&context, leave, move |request| {
             let (app, trainers) = (app.clone(), trainers.clone());
@@ -48,22 +48,24 @@
     context.reached(crate::duty::Phase::Stopped).await;
 }
 
+/// Answers one request.
 async fn route(app: AppApi, trainers: TrainerApi, request: Request<Incoming>) -> Answer {
     let path = request.uri().path();
     if path.starts_with("/v1/app/") {
         return app.handle(request).await;
     }
     if path.starts_with("/v1/teams/") {
-        return trainer(trainers, request).await;
+        return answer_trainer(trainers, request).await;
     }
     let detail = format!("no such resource: `{path}`");
     problem(&Failure::not_run(Cause::NotFound, detail), None)
 }
 
-async fn trainer(api: TrainerApi, request: Request<Incoming>) -> Answer {
+/// Answers a request from a trainer.
+async fn answer_trainer(api: TrainerApi, request: Request<Incoming>) -> Answer {
     let (parts, body) = request.into_parts();
-    let gathered = Limited::new(body, TRAINER_BODY).collect();
-    let body = match tokio::time::timeout(TRAINER_TIME.as_duration(), gathered).await {
+    let gathered = Limited::new(body, MAX_TRAINER_BODY).collect();
+    let body = match tokio::time::timeout(TRAINER_BODY_TIMEOUT.as_duration(), gathered).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             let failure = Failure::not_run(Cause::TooLarge, error.to_string());
@@ -83,11 +85,15 @@
     text(status, kind, body)
 }
 
-async fn tell_delivered(mut delivered: mpsc::Receiver<RequestId>, traffic: mpsc::Sender<Command>) {
-    let mut batch = Vec::with_capacity(BATCH);
-    while delivered.recv_many(&mut batch, BATCH).await > 0 {
-        let told = std::mem::take(&mut batch);
-        if traffic.send(Command::Delivered(told)).await.is_err() {
+/// Reports delivered answers to the traffic duty, in batches.
+async fn report_deliveries(
+    mut delivered: mpsc::Receiver<RequestId>,
+    traffic: mpsc::Sender<Command>,
+) {
+    let mut batch = Vec::with_capacity(MAX_DELIVERY_BATCH);
+    while delivered.recv_many(&mut batch, MAX_DELIVERY_BATCH).await > 0 {
+        let requests = std::mem::take(&mut batch);
+        if traffic.send(Command::Delivered(requests)).await.is_err() {
             return;
         }
     }
--- a/src/entry/learner.rs
+++ b/src/entry/learner.rs
@@ -1,9 +1,9 @@
-//! The duty that learns the shared settings and the list of instances.
+//! The duty that fetches the shared settings and the list of instances.
 
 use super::{
     directory::Directory,
-    forward::{self, Forward},
-    news::{Change, News}, //
+    directory_update::{DirectoryUpdate, InstancesChange}, //
+    forward::{self, Forwarder},
 };
 use crate::{
     base::{Millis, stable_hash},
@@ -18,24 +18,25 @@
 };
 use tokio::sync::watch;
 
-/// The entries that read the platform. All others learn from these, so that
-/// the platform's reads don't grow with the fleet.
-const READERS: usize = 24;
+/// The number of entries that read from the platform, called readers. All others fetch
+/// from the readers, so that the load on the platform does not grow with the fleet.
+const READER_COUNT: usize = 24;
 
-/// How often a reader reads, and the wait after a failure.
-const READ: Millis = Millis(1_000);
+/// How often a reader reads from the platform, and how long any entry waits after a
+/// failure, both before jitter.
+const READ_INTERVAL: Millis = Millis(1_000);
 
-/// How long a reader holds a peer's question while nothing is new.
-pub(super) const HOLD: Millis = Millis(20_000);
+/// How long a reader holds a peer's request while there is nothing new.
+pub(super) const LONG_POLL_TIMEOUT: Millis = Millis(20_000);
 
-/// The path of the question to a reader.
-pub(super) const PATH: &str = "/internal/directory";
+/// The path of that request.
+pub(super) const DIRECTORY_PATH: &str = "/internal/directory";
 
-/// Learns until the program stops.
+/// Fetches until the program stops.
 pub(super) async fn run(
     context: Context,
     settings: EntrySettings,
-    forward: Forward,
+    forward: Forwarder,
     directory: watch::Sender<Arc<Directory>>,
 ) {
     context.mark_drained();
@@ -43,27 +44,27 @@
     let mut failed = 0;
     let mut tags = (EntityTag::default(), EntityTag::default());
     loop {
-        let known = directory.borrow().clone();
-        let peer = peer(&settings, &known, failed);
-        let learned = tokio::select! {
-            learned = learn(&platform, &forward, &known, peer, &mut tags) => learned,
+        let current = directory.borrow().clone();
+        let peer = choose_peer(&settings, &current, failed);
+        let fetched = tokio::select! {
+            fetched = fetch_update(&platform, &forward, &current, peer, &mut tags) => fetched,
             () = context.reached(Phase::Stopped) => return,
         };
-        let told = learned.is_some() && peer.is_some();
-        match learned {
-            Some(news) => {
+        let was_long_poll = fetched.is_some() && peer.is_some();
+        match fetched {
+            Some(update) => {
                 failed = 0;
-                take(&directory, &known, news, peer);
+                apply_update(&directory, &current, update, peer);
             }
             None => failed += 1,
         }
-        if told {
+        if was_long_poll {
             continue;
         }
-        // Without a share of its own each, all would ask at the same moment.
+        // Jitter keeps the entries from all asking at the same moment.
         let name = settings.common.instance.as_bytes();
-        let jitter = stable_hash(&[name, &context.clock.micros().to_le_bytes()]) % READ.0;
-        let wait = Millis(READ.0 / 2 + jitter);
+        let jitter = stable_hash(&[name, &context.clock.micros().to_le_bytes()]) % READ_INTERVAL.0;
+        let wait = Millis(READ_INTERVAL.0 / 2 + jitter);
         tokio::select! {
             () = tokio::time::sleep(wait.as_duration()) => {}
             () = context.reached(Phase::Stopped) => return,
@@ -71,73 +72,83 @@
     }
 }
 
-async fn learn(
+/// Fetches from `peer`, or from the platform if there is none. Returns `None` on failure.
+async fn fetch_update(
     platform: &PlatformClient,
-    forward: &Forward,
-    known: &Directory,
+    forward: &Forwarder,
+    current: &Directory,
     peer: Option<SocketAddr>,
     tags: &mut (EntityTag, EntityTag),
-) -> Option<News> {
+) -> Option<DirectoryUpdate> {
     if let Some(peer) = peer {
-        let (revision, stamp) = (known.revision(), known.stamp());
-        let path = format!("{PATH}?revision={revision}&stamp={stamp}");
-        let answer = forward::get(forward, peer, &path, HOLD + READ).await.ok()?;
+        let (revision, stamp) = (current.revision(), current.stamp());
+        let path = format!("{DIRECTORY_PATH}?revision={revision}&stamp={stamp}");
+        let answer = forward::get(forward, peer, &path, LONG_POLL_TIMEOUT + READ_INTERVAL)
+            .await
+            .ok()?;
         return serde_json::from_slice(&answer).ok();
     }
     let listing = platform.list(SETTINGS_PREFIX, &mut tags.0).await.ok()?;
     let instances = platform.instances(&mut tags.1).await.ok()?;
-    let instances = instances.map_or(Change::Same, |mut list| {
+    let instances = instances.map_or(InstancesChange::Same, |mut list| {
         list.sort_by(|a, b| a.name.cmp(&b.name));
-        Change::All(list)
+        InstancesChange::All(list)
     });
     let listing = listing.unwrap_or_default();
-    Some(News {
+    Some(DirectoryUpdate {
         instances,
         revision: listing.revision,
         rows: listing.rows,
     })
 }
 
-/// Whom to ask this time; `None` means the platform.
+/// The peer to ask next; `None` means the platform.
 ///
-/// Readers ask the platform, and a peer while it fails. The others ask the
-/// readers in turn, and the platform when all of them failed.
-fn peer(settings: &EntrySettings, known: &Directory, failed: usize) -> Option<SocketAddr> {
-    let me = &settings.common.instance;
-    let entries = || known.instances.iter().filter(|one| one.pool.is_none());
-    let names = entries().map(|one| one.name.as_str());
-    let readers = subset::choose("directory", names, READERS);
+/// Readers ask the platform, and peers in turn while it fails. Other entries ask the
+/// readers in turn, and the platform when all readers have failed. `failed` counts the
+/// failures since the last success.
+fn choose_peer(settings: &EntrySettings, current: &Directory, failed: usize) -> Option<SocketAddr> {
+    let own_name = &settings.common.instance;
+    let entries = || {
+        current
+            .instances
+            .iter()
+            .filter(|entry| entry.pool.is_none())
+    };
+    let names = entries().map(|entry| entry.name.as_str());
+    let readers = subset::choose("directory", names, READER_COUNT);
     let mut peers: Vec<SocketAddr> = entries()
-        .filter(|one| readers.contains(&one.name.as_str()) && one.name != *me)
-        .map(|one| one.links)
+        .filter(|entry| readers.contains(&entry.name.as_str()) && entry.name != *own_name)
+        .map(|entry| entry.links)
         .collect();
     if peers.is_empty() {
         peers.clone_from(&settings.peers);
     }
 
-    let reads = readers.is_empty() || readers.contains(&me.as_str());
-    // The platform's place among those asked in turn: first for a reader.
+    let is_reader = readers.is_empty() || readers.contains(&own_name.as_str());
+    // The platform has one turn too: the first for a reader, otherwise the last.
     let turn = failed % (peers.len() + 1);
-    match reads {
-        true => turn.checked_sub(1).map(|at| peers[at]),
+    match is_reader {
+        true => turn.checked_sub(1).map(|index| peers[index]),
         false => peers.get(turn).copied(),
     }
 }
 
-fn take(
+/// Publishes the directory with `update` applied, if that changes it.
+fn apply_update(
     directory: &watch::Sender<Arc<Directory>>,
-    known: &Directory,
-    news: News,
+    current: &Directory,
+    update: DirectoryUpdate,
     peer: Option<SocketAddr>,
 ) {
-    let Some(next) = known.merged(news) else {
+    let Some(next) = current.apply(update) else {
         return;
     };
     tracing::info!(
         revision = next.revision(),
         instances = next.instances.len(),
         from = peer.map_or("platform".to_owned(), |peer| peer.to_string()),
-        "directory"
+        "directory updated"
     );
     metrics::gauge!("redwing_settings_revision").set(next.revision() as f64);
     directory.send_replace(Arc::new(next));
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! How the traffic duty follows the platform's list.
+//! How the traffic duty follows the list of instances.
 
 use super::{
     dialer,
@@ -22,9 +22,10 @@
 };
 
 impl Traffic {
-    /// Follows the platform's list: links to the chosen subset of each pool.
+    /// Follows a new list of instances: opens links to the agents of this entry's subset
+    /// of each pool.
     pub(super) fn on_directory(&mut self, directory: &Directory) {
-        let wanted = self.wanted(&directory.instances);
+        let wanted = self.chosen_instances(&directory.instances);
         for server in self.servers.values_mut() {
             match wanted.get(server.instance.name.as_str()) {
                 Some(instance) if instance.links == server.instance.links => {
@@ -45,21 +46,22 @@
                 self.add_server(instance.clone());
             }
         }
-        self.drop_unlisted();
+        self.remove_unlisted();
     }
 
-    fn wanted<'a>(&self, instances: &'a [Instance]) -> BTreeMap<&'a str, &'a Instance> {
+    /// This entry's subset of each pool, by instance name.
+    fn chosen_instances<'a>(&self, instances: &'a [Instance]) -> BTreeMap<&'a str, &'a Instance> {
         let mut pools: BTreeMap<&str, Vec<&Instance>> = BTreeMap::new();
         for instance in instances {
             if let Some(pool) = &instance.pool {
                 pools.entry(pool).or_default().push(instance);
             }
         }
-        let me = &self.settings.common.instance;
+        let own_name = &self.settings.common.instance;
         let mut wanted = BTreeMap::new();
         for pool in pools.into_values() {
             let names = pool.iter().map(|instance| instance.name.as_str());
-            let chosen: BTreeSet<&str> = subset::choose(me, names, subset::SUBSET_SIZE)
+            let chosen: BTreeSet<&str> = subset::choose(own_name, names, subset::SUBSET_SIZE)
                 .into_iter()
                 .collect();
             let kept = pool
@@ -70,11 +72,17 @@
         wanted
     }
 
+    /// Adds a server, and starts the task that keeps its link open.
     fn add_server(&mut self, instance: Instance) {
         let (hello, inbox) = (self.hello.clone(), self.inbox.clone());
         let distance = self.settings.distance(&instance.data_centre);
         self.servers.insert_with_key(|key| Server {
-            dialer: tokio::task::spawn_local(dialer::dial(key, instance.links, hello, inbox)),
+            dialer: tokio::task::spawn_local(dialer::maintain_link(
+                key,
+                instance.links,
+                hello,
+                inbox,
+            )),
             distance,
             health: CircuitBreaker::default(),
             in_flight: 0,
@@ -83,14 +91,14 @@
             listed: true,
             latency: Latency::default(),
             report: Report::default(),
-            reported: Millis(0),
-            reported_mine: 0,
+            reported_at: Millis(0),
+            own_at_report: 0,
         });
     }
 
-    /// Lets go of servers that the platform no longer lists, once nothing
-    /// of ours runs there.
-    pub(super) fn drop_unlisted(&mut self) {
+    /// Removes the servers that are no longer listed, once no request of this entry is in
+    /// flight there.
+    pub(super) fn remove_unlisted(&mut self) {
         self.servers.retain(|_, server| {
             let keep = server.listed || server.in_flight > 0;
             if !keep {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: what callers and trainers talk to.
+//! The entry: takes calls from callers and steps from trainers, and has agents run them.
 
 mod app_api;
 mod arrival;
@@ -10,21 +10,21 @@
 mod command;
 mod dialer;
 mod directory;
+mod directory_update;
 mod dispatch;
 mod entry_handle;
 mod explain;
 mod forward;
 mod front;
-mod issue;
 mod learner;
 mod links;
-mod news;
 mod outcomes;
 mod owned_step;
 mod ownership;
-mod peer_door;
+mod peer_server;
 mod reply_body;
 mod request_body;
+mod request_ids;
 mod rollout;
 mod sample;
 mod server;
--- a/src/entry/owned_step.rs
+++ b/src/entry/owned_step.rs
@@ -1,6 +1,6 @@
-//! A step that this entry owns: its state, its attempts and its open fetches.
+//! A step that this entry owns: its state, its samples in progress and its open fetch.
 
-use super::rollout::Asked;
+use super::rollout::TrainerReply;
 use crate::{
     base::{Millis, WeightVersion},
     policy::{
@@ -18,25 +18,31 @@
     task::JoinHandle, //
 };
 
-/// A fetch that waits for finished groups.
+/// A fetch that waits for complete groups.
 pub(super) struct Fetch {
+    /// The samples that the trainer has.
     pub(super) have: Bitmap,
-    pub(super) reply: oneshot::Sender<Asked>,
-    pub(super) until: Millis,
+    pub(super) reply: oneshot::Sender<TrainerReply>,
+    /// When the fetch is answered even if no group is complete.
+    pub(super) deadline: Millis,
+    /// The trainer's weight version.
     pub(super) version: WeightVersion,
 }
 
-/// A step and what runs for it. Dropping it ends its attempts.
+/// A step and the tasks that produce its samples; dropping it aborts them.
 pub(super) struct OwnedStep {
-    /// The latest fetch; a newer one takes its place.
+    /// The open fetch; a newer one replaces it.
     pub(super) fetch: Option<Fetch>,
     pub(super) step: Step,
+    /// By sample number.
     pub(super) tasks: HashMap<u32, JoinHandle<()>>,
 }
 
-/// The groups and the bytes of text handed out by one fetch.
-const MOST_GROUPS: usize = 64;
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// The most groups in the answer to a fetch.
+const MAX_FETCH_GROUPS: usize = 64;
+
+/// The length of text, in bytes, beyond which no further group is added to an answer.
+const MAX_FETCH_BYTES: usize = 4 * 1024 * 1024;
 
 impl OwnedStep {
     pub(super) fn new(step: Step) -> Self {
@@ -47,8 +53,8 @@
         }
     }
 
-    /// Answers the open fetch if there is something to hand out, if the step
-    /// is whole, or if its time is over.
+    /// Answers the open fetch if there are groups to deliver, if the trainer has the whole
+    /// step, or if the fetch has reached its deadline.
     pub(super) fn answer_fetch(&mut self, now: Millis, epoch: u64) {
         let Some(fetch) = &self.fetch else {
             return;
@@ -59,9 +65,9 @@
         }
         let fetched = self
             .step
-            .fetch(now, &fetch.have, fetch.version, MOST_GROUPS);
+            .fetch(now, &fetch.have, fetch.version, MAX_FETCH_GROUPS);
         let nothing = fetched.groups.is_empty() && !fetched.last;
-        if nothing && now < fetch.until {
+        if nothing && now < fetch.deadline {
             return;
         }
         let Some(fetch) = self.fetch.take() else {
@@ -71,10 +77,10 @@
         let mut bytes = 0;
         let mut groups = Vec::new();
         for group in &fetched.groups {
-            if bytes > MOST_BYTES {
+            if bytes > MAX_FETCH_BYTES {
                 break;
             }
-            groups.push(self.group(*group, &fetch.have, &mut bytes));
+            groups.push(self.group_json(*group, &fetch.have, &mut bytes));
         }
         let answer = json!({
             "done": fetched.last && groups.len() == fetched.groups.len(),
@@ -83,10 +89,12 @@
             "groups": groups,
             "regenerated": self.step.regenerated(),
         });
-        let _ = fetch.reply.send(Asked::Answer(Ok(answer)));
+        let _ = fetch.reply.send(TrainerReply::Answer(Ok(answer)));
     }
 
-    fn group(&self, group: u32, have: &Bitmap, bytes: &mut usize) -> Value {
+    /// A group with the samples that the trainer does not have. Adds the length of their
+    /// texts to `bytes`.
+    fn group_json(&self, group: u32, have: &Bitmap, bytes: &mut usize) -> Value {
         let samples: Vec<Value> = self
             .step
             .numbers(group)
@@ -94,7 +102,7 @@
             .filter_map(|number| {
                 let sample = self.step.sample(number)?;
                 *bytes += sample.tokens.text().len();
-                Some(describe(
+                Some(sample_json(
                     self.step.group_and_index(number).1,
                     number,
                     sample,
@@ -113,7 +121,8 @@
     }
 }
 
-fn describe(index: u32, number: u32, sample: &Sample) -> Value {
+/// A sample as it is delivered to the trainer.
+fn sample_json(index: u32, number: u32, sample: &Sample) -> Value {
     let tokens: Vec<&str> = sample.tokens.iter().collect();
     json!({
         "finish_reason": sample.finish,
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -1,7 +1,7 @@
-//! How the rollout duty gets, keeps and gives up trainers' leases.
+//! How the rollout duty acquires, renews and releases trainers' leases.
 
 use super::{
-    rollout::{Asked, Rollout, Told, TrainerKey},
+    rollout::{Rollout, TaskReport, TrainerKey, TrainerReply},
     trainer::Ownership, //
 };
 use crate::{
@@ -10,76 +10,83 @@
     table::{PlatformClient, PlatformError, Transaction, TransactionOutcome, Write},
 };
 
-/// How long a look at the row counts as fresh.
-pub(super) const FRESH: Millis = Millis(1_000);
+/// How long after a check requests are forwarded to another entry without a new check.
+pub(super) const MAX_LEASE_AGE: Millis = Millis(1_000);
 
-/// How often a lease that is held or wanted is looked at.
-const LOOK: Millis = Millis(500);
+/// How often a lease that is held or wanted is checked.
+const CHECK_INTERVAL: Millis = Millis(500);
 
-/// A lease is wanted for this long after the trainer's last request.
-const WANTED: Millis = Millis(30_000);
+/// How long after the trainer's last request its lease is wanted.
+const LEASE_IDLE_TIMEOUT: Millis = Millis(30_000);
 
-/// What a look at a lease's row found.
-pub(super) struct Look {
-    /// The row, and whether this entry wrote it just now; an error when the
-    /// table gave no answer.
+/// The result of a check of a lease.
+pub(super) struct LeaseCheck {
+    /// The row, and whether this check wrote it; an error if the table did not answer.
     found: Result<(Option<Lease>, bool), PlatformError>,
 }
 
 impl Rollout {
-    /// Looks at the leases that are due, and forgets trainers that are gone.
-    pub(super) fn tend_leases(&mut self, now: Millis) {
+    /// Checks the leases that are due, and forgets idle trainers that this entry does not
+    /// own. Releases all leases if the entry drains.
+    pub(super) fn check_leases(&mut self, now: Millis) {
         let due: Vec<TrainerKey> = self
             .trainers
             .iter()
-            .filter(|(_, trainer)| !trainer.looking && now.since(trainer.seen) >= LOOK)
-            .filter(|(_, trainer)| trainer.epoch().is_some() || now.since(trainer.wanted) < WANTED)
+            .filter(|(_, trainer)| {
+                !trainer.checking && now.since(trainer.checked_at) >= CHECK_INTERVAL
+            })
+            .filter(|(_, trainer)| {
+                trainer.epoch().is_some() || now.since(trainer.last_request) < LEASE_IDLE_TIMEOUT
+            })
             .map(|(key, _)| key.clone())
             .collect();
         for key in due {
-            self.look(&key);
+            self.check_lease(&key);
         }
         self.trainers.retain(|_, trainer| {
-            trainer.epoch().is_some() || trainer.looking || now.since(trainer.wanted) < WANTED
+            trainer.epoch().is_some()
+                || trainer.checking
+                || now.since(trainer.last_request) < LEASE_IDLE_TIMEOUT
         });
         if self.draining {
-            self.hand_over_all();
+            self.release_leases();
         }
     }
 
-    /// Begins a look at the lease of `key`, with a write if one is due.
-    pub(super) fn look(&mut self, key: &TrainerKey) {
-        let Some(trainer) = self.trainers.get_mut(key).filter(|t| !t.looking) else {
+    /// Starts a check of the lease of `key`, in a task of its own, unless one is in
+    /// progress. The check also acquires or renews the lease if that is due.
+    pub(super) fn check_lease(&mut self, key: &TrainerKey) {
+        let Some(trainer) = self.trainers.get_mut(key).filter(|t| !t.checking) else {
             return;
         };
-        trainer.looking = true;
-        let look = Looker {
+        trainer.checking = true;
+        let check = LeaseChecker {
             clock: self.clock,
             me: self.me.clone(),
-            path: path(key),
+            path: lease_path(key),
             platform: self.platform.clone(),
             watch: trainer.watch.clone(),
         };
-        let (key, told) = (key.clone(), self.told.clone());
+        let (key, reports) = (key.clone(), self.reports.clone());
         tokio::task::spawn_local(async move {
-            let found = look.run().await;
-            let outcome = Look { found };
-            let _ = told.send(Told::Lease { key, outcome }).await;
+            let found = check.run().await;
+            let outcome = LeaseCheck { found };
+            let _ = reports.send(TaskReport::Lease { key, outcome }).await;
         });
     }
 
-    /// Takes in what a look found, and answers the questions that waited.
-    pub(super) fn on_look(&mut self, key: &TrainerKey, look: Look) {
+    /// Takes the result of a check, and answers the requests that waited for it.
+    pub(super) fn on_lease_check(&mut self, key: &TrainerKey, check: LeaseCheck) {
         let now = self.clock.now();
         let me = self.me.clone();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
         };
-        trainer.looking = false;
+        trainer.checking = false;
         let before = trainer.epoch();
-        match look.found {
+        match check.found {
             Ok((row, _)) => {
-                trainer.seen = now;
+                trainer.checked_at = now;
                 trainer.watch.observe(now, row.clone());
                 trainer.ownership = match row {
                     Some(row) if me.holds(&row) => Ownership::Mine(row.epoch),
@@ -87,13 +94,13 @@
                     Some(_) | None => Ownership::Unknown,
                 };
             }
-            // The table is down. A lease that is held stays held: nobody else
-            // can take it either, and the trainer refuses whatever comes from
-            // an older epoch than it has seen. Where nothing is known, nothing
-            // can be taken: two entries could both believe they own it.
+            // The table does not answer. A lease that is held stays held: no other entry
+            // can take it either, and the trainer refuses answers of an older epoch than it
+            // has seen. A trainer whose owner is unknown is not taken over: two entries
+            // could both believe that they own it.
             Err(error) => {
-                tracing::warn!(%error, trainer = key.1, "lease not seen");
-                trainer.seen = now;
+                tracing::warn!(%error, trainer = key.1, "could not check the lease of a trainer");
+                trainer.checked_at = now;
             }
         }
 
@@ -105,56 +112,58 @@
                 trainer = key.1,
                 epoch = after,
                 reason = if after.is_some() { "lease taken" } else { "lease lost" },
-                "step owner"
+                "ownership of a trainer changed"
             );
         }
         if before.is_some() && before != after {
-            trainer.lose();
+            trainer.clear_steps();
         }
-        self.answer_waiting(key);
+        self.answer_deferred(key);
     }
 
-    fn answer_waiting(&mut self, key: &TrainerKey) {
+    /// Answers the requests that waited for a check; refuses them if the owner is still
+    /// unknown.
+    fn answer_deferred(&mut self, key: &TrainerKey) {
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
         };
         let known = !matches!(trainer.ownership, Ownership::Unknown);
-        for question in std::mem::take(&mut trainer.waiting) {
+        for request in std::mem::take(&mut trainer.deferred) {
             if known {
-                self.on_question(question);
+                self.on_request(request);
                 continue;
             }
             let detail = "the trainer's owner can't be found out: the table gives no answer";
             let failure = Failure::not_run(Cause::StoreDown, detail).retry_after(Millis(500));
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
         }
     }
 
-    /// A stopping entry gives its leases back, so that the next owner need
-    /// not wait until they lapse. The trainer submits its step there again.
-    fn hand_over_all(&mut self) {
+    /// Releases all leases, so that the next owners need not wait until these lapse. The
+    /// trainers submit their steps there again.
+    fn release_leases(&mut self) {
         for (key, trainer) in std::mem::take(&mut self.trainers) {
             let Some(epoch) = trainer.epoch() else {
                 continue;
             };
-            let (platform, path) = (self.platform.clone(), path(&key));
+            let (platform, path) = (self.platform.clone(), lease_path(&key));
             let me = self.me.clone();
             tokio::task::spawn_local(async move {
-                if let Err(error) = give_back(&platform, &path, &me, epoch).await {
-                    tracing::warn!(%error, path, "lease not given back; it will lapse");
+                if let Err(error) = release_lease(&platform, &path, &me, epoch).await {
+                    tracing::warn!(%error, path, "could not release a lease; it will lapse");
                 }
             });
         }
     }
 }
 
-/// The row of a trainer's lease.
-pub(super) fn path((team, trainer): &TrainerKey) -> String {
+/// The path of the row of a trainer's lease.
+pub(super) fn lease_path((team, trainer): &TrainerKey) -> String {
     format!("{LEASE_PREFIX}{team}/{trainer}")
 }
 
-/// One look at a row, apart from the duty's loop.
-struct Looker {
+/// One check of a lease, which runs outside of the duty's loop.
+struct LeaseChecker {
     clock: crate::base::Clock,
     me: Claimant,
     path: String,
@@ -162,7 +171,8 @@
     watch: LeaseWatch,
 }
 
-impl Looker {
+impl LeaseChecker {
+    /// Reads the row, and writes it if the lease is to be acquired or renewed.
     async fn run(mut self) -> Result<(Option<Lease>, bool), PlatformError> {
         let row = self.platform.get(&self.path).await?;
         let version = row.as_ref().map_or(0, |row| row.version);
@@ -173,7 +183,7 @@
             return Ok((lease, false));
         };
         let content = (next.epoch, next.renewals);
-        let write = write(&self.path, version, &next, &self.me, content);
+        let write = lease_transaction(&self.path, version, &next, &self.me, content);
         match self.platform.transact(&write).await? {
             TransactionOutcome::Committed(_) => Ok((Some(next), true)),
             TransactionOutcome::Conflict { .. } => Ok((lease, false)),
@@ -181,7 +191,8 @@
     }
 }
 
-async fn give_back(
+/// Releases a lease, if this process still holds it under `epoch`.
+async fn release_lease(
     platform: &PlatformClient,
     path: &str,
     me: &Claimant,
@@ -198,11 +209,13 @@
         holder: String::new(),
         ..lease
     };
-    let write = write(path, row.version, &free, me, (epoch, u64::MAX));
+    let write = lease_transaction(path, row.version, &free, me, (epoch, u64::MAX));
     platform.transact(&write).await.map(|_| ())
 }
 
-fn write(
+/// The transaction that writes `lease` over version `expect`. `content` tells apart the
+/// leases that a process may write over one version.
+fn lease_transaction(
     path: &str,
     expect: u64,
     lease: &Lease,
--- a/src/entry/peer_door.rs
+++ b/src/entry/peer_server.rs
@@ -1,10 +1,10 @@
-//! The duty that answers other entries.
+//! The duty that answers requests of other entries.
 
 use super::{
     directory::Directory,
-    forward::TUNING,
-    learner::{HOLD, PATH},
-    news::News,
+    directory_update::DirectoryUpdate,
+    forward::PEER_LINK_TUNING,
+    learner::{DIRECTORY_PATH, LONG_POLL_TIMEOUT},
     trainer_api::{self, TrainerApi}, //
 };
 use crate::{
@@ -33,34 +33,34 @@
     sync::{Semaphore, mpsc, watch}, //
 };
 
-/// The connections open at once. A reader holds one for each entry that
-/// learns from it; with 460 entries and 24 readers that is some 18.
+/// The most connections open at once. A reader has one for each entry that fetches from
+/// it: about 18 with 460 entries and 24 readers.
 const MAX_LINKS: usize = 1_024;
 
-/// The messages that may wait on one connection.
-const RING: usize = 64;
+/// The events that may wait on one connection.
+const MAX_QUEUED_EVENTS: usize = 64;
 
-/// What other entries may ask for.
+/// What is needed to answer other entries.
 #[derive(Clone)]
-pub(super) struct Peers {
+pub(super) struct PeerApi {
     pub(super) directory: watch::Receiver<Arc<Directory>>,
     pub(super) hello: Hello,
     pub(super) trainers: TrainerApi,
 }
 
 /// Answers until the program stops.
-pub(super) async fn run(context: Context, listener: std::net::TcpListener, peers: Peers) {
+pub(super) async fn run(context: Context, listener: std::net::TcpListener, peers: PeerApi) {
     context.mark_drained();
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
     };
-    let room = Arc::new(Semaphore::new(MAX_LINKS));
+    let permits = Arc::new(Semaphore::new(MAX_LINKS));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = context.reached(Phase::Stopped) => return,
         };
-        let (Ok((stream, _)), Ok(permit)) = (accepted, room.clone().try_acquire_owned()) else {
+        let (Ok((stream, _)), Ok(permit)) = (accepted, permits.clone().try_acquire_owned()) else {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             continue;
         };
@@ -73,12 +73,12 @@
 }
 
 /// Answers the one request of a connection.
-async fn serve(stream: TcpStream, peers: Peers) {
+async fn serve(stream: TcpStream, peers: PeerApi) {
     let Ok(opened) = handshake(stream, &peers.hello).await else {
         return;
     };
-    let (inbox, mut events) = mpsc::channel(RING);
-    let link = run_link(opened, (), inbox, TUNING);
+    let (inbox, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let link = run_link(opened, (), inbox, PEER_LINK_TUNING);
     let exchange = async {
         let Some(LinkEvent::Up { sender, .. }) = events.recv().await else {
             return;
@@ -109,40 +109,42 @@
     tokio::join!(link, exchange);
 }
 
-async fn answer(peers: &Peers, head: CallHead) -> (StatusCode, Bytes) {
+/// Answers a request for the directory, or a trainer's request that the peer has forwarded.
+async fn answer(peers: &PeerApi, head: CallHead) -> (StatusCode, Bytes) {
     let (path, query) = head.path.split_once('?').unwrap_or((&head.path, ""));
-    if path == PATH {
-        let news = news(
+    if path == DIRECTORY_PATH {
+        let update = wait_for_update(
             peers,
-            parameter(query, "revision"),
-            parameter(query, "stamp"),
+            query_number(query, "revision"),
+            query_number(query, "stamp"),
         );
-        return (StatusCode::OK, news.await);
+        return (StatusCode::OK, update.await);
     }
     trainer_api::handle(&peers.trainers, &head.method, path, head.body, true).await
 }
 
-/// What is newer than the peer's settings and list, as soon as anything is,
-/// or nothing after the hold.
-async fn news(peers: &Peers, revision: u64, stamp: u64) -> Bytes {
+/// Waits until there is something newer than the peer's settings and list of instances.
+/// After `LONG_POLL_TIMEOUT`, the update is empty.
+async fn wait_for_update(peers: &PeerApi, revision: u64, stamp: u64) -> Bytes {
     let mut watch = peers.directory.clone();
-    let any = watch.wait_for(|now| now.is_known() && now.news(revision, stamp).is_some());
-    let _ = tokio::time::timeout(HOLD.as_duration(), any).await;
-    let news = peers.directory.borrow().news(revision, stamp);
-    let news = news.unwrap_or_else(|| News {
+    let any = watch.wait_for(|now| now.is_loaded() && now.update_since(revision, stamp).is_some());
+    let _ = tokio::time::timeout(LONG_POLL_TIMEOUT.as_duration(), any).await;
+    let update = peers.directory.borrow().update_since(revision, stamp);
+    let update = update.unwrap_or_else(|| DirectoryUpdate {
         revision,
-        ..News::default()
+        ..DirectoryUpdate::default()
     });
-    Bytes::from(serde_json::to_vec(&news).unwrap_or_default())
+    Bytes::from(serde_json::to_vec(&update).unwrap_or_default())
 }
 
-/// A number from a query; 0 where there is none.
-fn parameter(query: &str, name: &str) -> u64 {
+/// A number from a query string; 0 if it is missing or invalid.
+fn query_number(query: &str, name: &str) -> u64 {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let value = pairs.find(|(key, _)| *key == name).map(|(_, value)| value);
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
+/// Sends the answer as fast as the peer's credit permits.
 async fn reply(
     link: &Link<FromAgent>,
     events: &mut mpsc::Receiver<LinkEvent<(), ToAgent, FromAgent>>,
--- a/src/entry/request_body.rs
+++ b/src/entry/request_body.rs
@@ -1,4 +1,4 @@
-//! The bodies of callers' requests.
+//! Reads the bodies of callers' requests.
 
 use super::command::Command;
 use crate::{
@@ -17,26 +17,26 @@
     time::timeout, //
 };
 
-/// How long a body, or the next part of a streamed one, may take to arrive.
-const BODY_TIME: Millis = Millis(10_000);
+/// How long a whole body, or the next part of a streamed one, may take to arrive.
+const BODY_TIMEOUT: Millis = Millis(10_000);
 
-/// Sends a streamed body on as fast as the service takes it.
-pub(super) async fn pump(
+/// Sends a body to the agent in parts, as fast as the service consumes them.
+pub(super) async fn stream_body(
     mut body: Incoming,
     request: RequestId,
     traffic: mpsc::Sender<Command>,
     window: Arc<Semaphore>,
 ) {
     loop {
-        let frame = timeout(BODY_TIME.as_duration(), body.frame()).await;
+        let frame = timeout(BODY_TIMEOUT.as_duration(), body.frame()).await;
         let mut data = match frame {
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(data) => data,
                 Err(_) => continue,
             },
             Ok(None) => break,
-            // The caller went away or stalled: the service gets no end of the
-            // body, so it can't take the part for the whole.
+            // The caller has left or stalled. The service gets no end of the body, so it
+            // can't take a part for the whole.
             Ok(Some(Err(_))) | Err(_) => return,
         };
         while !data.is_empty() {
@@ -64,10 +64,10 @@
     let _ = traffic.send(last).await;
 }
 
-/// Gathers a body of at most `limit` bytes.
-pub(super) async fn whole(body: Incoming, limit: usize) -> Result<Bytes, Failure> {
+/// Reads a whole body of at most `limit` bytes.
+pub(super) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Failure> {
     let gathered = Limited::new(body, limit).collect();
-    match timeout(BODY_TIME.as_duration(), gathered).await {
+    match timeout(BODY_TIMEOUT.as_duration(), gathered).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) => {
             let too_large = error.is::<http_body_util::LengthLimitError>();
--- a/src/entry/issue.rs
+++ b/src/entry/request_ids.rs
@@ -12,16 +12,16 @@
     atomic::{AtomicU32, Ordering}, //
 };
 
-/// The issuer of this process's life; clones share the sequence.
+/// Issues the request ids of this incarnation; clones share the sequence.
 #[derive(Clone, Debug)]
-pub(super) struct Issue {
+pub(super) struct RequestIds {
     clock: Clock,
     incarnation: Incarnation,
     issuer: Issuer,
     sequence: Arc<AtomicU32>,
 }
 
-impl Issue {
+impl RequestIds {
     pub(super) fn new(clock: Clock, incarnation: Incarnation, instance: &str) -> Self {
         Self {
             clock,
@@ -38,7 +38,7 @@
             && id.sequence < self.sequence.load(Ordering::Relaxed)
     }
 
-    /// Whether `id` claims to be of this process but was never issued.
+    /// Whether `id` names this process as its issuer, but was never issued.
     pub(super) fn is_forged(&self, id: RequestId) -> bool {
         id.issuer == self.issuer && id.incarnation == self.incarnation && !self.is_mine(id)
     }
--- a/src/entry/rollout.rs
+++ b/src/entry/rollout.rs
@@ -1,11 +1,11 @@
-//! The duty that owns trainers' steps.
+//! The duty that owns trainers' steps: it has their samples generated, and delivers them.
 
 use super::{
     command::Command,
     directory::Directory,
-    issue::Issue,
     owned_step::{Fetch, OwnedStep},
-    swaps::Swapped,
+    request_ids::RequestIds,
+    swaps::SwapResult,
     trainer::{Ownership, Trainer},
     view::View, //
 };
@@ -36,31 +36,39 @@
     time::{MissedTickBehavior, interval}, //
 };
 
-/// What a trainer asks.
-pub(super) enum Ask {
+/// What a trainer requests.
+pub(super) enum Operation {
+    /// Drop the step with this number.
     Cancel(u64),
+    /// Deliver complete groups of a step.
     Fetch {
+        /// The highest epoch that the trainer has seen.
         epoch: u64,
+        /// The samples that the trainer has.
         have: Bitmap,
         step: u64,
+        /// The trainer's weight version.
         version: WeightVersion,
+        /// How long the answer may wait for a complete group.
         wait: Millis,
     },
+    /// Generate the samples of a step.
     Submit(u64, Box<StepSpec>),
+    /// The trainer now has this version of this model.
     Version(String, WeightVersion),
 }
 
-/// How a question is answered.
-pub(super) enum Asked {
+/// The reply to a trainer's request.
+pub(super) enum TrainerReply {
     Answer(Result<Value, Failure>),
-    /// Another entry owns the trainer.
+    /// Another entry owns the trainer, by this lease.
     Elsewhere(Lease),
 }
 
-/// A question of a trainer, in a request of its own.
-pub(super) struct Question {
-    pub(super) ask: Ask,
-    pub(super) reply: oneshot::Sender<Asked>,
+/// A trainer's request, and where its reply goes.
+pub(super) struct TrainerRequest {
+    pub(super) operation: Operation,
+    pub(super) reply: oneshot::Sender<TrainerReply>,
     pub(super) team: String,
     pub(super) trainer: String,
 }
@@ -68,46 +76,53 @@
 /// A trainer's team and name.
 pub(super) type TrainerKey = (String, String);
 
-/// What tasks of this duty report to its loop.
-pub(super) enum Told {
+/// What this duty's tasks report to its loop.
+pub(super) enum TaskReport {
+    /// A lease was checked.
     Lease {
         key: TrainerKey,
-        outcome: super::ownership::Look,
+        outcome: super::ownership::LeaseCheck,
     },
-    Made {
+    /// A sample was produced, or failed.
+    Sample {
         key: TrainerKey,
+        /// The number of the sample.
         number: u32,
         result: Box<Result<Sample, Failure>>,
         step: u64,
     },
-    Swapped(Swapped),
+    /// An order to swap has an outcome.
+    Swap(SwapResult),
 }
 
-/// All that the rollout duty owns.
+/// The state of the rollout duty.
 pub(super) struct Rollout {
     pub(super) clock: Clock,
     pub(super) directory: Arc<Directory>,
     pub(super) draining: bool,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
+    /// This process, as a holder of leases.
     pub(super) me: Claimant,
     pub(super) platform: PlatformClient,
-    pub(super) told: mpsc::Sender<Told>,
+    /// Cloned into each task.
+    pub(super) reports: mpsc::Sender<TaskReport>,
     pub(super) traffic: mpsc::Sender<Command>,
     pub(super) trainers: BTreeMap<TrainerKey, Trainer>,
+    /// The latest view of the fleet from the traffic duty.
     pub(super) view: Arc<View>,
 }
 
-/// What the rollout duty begins with.
-pub(super) struct Seed {
+/// What the rollout duty starts with.
+pub(super) struct RolloutInputs {
     pub(super) clock: Clock,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) me: Claimant,
     pub(super) platform: SocketAddr,
-    pub(super) questions: mpsc::Receiver<Question>,
+    pub(super) requests: mpsc::Receiver<TrainerRequest>,
     pub(super) traffic: mpsc::Sender<Command>,
 }
 
-impl Seed {
+impl RolloutInputs {
     /// Starts the duty.
     pub(super) fn spawn(
         self,
@@ -116,51 +131,59 @@
         view: watch::Receiver<Arc<View>>,
     ) -> Result<Duty, DutyError> {
         duty::spawn("rollout", supervisor, move |context| {
-            let (told, reports) = mpsc::channel(TOLD);
+            let (reports, task_reports) = mpsc::channel(MAX_QUEUED_REPORTS);
             let rollout = Rollout {
                 clock: self.clock,
                 directory: Arc::default(),
                 draining: false,
-                issue: self.issue,
+                request_ids: self.request_ids,
                 me: self.me,
                 platform: PlatformClient::open(self.platform),
-                told,
+                reports,
                 traffic: self.traffic,
                 trainers: BTreeMap::new(),
                 view: Arc::default(),
             };
-            run(context, rollout, reports, self.questions, directory, view)
+            run(
+                context,
+                rollout,
+                task_reports,
+                self.requests,
+                directory,
+                view,
+            )
         })
     }
 }
 
-/// How often leases, swaps, samples and fetches are looked at.
-const TICK: Millis = Millis(20);
+/// How often leases, swaps, samples to start and open fetches are checked.
+const TICK_INTERVAL: Millis = Millis(20);
 
-/// The reports of tasks that may wait; their senders wait when it is full.
-const TOLD: usize = 1_024;
+/// The reports of tasks that may wait; when the queue is full, the tasks wait.
+const MAX_QUEUED_REPORTS: usize = 1_024;
 
-/// The questions of trainers that may wait; further ones are refused.
-pub(super) const RING: usize = 256;
+/// The trainers' requests that may wait; further ones are refused.
+pub(super) const MAX_QUEUED_REQUESTS: usize = 256;
 
-/// Steps of one trainer kept at once; the oldest gives way.
+/// The most steps kept of one trainer; beyond that, the one with the lowest number is
+/// dropped.
 const MAX_STEPS: usize = 4;
 
-/// Runs until the program stops.
+/// Runs the duty until the program stops.
 async fn run(
     context: Context,
     mut rollout: Rollout,
-    mut told: mpsc::Receiver<Told>,
-    mut questions: mpsc::Receiver<Question>,
+    mut reports: mpsc::Receiver<TaskReport>,
+    mut requests: mpsc::Receiver<TrainerRequest>,
     directory: watch::Receiver<Arc<Directory>>,
     view: watch::Receiver<Arc<View>>,
 ) {
-    let mut tick = interval(TICK.as_duration());
+    let mut tick = interval(TICK_INTERVAL.as_duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            Some(told) = told.recv() => rollout.on_told(told),
-            Some(question) = questions.recv() => rollout.on_question(question),
+            Some(report) = reports.recv() => rollout.on_report(report),
+            Some(request) = requests.recv() => rollout.on_request(request),
             _ = tick.tick() => {
                 rollout.directory = directory.borrow().clone();
                 rollout.view = view.borrow().clone();
@@ -176,41 +199,44 @@
 }
 
 impl Rollout {
-    /// Answers a question, or keeps it until the trainer's owner is known.
-    pub(super) fn on_question(&mut self, question: Question) {
+    /// Answers a request, or defers it until the trainer's owner is known.
+    pub(super) fn on_request(&mut self, request: TrainerRequest) {
         let now = self.clock.now();
-        let key = (question.team.clone(), question.trainer.clone());
+        let key = (request.team.clone(), request.trainer.clone());
         if self.rollout_settings(&key.0).is_none() {
             let detail = format!("no team `{}` with rollouts", key.0);
             let failure = Failure::not_run(Cause::NotFound, detail);
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
             return;
         }
         if self.draining && !self.trainers.contains_key(&key) {
             let failure = Failure::not_run(Cause::Draining, "the entry is stopping");
             let failure = failure.retry_after(Millis(100));
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
             return;
         }
 
         let trainer = self.trainers.entry(key.clone()).or_default();
-        trainer.wanted = now;
+        trainer.last_request = now;
         match trainer.ownership.clone() {
-            Ownership::Elsewhere(lease) if now.since(trainer.seen) < super::ownership::FRESH => {
-                let _ = question.reply.send(Asked::Elsewhere(lease));
+            Ownership::Elsewhere(lease)
+                if now.since(trainer.checked_at) < super::ownership::MAX_LEASE_AGE =>
+            {
+                let _ = request.reply.send(TrainerReply::Elsewhere(lease));
             }
-            Ownership::Mine(epoch) => self.answer(&key, epoch, question),
+            Ownership::Mine(epoch) => self.answer(&key, epoch, request),
             Ownership::Elsewhere(_) | Ownership::Unknown => {
-                trainer.put_off(question);
-                self.look(&key);
+                trainer.defer(request);
+                self.check_lease(&key);
             }
         }
     }
 
+    /// Checks leases, swaps, samples to start and open fetches.
     fn on_tick(&mut self) {
         let now = self.clock.now();
-        self.tend_leases(now);
-        self.tend_swaps(now);
+        self.check_leases(now);
+        self.order_swaps(now);
         self.dispatch(now);
         for trainer in self.trainers.values_mut() {
             let Some(epoch) = trainer.epoch() else {
@@ -222,20 +248,23 @@
         }
     }
 
-    fn on_told(&mut self, told: Told) {
-        match told {
-            Told::Lease { key, outcome } => self.on_look(&key, outcome),
-            Told::Made {
+    /// Takes the report of a task.
+    fn on_report(&mut self, report: TaskReport) {
+        match report {
+            TaskReport::Lease { key, outcome } => self.on_lease_check(&key, outcome),
+            TaskReport::Sample {
                 key,
                 number,
                 result,
                 step,
-            } => self.on_made(&key, step, number, *result),
-            Told::Swapped(swapped) => self.on_swapped(swapped),
+            } => self.on_sample(&key, step, number, *result),
+            TaskReport::Swap(result) => self.on_swap_result(result),
         }
     }
 
-    fn on_made(
+    /// Records the result for a sample, and answers the open fetch if that is possible
+    /// now.
+    fn on_sample(
         &mut self,
         key: &TrainerKey,
         step: u64,
@@ -262,17 +291,18 @@
         }
     }
 
-    fn answer(&mut self, key: &TrainerKey, epoch: u64, question: Question) {
+    /// Answers a request for a trainer that this entry owns under `epoch`.
+    fn answer(&mut self, key: &TrainerKey, epoch: u64, request: TrainerRequest) {
         let now = self.clock.now();
         let Some(trainer) = self.trainers.get_mut(key) else {
             return;
         };
-        let answer = match question.ask {
-            Ask::Cancel(step) => {
+        let answer = match request.operation {
+            Operation::Cancel(step) => {
                 let known = trainer.steps.remove(&step).is_some();
                 Ok(json!({ "cancelled": known, "epoch": epoch }))
             }
-            Ask::Fetch {
+            Operation::Fetch {
                 epoch: seen,
                 have,
                 step,
@@ -280,49 +310,50 @@
                 wait,
             } => {
                 trainer.version = trainer.version.max(version);
-                // The trainer has seen a newer owner: this one was paused
-                // past its lease, and must hand out nothing.
+                // The trainer has seen a newer owner: this process was paused beyond the end
+                // of its lease, and must not deliver anything.
                 if seen > epoch {
-                    trainer.lose();
+                    trainer.clear_steps();
                     trainer.ownership = Ownership::Unknown;
                     let failure = Failure::not_run(Cause::StaleFence, "the lease has moved on");
                     let failure = failure.retry_after(Millis(200));
-                    let _ = question.reply.send(Asked::Answer(Err(failure)));
+                    let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
                     return;
                 }
                 let version = trainer.version;
                 let Some(owned) = trainer.steps.get_mut(&step) else {
                     let failure = unknown_step(step);
-                    let _ = question.reply.send(Asked::Answer(Err(failure)));
+                    let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
                     return;
                 };
                 owned.fetch = Some(Fetch {
                     have,
-                    reply: question.reply,
-                    until: now + wait,
+                    reply: request.reply,
+                    deadline: now + wait,
                     version,
                 });
                 owned.answer_fetch(now, epoch);
                 return;
             }
-            Ask::Submit(number, spec) => submit(trainer, number, *spec, epoch, now),
-            Ask::Version(model, version) => {
+            Operation::Submit(number, spec) => submit(trainer, number, *spec, epoch, now),
+            Operation::Version(model, version) => {
                 trainer.version = trainer.version.max(version);
                 trainer.model = Some(model);
                 let version = trainer.version;
                 Ok(json!({ "epoch": epoch, "weight_version": version }))
             }
         };
-        let _ = question.reply.send(Asked::Answer(answer));
+        let _ = request.reply.send(TrainerReply::Answer(answer));
     }
 
+    /// The settings for rollouts of `team`, if it has any.
     pub(super) fn rollout_settings(&self, team: &str) -> Option<&RolloutSettings> {
         let team = self.directory.shared.teams.get(team)?;
         team.rollout.as_ref()
     }
 }
 
-/// Takes a step, or recognises one that it has already.
+/// Adds a step to its trainer, unless it was submitted before.
 fn submit(
     trainer: &mut Trainer,
     number: u64,
@@ -352,6 +383,7 @@
     Ok(json!({ "epoch": epoch, "new": new, "samples": samples, "step": number }))
 }
 
+/// The failure of a fetch for a step that this entry does not have.
 fn unknown_step(step: u64) -> Failure {
     let detail = format!("step {step} is not known here: submit it again, then fetch");
     Failure::not_run(Cause::NotFound, detail)
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -1,8 +1,8 @@
-//! Makes one sample: a generation and its score.
+//! Produces one sample: a generation and its score.
 
 use super::{
-    command::{Command, NewCall, REPLIES, Reply},
-    issue::Issue, //
+    command::{Command, MAX_QUEUED_REPLIES, NewCall, Reply},
+    request_ids::RequestIds, //
 };
 use crate::{
     base::{
@@ -26,74 +26,83 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 
-/// What making a sample takes.
+/// Produces samples for one team.
 #[derive(Clone)]
-pub(super) struct Maker {
+pub(super) struct Sampler {
     pub(super) clock: Clock,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) pool: String,
     pub(super) scorer: String,
     pub(super) team: String,
     pub(super) traffic: mpsc::Sender<Command>,
 }
 
-/// The class under which a team's samples appear in accounts and decisions.
-const CLASS: &str = "rollout";
+/// The class of samples in accounts and log lines.
+const ROLLOUT_CLASS: &str = "rollout";
 
-/// Samples are bounded by their team's settings, not by a call limit.
-const LIMITS: Limits = Limits {
+/// Admission does not limit samples: their number is limited by the team's settings for
+/// rollouts.
+const NO_LIMITS: Limits = Limits {
     class: u32::MAX,
     team: u32::MAX,
 };
 
-/// How long one score may take, and how often it is asked for.
-const SCORE_TIME: Millis = Millis(10_000);
-const SCORE_TRIES: u32 = 5;
-const SCORE_WAIT: Millis = Millis(200);
+/// How long one call for a score may take.
+const SCORE_TIMEOUT: Millis = Millis(10_000);
 
+/// The most calls for one score.
+const MAX_SCORE_ATTEMPTS: u32 = 5;
+
+/// The delay between these calls.
+const SCORE_RETRY_DELAY: Millis = Millis(200);
+
+/// The answer of a scoring service.
 #[derive(Deserialize)]
 struct Score {
     score: f64,
 }
 
-/// A generation that came to its end.
-struct Made {
+/// A finished generation.
+struct FinishedGeneration {
     finish: FinishReason,
     spans: Vec<Span>,
     tokens: Tokens,
 }
 
-impl Maker {
-    /// Generates with weights of at least `least`, then has it scored.
-    pub(super) async fn make(
+impl Sampler {
+    /// Generates with weights of at least `min_version`, then has the result scored.
+    pub(super) async fn sample(
         &self,
         generation: Generation,
-        least: WeightVersion,
+        min_version: WeightVersion,
         deadline: Millis,
     ) -> Result<Sample, Failure> {
-        let request = self.issue.next();
+        let request = self.request_ids.next();
         let prompt = generation.prompt.clone();
-        let made = self.generate(request, generation, least, deadline).await?;
-        let score = self.score(&prompt, &made.tokens, request).await?;
+        let generated = self
+            .generate(request, generation, min_version, deadline)
+            .await?;
+        let score = self.score(&prompt, &generated.tokens, request).await?;
         Ok(Sample {
-            finish: made.finish.word(),
+            finish: generated.finish.word(),
             request,
             score,
-            spans: made.spans,
-            tokens: made.tokens,
+            spans: generated.spans,
+            tokens: generated.tokens,
         })
     }
 
+    /// Runs the generation to its end.
     async fn generate(
         &self,
         request: RequestId,
         generation: Generation,
-        least: WeightVersion,
+        min_version: WeightVersion,
         deadline: Millis,
-    ) -> Result<Made, Failure> {
+    ) -> Result<FinishedGeneration, Failure> {
         let pool = self.pool.clone();
         let work = Work::Generate(generation);
-        let mut call = self.call(request, pool, work, least, deadline);
+        let mut call = self.new_call(request, pool, work, min_version, deadline);
         call.priority = Priority::Rollout;
         let mut replies = self.send(call).await?;
         let mut tokens = Tokens::default();
@@ -101,7 +110,7 @@
         while let Some(reply) = replies.recv().await {
             match reply {
                 Reply::End(Some(finish)) => {
-                    return Ok(Made {
+                    return Ok(FinishedGeneration {
                         finish,
                         spans,
                         tokens,
@@ -110,21 +119,21 @@
                 Reply::Failed(failure) => return Err(failure),
                 Reply::Spans(more) => {
                     Span::extend(&mut spans, more);
-                    self.credit(request, MESSAGE_COST).await;
+                    self.return_credit(request, MESSAGE_COST).await;
                 }
                 Reply::Tokens(from, part) => {
                     tokens.splice(from, &part);
                     let cost = part.text().len() as u32 + 4 * part.len() + MESSAGE_COST;
-                    self.credit(request, cost).await;
+                    self.return_credit(request, cost).await;
                 }
                 Reply::Credit(_) | Reply::Data(_) | Reply::End(None) | Reply::Head { .. } => {}
             }
         }
-        Err(gone())
+        Err(traffic_ended())
     }
 
-    /// Asks the team's scoring service; the request key is the sample's
-    /// request, so that a service can tell a repeat from a new sample.
+    /// Gets the score from the team's scoring service. The request key is the sample's
+    /// request id, so that the service can tell a repeat from a new sample.
     async fn score(
         &self,
         prompt: &str,
@@ -132,19 +141,20 @@
         sample: RequestId,
     ) -> Result<f64, Failure> {
         let body = serde_json::json!({ "prompt": prompt, "text": tokens.text() }).to_string();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             match self.score_once(body.clone(), sample).await {
                 Ok(score) => return Ok(score),
-                Err(failure) if tries >= SCORE_TRIES => return Err(failure),
-                Err(_) => tokio::time::sleep(SCORE_WAIT.as_duration()).await,
+                Err(failure) if attempts >= MAX_SCORE_ATTEMPTS => return Err(failure),
+                Err(_) => tokio::time::sleep(SCORE_RETRY_DELAY.as_duration()).await,
             }
         }
     }
 
+    /// Makes one call for the score.
     async fn score_once(&self, body: String, sample: RequestId) -> Result<f64, Failure> {
-        let request = self.issue.next();
+        let request = self.request_ids.next();
         let json = Bytes::from_static(b"application/json");
         let work = Work::Call(CallHead {
             body: Bytes::from(body),
@@ -153,48 +163,51 @@
             path: "/score".to_owned(),
             whole: true,
         });
-        let deadline = self.clock.now() + SCORE_TIME;
+        let deadline = self.clock.now() + SCORE_TIMEOUT;
         let pool = self.scorer.clone();
-        let mut call = self.call(request, pool, work, WeightVersion(0), deadline);
+        let mut call = self.new_call(request, pool, work, WeightVersion(0), deadline);
         call.key = Some(sample.to_string());
         let mut replies = self.send(call).await?;
-        let mut code = 0;
+        let mut status_code = 0;
         let mut answer = BytesMut::new();
         while let Some(reply) = replies.recv().await {
             match reply {
                 Reply::Data(bytes) => {
                     answer.extend_from_slice(&bytes);
                     let cost = bytes.len() as u32 + MESSAGE_COST;
-                    self.credit(request, cost).await;
+                    self.return_credit(request, cost).await;
                 }
-                Reply::End(_) if code == 200 => {
+                Reply::End(_) if status_code == 200 => {
                     let score: Result<Score, _> = serde_json::from_slice(&answer);
-                    return score.map(|score| score.score).map_err(|_| unscored(code));
+                    return score
+                        .map(|score| score.score)
+                        .map_err(|_| missing_score(status_code));
                 }
-                Reply::End(_) => return Err(unscored(code)),
+                Reply::End(_) => return Err(missing_score(status_code)),
                 Reply::Failed(failure) => return Err(failure),
-                Reply::Head { status, .. } => code = status,
+                Reply::Head { status, .. } => status_code = status,
                 Reply::Credit(_) | Reply::Spans(_) | Reply::Tokens(..) => {}
             }
         }
-        Err(gone())
+        Err(traffic_ended())
     }
 
-    fn call(
+    /// A call of the team. `send` sets its reply channel.
+    fn new_call(
         &self,
         request: RequestId,
         pool: String,
         work: Work,
-        least: WeightVersion,
+        min_version: WeightVersion,
         deadline: Millis,
     ) -> NewCall {
         NewCall {
-            class: CLASS.to_owned(),
+            class: ROLLOUT_CLASS.to_owned(),
             deadline,
             idempotent: true,
             key: None,
-            least,
-            limits: LIMITS,
+            min_version,
+            limits: NO_LIMITS,
             pool,
             priority: Priority::Background,
             reply: mpsc::channel(1).0,
@@ -205,25 +218,29 @@
         }
     }
 
-    async fn credit(&self, request: RequestId, bytes: u32) {
+    /// Returns credit for consumed replies.
+    async fn return_credit(&self, request: RequestId, bytes: u32) {
         let _ = self.traffic.send(Command::Credit { request, bytes }).await;
     }
 
+    /// Passes the call to the traffic duty; returns the replies to it.
     async fn send(&self, mut call: NewCall) -> Result<mpsc::Receiver<Reply>, Failure> {
-        let (reply, replies) = mpsc::channel(REPLIES);
+        let (reply, replies) = mpsc::channel(MAX_QUEUED_REPLIES);
         call.reply = reply;
         match self.traffic.send(Command::Start(Box::new(call))).await {
             Ok(()) => Ok(replies),
-            Err(_) => Err(gone()),
+            Err(_) => Err(traffic_ended()),
         }
     }
 }
 
-fn gone() -> Failure {
+/// The failure of a call whose replies end without a last one.
+fn traffic_ended() -> Failure {
     Failure::may_have_run(Cause::Draining, "the traffic duty has ended")
 }
 
-fn unscored(status: u16) -> Failure {
+/// The failure of a call for a score whose answer has none.
+fn missing_score(status: u16) -> Failure {
     let detail = format!("the scoring service answered with status {status}, without a score");
     Failure::may_have_run(Cause::BackendBroken, detail)
 }
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -1,10 +1,10 @@
-//! The duty that owns the links to agents and every call under way.
+//! The duty that owns the links to agents and all calls in progress.
 
 use super::{
-    call::{AttemptKey, Call, CallKey, Handover},
+    call::{AttemptKey, Call, CallKey, OpenAttempt},
     command::{Command, Reply},
     directory::Directory,
-    issue::Issue,
+    request_ids::RequestIds,
     server::{Server, ServerKey},
     view::{ServerView, View}, //
 };
@@ -34,78 +34,84 @@
     time::{MissedTickBehavior, interval}, //
 };
 
-/// What the links tell the traffic duty.
+/// An event on the link to an agent.
 pub(super) type TrafficEvent = LinkEvent<ServerKey, FromAgent, ToAgent>;
 
-/// An order that waits for its outcome.
+/// An order to an engine whose outcome is not known yet.
 pub(super) struct PendingOrder {
     pub(super) reply: oneshot::Sender<Result<EngineState, Failure>>,
     pub(super) server: ServerKey,
 }
 
-/// All that the traffic duty owns.
+/// The state of the traffic duty.
 pub(super) struct Traffic {
     pub(super) admission: Admission,
-    pub(super) attempts: SlotMap<AttemptKey, Handover>,
-    pub(super) budgets: HashMap<(String, String), RetryBudget>,
+    pub(super) attempts: SlotMap<AttemptKey, OpenAttempt>,
+    /// By team and pool.
+    pub(super) retry_budgets: HashMap<(String, String), RetryBudget>,
     pub(super) calls: SlotMap<CallKey, Call>,
     pub(super) context: Context,
     pub(super) hello: Hello,
-    pub(super) ids: HashMap<RequestId, CallKey>,
+    pub(super) call_keys: HashMap<RequestId, CallKey>,
+    /// Receives the events of all links; cloned into the task of each link.
     pub(super) inbox: mpsc::Sender<TrafficEvent>,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) ledger: Ledger,
     pub(super) orders: HashMap<Slot, PendingOrder>,
-    pub(super) queries: HashMap<Slot, super::explain::Asked>,
+    /// Queries to agents for a request's account.
+    pub(super) queries: HashMap<Slot, super::explain::PendingQuery>,
     pub(super) servers: SlotMap<ServerKey, Server>,
     pub(super) settings: EntrySettings,
-    pub(super) turn: u64,
+    /// Increases with every call that is routed, and with every slot for a query or an
+    /// order.
+    pub(super) sequence: u64,
     view: watch::Sender<Arc<View>>,
-    viewed: Millis,
+    /// When the last view was sent.
+    view_sent: Millis,
 }
 
-/// How often deadlines are looked at.
-const TICK: Millis = Millis(25);
+/// How often deadlines are checked.
+const TICK_INTERVAL: Millis = Millis(25);
 
-/// How often the step duty gets a new view.
-const VIEW: Millis = Millis(100);
+/// How often the rollout duty gets a new view.
+const VIEW_INTERVAL: Millis = Millis(100);
 
-/// The link events that may wait; a full ring stops the reading of links.
-const EVENTS: usize = 4_096;
+/// The link events that may wait; while the queue is full, links are not read.
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// The accounts kept for the support engineer.
+/// The number of requests whose accounts are kept, for operators to look up.
 const MAX_ACCOUNTS: usize = 20_000;
 
-/// What the traffic duty begins with.
-pub(super) struct Seed {
+/// What the traffic duty starts with.
+pub(super) struct TrafficInputs {
     pub(super) commands: mpsc::Receiver<Command>,
     pub(super) directory: watch::Receiver<Arc<Directory>>,
     pub(super) hello: Hello,
-    pub(super) issue: Issue,
+    pub(super) request_ids: RequestIds,
     pub(super) settings: EntrySettings,
     pub(super) view: watch::Sender<Arc<View>>,
 }
 
-impl Seed {
+impl TrafficInputs {
     /// Starts the duty.
     pub(super) fn spawn(self, supervisor: &ActorRef<SupervisorMessage>) -> Result<Duty, DutyError> {
         duty::spawn("traffic", supervisor, move |context| run(context, self))
     }
 }
 
-/// Runs until the program stops.
-async fn run(context: Context, seed: Seed) {
-    let Seed {
+/// Runs the duty until the program stops.
+async fn run(context: Context, inputs: TrafficInputs) {
+    let TrafficInputs {
         mut commands,
         mut directory,
         hello,
-        issue,
+        request_ids,
         settings,
         view,
-    } = seed;
-    let (inbox, mut events) = mpsc::channel(EVENTS);
-    let mut traffic = Traffic::new(context.clone(), settings, hello, issue, inbox, view);
-    let mut tick = interval(TICK.as_duration());
+    } = inputs;
+    let (inbox, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let mut traffic = Traffic::new(context.clone(), settings, hello, request_ids, inbox, view);
+    let mut tick = interval(TICK_INTERVAL.as_duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     directory.mark_changed();
 
@@ -124,7 +130,7 @@
 
     let cut = traffic.calls.len();
     if cut > 0 {
-        tracing::error!(cut, "the stop cut off calls");
+        tracing::error!(cut, "calls cut off by the stop");
         metrics::counter!("redwing_stop_cut_total").increment(cut as u64);
     }
 }
@@ -134,63 +140,65 @@
         context: Context,
         settings: EntrySettings,
         hello: Hello,
-        issue: Issue,
+        request_ids: RequestIds,
         inbox: mpsc::Sender<TrafficEvent>,
         view: watch::Sender<Arc<View>>,
     ) -> Self {
         Self {
             admission: Admission::default(),
             attempts: SlotMap::with_key(),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             calls: SlotMap::with_key(),
             context,
             hello,
-            ids: HashMap::new(),
+            call_keys: HashMap::new(),
             inbox,
-            issue,
+            request_ids,
             ledger: Ledger::new(MAX_ACCOUNTS),
             orders: HashMap::new(),
             queries: HashMap::new(),
             servers: SlotMap::with_key(),
             settings,
-            turn: 0,
+            sequence: 0,
             view,
-            viewed: Millis(0),
+            view_sent: Millis(0),
         }
     }
 
+    /// Executes a command of another duty.
     fn on_command(&mut self, command: Command) {
         match command {
             Command::Body {
                 request,
                 bytes,
                 last,
-            } => self.pass_body(request, bytes, last),
+            } => self.forward_body(request, bytes, last),
             Command::Credit { request, bytes } => {
-                self.to_current(request, |slot| ToAgent::Credit { slot, bytes });
+                self.send_to_current(request, |slot| ToAgent::Credit { slot, bytes });
             }
-            Command::Delivered(requests) => self.note_delivered(&requests),
+            Command::Delivered(requests) => self.record_delivered(&requests),
             Command::Explain(request, reply) => self.explain(request, reply),
             Command::Order {
                 order,
                 reply,
                 server,
-            } => self.order(server, order, reply),
-            Command::Start(new) => self.arrive(*new),
+            } => self.send_order(server, order, reply),
+            Command::Start(new) => self.admit_call(*new),
             Command::View(reply) => {
                 let _ = reply.send(self.view());
             }
         }
     }
 
+    /// Takes an event on a link.
     fn on_event(&mut self, event: TrafficEvent) {
         match event {
-            LinkEvent::Down { link, reason } => self.on_down(link, reason),
+            LinkEvent::Down { link, reason } => self.on_link_down(link, reason),
             LinkEvent::Message { link, message } => self.on_message(link, message),
             LinkEvent::Up { link, sender, .. } => {
                 if let Some(server) = self.servers.get_mut(link) {
                     let name = &server.instance.name;
-                    tracing::info!(server = name, "link up");
+                    tracing::info!(server = name, "link to agent opened");
                     server.link = Some(sender);
                     server.report = Report::default();
                 }
@@ -198,6 +206,7 @@
         }
     }
 
+    /// Takes a message from an agent.
     fn on_message(&mut self, server: ServerKey, message: FromAgent) {
         match message {
             FromAgent::Account { slot, account } => self.on_account(slot, account),
@@ -208,20 +217,19 @@
             }
             FromAgent::Report(report) => {
                 if let Some(server) = self.servers.get_mut(server) {
-                    server.hear(self.context.clock.now(), report);
+                    server.record_report(self.context.clock.now(), report);
                 }
             }
             message => {
                 let Some(slot) = message.slot() else {
                     return;
                 };
-                // A late answer carries a slot that was given up: its key has
-                // an old generation, or belongs to another server, and so
-                // finds nobody.
+                // A late message has the slot of an attempt that has ended. The key is of an
+                // old generation or belongs to another server, so no attempt matches.
                 let key = AttemptKey::from(KeyData::from_ffi(slot.0));
                 match self.attempts.get(key) {
-                    Some(handover) if handover.server == server => {
-                        self.on_answer(key, handover.call, message);
+                    Some(attempt) if attempt.server == server => {
+                        self.on_call_message(key, attempt.call, message);
                     }
                     Some(_) | None => metrics::counter!("redwing_late_answers_total").increment(1),
                 }
@@ -229,20 +237,23 @@
         }
     }
 
+    /// Checks deadlines and query timeouts, sends a new view, and reports when the calls
+    /// have drained.
     fn on_tick(&mut self) {
         let now = self.context.clock.now();
-        self.sweep(now);
+        self.check_calls(now);
         self.expire_queries(now);
-        if now.since(self.viewed) >= VIEW {
-            self.viewed = now;
+        if now.since(self.view_sent) >= VIEW_INTERVAL {
+            self.view_sent = now;
             self.view.send_replace(Arc::new(self.view()));
-            self.drop_unlisted();
+            self.remove_unlisted();
         }
         if self.context.phase() >= Phase::Draining && self.calls.is_empty() {
             self.context.mark_drained();
         }
     }
 
+    /// The fleet as this entry sees it now.
     fn view(&self) -> View {
         let servers = self.servers.iter().map(|(key, server)| ServerView {
             in_flight: server.in_flight,
@@ -259,13 +270,14 @@
         }
     }
 
-    fn order(
+    /// Sends an order to a server's agent; its outcome goes to `reply`.
+    fn send_order(
         &mut self,
         server: ServerKey,
         order: crate::wire::Order,
         reply: oneshot::Sender<Result<EngineState, Failure>>,
     ) {
-        let slot = self.fresh_slot();
+        let slot = self.next_slot();
         let sent = self.servers.get(server).is_some_and(|server| {
             let link = server.link.as_ref();
             link.is_some_and(|link| link.try_send(ToAgent::Order { slot, order }))
@@ -279,27 +291,35 @@
         }
     }
 
-    /// A slot for a question or an order. These have tables of their own, so
-    /// one that equals an attempt's slot is not taken for it.
-    pub(super) fn fresh_slot(&mut self) -> Slot {
-        self.turn += 1;
-        Slot(u64::MAX - self.turn)
+    /// A new slot for a query or an order. These have tables of their own, so a slot that
+    /// equals that of an attempt is not taken for it.
+    pub(super) fn next_slot(&mut self) -> Slot {
+        self.sequence += 1;
+        Slot(u64::MAX - self.sequence)
     }
 
-    /// Sends to the agent that has the request now.
-    pub(super) fn to_current(&self, request: RequestId, message: impl FnOnce(Slot) -> ToAgent) {
-        let call = self.ids.get(&request).and_then(|key| self.calls.get(*key));
+    /// Sends a message to the agent that has the request now, if any.
+    pub(super) fn send_to_current(
+        &self,
+        request: RequestId,
+        message: impl FnOnce(Slot) -> ToAgent,
+    ) {
+        let call = self
+            .call_keys
+            .get(&request)
+            .and_then(|key| self.calls.get(*key));
         let Some(key) = call.and_then(|call| call.current) else {
             return;
         };
-        let server = self.attempts.get(key).map(|handover| handover.server);
+        let server = self.attempts.get(key).map(|attempt| attempt.server);
         let server = server.and_then(|server| self.servers.get(server));
         if let Some(link) = server.and_then(|server| server.link.as_ref()) {
             let _ = link.try_send(message(Slot(key.data().as_ffi())));
         }
     }
 
-    /// Tells a caller that its request's credit was taken, and the like.
+    /// Sends a reply to a call; false if the call or its caller is gone, or if too many
+    /// replies wait.
     pub(super) fn reply_to(&self, call: CallKey, reply: Reply) -> bool {
         self.calls.get(call).is_some_and(|call| call.reply(reply))
     }
--- a/src/entry/trainer.rs
+++ b/src/entry/trainer.rs
@@ -1,8 +1,8 @@
-//! One trainer as its owner, or a would-be owner, sees it.
+//! One trainer, at the entry that owns it or that has requests for it.
 
 use super::{
     owned_step::OwnedStep,
-    rollout::{Asked, Question},
+    rollout::{TrainerReply, TrainerRequest},
     server::ServerKey, //
 };
 use crate::{
@@ -15,49 +15,54 @@
     VecDeque, //
 };
 
-/// Whose a trainer is.
+/// Which entry owns a trainer.
 #[derive(Clone, Debug, Default)]
 pub(super) enum Ownership {
-    /// Held by another entry.
+    /// Another entry, by this lease.
     Elsewhere(Lease),
-    /// Held here, under this epoch.
+    /// This entry, under this epoch.
     Mine(Fence),
     #[default]
     Unknown,
 }
 
-/// The swap of one engine, tried or under way.
+/// The swap of one engine to the weights of one trainer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Swap {
     /// The version that the engine confirmed last, and when.
     pub(super) confirmed: Option<(Millis, WeightVersion)>,
+    /// When the engine may get the next order.
     pub(super) not_before: Millis,
+    /// Whether an order is in progress.
     pub(super) running: bool,
 }
 
-/// A trainer and what it asked for.
+/// A trainer: its lease, its steps and its engines.
 #[derive(Default)]
 pub(super) struct Trainer {
-    /// Whether a look at the lease's row is under way.
-    pub(super) looking: bool,
+    /// Whether a check of the lease is in progress.
+    pub(super) checking: bool,
+    /// The model that the trainer has named last.
     pub(super) model: Option<String>,
     pub(super) ownership: Ownership,
-    /// When the row was last looked at.
-    pub(super) seen: Millis,
+    /// When the lease was last checked.
+    pub(super) checked_at: Millis,
     /// Steps by number.
     pub(super) steps: BTreeMap<u64, OwnedStep>,
+    /// By engine.
     pub(super) swaps: HashMap<ServerKey, Swap>,
-    /// The highest version that the trainer has named.
+    /// The newest weight version that the trainer has named.
     pub(super) version: WeightVersion,
-    /// Questions that wait until the lease's row is known.
-    pub(super) waiting: VecDeque<Question>,
-    /// When the trainer asked last; without questions no lease is wanted.
-    pub(super) wanted: Millis,
+    /// Requests that wait for a check of the lease.
+    pub(super) deferred: VecDeque<TrainerRequest>,
+    /// When the trainer last sent a request; the lease of an idle trainer is not wanted.
+    pub(super) last_request: Millis,
+    /// What this entry has observed of the lease's row.
     pub(super) watch: LeaseWatch,
 }
 
-/// The questions that may wait for a lease.
-const MAX_WAITING: usize = 32;
+/// The requests that may wait for a check of the lease.
+const MAX_DEFERRED: usize = 32;
 
 impl Trainer {
     /// The epoch under which this entry owns the trainer.
@@ -68,22 +73,22 @@
         }
     }
 
-    /// Gives everything up: another entry is the owner, or may be.
-    pub(super) fn lose(&mut self) {
+    /// Drops the steps and swaps, because another entry owns the trainer, or may own it.
+    pub(super) fn clear_steps(&mut self) {
         self.steps.clear();
         self.swaps.clear();
     }
 
-    /// Keeps `question` until the lease's row is known.
-    pub(super) fn put_off(&mut self, question: Question) {
-        if self.waiting.len() >= MAX_WAITING {
+    /// Keeps `request` until the lease is checked, or refuses it if too many wait.
+    pub(super) fn defer(&mut self, request: TrainerRequest) {
+        if self.deferred.len() >= MAX_DEFERRED {
             let detail = "too many requests wait for the trainer's owner";
             let cause = crate::base::Cause::Overloaded;
             let failure = crate::base::Failure::not_run(cause, detail);
             let failure = failure.retry_after(Millis(500));
-            let _ = question.reply.send(Asked::Answer(Err(failure)));
+            let _ = request.reply.send(TrainerReply::Answer(Err(failure)));
             return;
         }
-        self.waiting.push_back(question);
+        self.deferred.push_back(request);
     }
 }
--- a/src/entry/trainer_api.rs
+++ b/src/entry/trainer_api.rs
@@ -1,8 +1,8 @@
-//! HTTP towards trainers: steps, fetches and weight versions.
+//! The HTTP API for trainers: steps, fetches and weight versions.
 
 use super::{
-    forward::{self, Forward},
-    rollout::{Ask, Asked, Question}, //
+    forward::{self, Forwarder},
+    rollout::{Operation, TrainerReply, TrainerRequest}, //
 };
 use crate::{
     base::{Cause, Failure, Millis, WeightVersion},
@@ -19,11 +19,11 @@
     oneshot, //
 };
 
-/// What is needed to answer trainers.
+/// What is needed to answer trainers; cheap to clone.
 #[derive(Clone)]
 pub(super) struct TrainerApi {
-    pub(super) forward: Forward,
-    pub(super) rollout: mpsc::Sender<Question>,
+    pub(super) forward: Forwarder,
+    pub(super) rollout: mpsc::Sender<TrainerRequest>,
 }
 
 /// The body of a fetch.
@@ -36,11 +36,12 @@
     /// The samples that the trainer has, as a bitmap in hexadecimal.
     have: String,
     #[serde(default)]
+    /// How long the answer may wait for a complete group.
     wait_ms: u64,
     weight_version: WeightVersion,
 }
 
-/// The body that names a trainer's weight version.
+/// The body of a request that names the trainer's weight version.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VersionBody {
@@ -48,14 +49,15 @@
     weight_version: WeightVersion,
 }
 
-/// The longest that a fetch is held.
-const LONGEST_WAIT: Millis = Millis(30_000);
+/// The longest time that a fetch may be held.
+const MAX_FETCH_WAIT: Millis = Millis(30_000);
 
-/// How long the owner of a trainer may take beyond that.
-const OWNER_TIME: Millis = Millis(5_000);
+/// How much longer than that the owner of a trainer may take to answer a forwarded
+/// request.
+const OWNER_MARGIN: Millis = Millis(5_000);
 
-/// Answers a trainer's request, or passes it to the entry that owns the
-/// trainer; a request that was passed on once is not passed on again.
+/// Answers a trainer's request, or forwards it to the entry that owns the trainer. A
+/// forwarded request is not forwarded again.
 pub(super) async fn handle(
     api: &TrainerApi,
     method: &str,
@@ -63,38 +65,39 @@
     body: Bytes,
     forwarded: bool,
 ) -> (StatusCode, Bytes) {
-    let question = match parse(method, path, &body) {
-        Ok(question) => question,
-        Err(failure) => return failed(&failure),
+    let request = match parse(method, path, &body) {
+        Ok(request) => request,
+        Err(failure) => return problem_response(&failure),
     };
     let (reply, answer) = oneshot::channel();
-    let (team, trainer, ask) = question;
-    let question = Question {
-        ask,
+    let (team, trainer, operation) = request;
+    let request = TrainerRequest {
+        operation,
         reply,
         team,
         trainer,
     };
-    if api.rollout.try_send(question).is_err() {
+    if api.rollout.try_send(request).is_err() {
         let detail = "too many trainers' requests wait";
         let failure = Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(200));
-        return failed(&failure);
+        return problem_response(&failure);
     }
     match answer.await {
-        Ok(Asked::Answer(Ok(value))) => (StatusCode::OK, Bytes::from(value.to_string())),
-        Ok(Asked::Answer(Err(failure))) => failed(&failure),
-        Ok(Asked::Elsewhere(lease)) if !forwarded => {
-            pass_on(api, &lease.address, method, path, body).await
+        Ok(TrainerReply::Answer(Ok(value))) => (StatusCode::OK, Bytes::from(value.to_string())),
+        Ok(TrainerReply::Answer(Err(failure))) => problem_response(&failure),
+        Ok(TrainerReply::Elsewhere(lease)) if !forwarded => {
+            forward_to_owner(api, &lease.address, method, path, body).await
         }
-        Ok(Asked::Elsewhere(lease)) => {
+        Ok(TrainerReply::Elsewhere(lease)) => {
             let detail = format!("the trainer's owner is now `{}`", lease.holder);
-            failed(&Failure::not_run(Cause::Unknown, detail).retry_after(Millis(200)))
+            problem_response(&Failure::not_run(Cause::Unknown, detail).retry_after(Millis(200)))
         }
-        Err(_) => failed(&Failure::not_run(Cause::Draining, "the entry is stopping")),
+        Err(_) => problem_response(&Failure::not_run(Cause::Draining, "the entry is stopping")),
     }
 }
 
-async fn pass_on(
+/// Forwards a request to the owner's link address.
+async fn forward_to_owner(
     api: &TrainerApi,
     address: &str,
     method: &str,
@@ -103,17 +106,17 @@
 ) -> (StatusCode, Bytes) {
     let Ok(peer) = address.parse() else {
         let detail = "the owner's address is not understood";
-        return failed(&Failure::not_run(Cause::Unknown, detail));
+        return problem_response(&Failure::not_run(Cause::Unknown, detail));
     };
-    let wait = LONGEST_WAIT + OWNER_TIME;
+    let wait = MAX_FETCH_WAIT + OWNER_MARGIN;
     match forward::send(&api.forward, peer, method, path, body, wait).await {
         Ok(answer) => answer,
-        Err(failure) => failed(&failure.retry_after(Millis(300))),
+        Err(failure) => problem_response(&failure.retry_after(Millis(300))),
     }
 }
 
-/// A failure as status and problem details.
-fn failed(failure: &Failure) -> (StatusCode, Bytes) {
+/// A failure as an HTTP status and a body with problem details.
+fn problem_response(failure: &Failure) -> (StatusCode, Bytes) {
     let status = StatusCode::from_u16(failure.cause.status()).unwrap_or_default();
     (
         status,
@@ -121,23 +124,24 @@
     )
 }
 
-fn parse(method: &str, path: &str, body: &[u8]) -> Result<(String, String, Ask), Failure> {
+/// The team, the trainer and the operation that a request names.
+fn parse(method: &str, path: &str, body: &[u8]) -> Result<(String, String, Operation), Failure> {
     let not_found = || Failure::not_run(Cause::NotFound, format!("no such resource: `{path}`"));
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let ["v1", "teams", team, "trainers", trainer, rest @ ..] = parts.as_slice() else {
         return Err(not_found());
     };
-    let ask = match (method, rest) {
+    let operation = match (method, rest) {
         ("POST", ["version"]) => {
             let body: VersionBody = decode(body)?;
-            Ask::Version(body.model, body.weight_version)
+            Operation::Version(body.model, body.weight_version)
         }
-        ("DELETE", ["steps", step]) => Ask::Cancel(number(step)?),
+        ("DELETE", ["steps", step]) => Operation::Cancel(step_number(step)?),
         ("POST", ["steps", step]) => {
             let spec: StepSpec = decode(body)?;
             spec.check()
                 .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))?;
-            Ask::Submit(number(step)?, Box::new(spec))
+            Operation::Submit(step_number(step)?, Box::new(spec))
         }
         ("POST", ["steps", step, "fetch"]) => {
             let body: FetchBody = decode(body)?;
@@ -145,25 +149,27 @@
                 let detail = "`have` is no bitmap in hexadecimal";
                 Failure::not_run(Cause::BadRequest, detail)
             })?;
-            Ask::Fetch {
+            Operation::Fetch {
                 epoch: body.epoch,
                 have,
-                step: number(step)?,
+                step: step_number(step)?,
                 version: body.weight_version,
-                wait: Millis(body.wait_ms.min(LONGEST_WAIT.0)),
+                wait: Millis(body.wait_ms.min(MAX_FETCH_WAIT.0)),
             }
         }
         _ => return Err(not_found()),
     };
-    Ok(((*team).to_owned(), (*trainer).to_owned(), ask))
+    Ok(((*team).to_owned(), (*trainer).to_owned(), operation))
 }
 
+/// Parses a JSON body.
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
     serde_json::from_slice(body)
         .map_err(|error| Failure::not_run(Cause::BadRequest, error.to_string()))
 }
 
-fn number(text: &str) -> Result<u64, Failure> {
+/// Parses the number of a step in a path.
+fn step_number(text: &str) -> Result<u64, Failure> {
     text.parse().map_err(|_| {
         let detail = format!("`{text}` is no step number");
         Failure::not_run(Cause::BadRequest, detail)
