--- a/standins/src/balancer.rs
+++ b/standins/src/balancer.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub struct Balancer {
     entries: RwLock<Vec<SocketAddr>>,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
 impl Balancer {
@@ -21,7 +21,7 @@
     pub fn new(entries: Vec<SocketAddr>) -> Self {
         Self {
             entries: RwLock::new(entries),
-            turn: AtomicUsize::new(0),
+            next_index: AtomicUsize::new(0),
         }
     }
 
@@ -34,9 +34,9 @@
     /// The next entry in turn; none when there are none.
     pub fn next(&self) -> Option<SocketAddr> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let at = turn.checked_rem(entries.len())?;
-        Some(entries[at])
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
+        let index = next_index.checked_rem(entries.len())?;
+        Some(entries[index])
     }
 
     /// Takes an entry out.
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     balancer::Balancer,
-    client::{Answered, Client},
+    client::{Client, FullResponse},
     fleet::{CallerPlan, Work},
     truth, //
 };
@@ -23,7 +23,7 @@
 
 /// What became of all calls, as their callers saw it.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Calls {
+pub struct CallResults {
     pub answered: u64,
     /// Failures that said that the call may have run, or no answer at all.
     pub in_doubt: u64,
@@ -32,7 +32,7 @@
     pub latencies: Vec<u64>,
     /// Request ids and keys of refusals that said "not run".
     #[serde(skip)]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<Refusal>,
     pub sent: u64,
     /// Examples of what went wrong.
     pub troubles: Vec<String>,
@@ -42,7 +42,7 @@
 
 /// A refusal that said that the call did not run.
 #[derive(Clone, Debug)]
-pub struct Refused {
+pub struct Refusal {
     pub prompt: Option<(String, u64)>,
     pub request: String,
 }
@@ -60,24 +60,24 @@
 }
 
 /// How often a call that did not run is made again.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// The tokens that a chat asks for at most.
-const CHAT_TOKENS: u32 = 48;
+const MAX_CHAT_TOKENS: u32 = 48;
 
 /// How long a caller waits for an answer.
-const WAIT: Duration = Duration::from_secs(15);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The examples of trouble that are kept.
 const MAX_TROUBLES: usize = 8;
 
 /// Sends calls on a fixed schedule for `time`, whatever the answers do.
-pub async fn run(target: Target, time: Duration) -> Calls {
-    let calls = Arc::new(Mutex::new(Calls::default()));
+pub async fn run(target: Target, time: Duration) -> CallResults {
+    let calls = Arc::new(Mutex::new(CallResults::default()));
     let client = Client::default();
     let clock = Clock::open();
     let mut sent = 0;
-    let mut under_way = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let total = target.plan.rate * time.as_millis() as u64 / 1_000;
     while sent < total {
         let due = sent * 1_000_000 / target.plan.rate;
@@ -87,44 +87,44 @@
         }
         let (target, client, calls) = (target.clone(), client.clone(), calls.clone());
         let number = sent;
-        under_way.spawn(async move { call(&target, &client, number, &calls).await });
+        in_flight.spawn(async move { call(&target, &client, number, &calls).await });
         sent += 1;
     }
-    under_way.join_all().await;
+    in_flight.join_all().await;
     let calls = calls.lock().unwrap_or_else(PoisonError::into_inner);
     calls.clone()
 }
 
 /// One call with its repeats.
-async fn call(target: &Target, client: &Client, number: u64, calls: &Mutex<Calls>) {
+async fn call(target: &Target, client: &Client, number: u64, calls: &Mutex<CallResults>) {
     let clock = Clock::open();
     let nonce = format!("{}/{}/{number}", target.name, target.seed);
-    note(calls, |calls| calls.sent += 1);
-    for _ in 0..TRIES {
-        let answer = once(target, client, &nonce, number).await;
+    update(calls, |calls| calls.sent += 1);
+    for _ in 0..MAX_ATTEMPTS {
+        let answer = send_once(target, client, &nonce, number).await;
         let wait = match answer {
             Err(trouble) => {
-                note(calls, |calls| {
+                update(calls, |calls| {
                     calls.in_doubt += 1;
-                    trouble_of(calls, format!("{nonce}: {trouble}"));
+                    add_trouble(calls, format!("{nonce}: {trouble}"));
                 });
                 return;
             }
             Ok(answer) if answer.status == StatusCode::OK => {
-                let whole = is_whole(target, &nonce, number, &answer);
-                let taken = clock.micros();
-                note(calls, |calls| {
-                    calls.answered += u64::from(whole);
-                    calls.wrong += u64::from(!whole);
-                    calls.latencies.push(taken);
-                    if !whole {
+                let correct = is_correct(target, &nonce, number, &answer);
+                let latency = clock.micros();
+                update(calls, |calls| {
+                    calls.answered += u64::from(correct);
+                    calls.wrong += u64::from(!correct);
+                    calls.latencies.push(latency);
+                    if !correct {
                         let body = String::from_utf8_lossy(&answer.body).into_owned();
-                        trouble_of(calls, format!("{nonce}: wrong answer {body}"));
+                        add_trouble(calls, format!("{nonce}: wrong answer {body}"));
                     }
                 });
                 return;
             }
-            Ok(answer) => match refused(target, &nonce, number, &answer, calls) {
+            Ok(answer) => match record_failure(target, &nonce, number, &answer, calls) {
                 Some(wait) => wait,
                 None => return,
             },
@@ -133,12 +133,12 @@
     }
 }
 
-async fn once(
+async fn send_once(
     target: &Target,
     client: &Client,
     nonce: &str,
     number: u64,
-) -> Result<Answered, String> {
+) -> Result<FullResponse, String> {
     let entry = target.balancer.next().ok_or("no entry")?;
     let base = format!("/v1/app/{}/{}", target.team, target.plan.class);
     let bearer = format!("Bearer {}", target.plan.key);
@@ -153,7 +153,7 @@
     let (path, body) = match target.plan.work {
         Work::Chat => {
             let body = serde_json::json!({
-                "max_tokens": CHAT_TOKENS,
+                "max_tokens": MAX_CHAT_TOKENS,
                 "model": target.model,
                 "prompt": prompt(nonce),
                 "seed": number,
@@ -163,11 +163,13 @@
         Work::Plain => (format!("{base}/work"), nonce.to_owned()),
     };
     let post = Method::POST;
-    client.call(post, entry, &path, &headers, body, WAIT).await
+    client
+        .call(post, entry, &path, &headers, body, RESPONSE_TIMEOUT)
+        .await
 }
 
 /// Whether the answer is the whole answer to this very call.
-fn is_whole(target: &Target, nonce: &str, number: u64, answer: &Answered) -> bool {
+fn is_correct(target: &Target, nonce: &str, number: u64, answer: &FullResponse) -> bool {
     let json = answer.json();
     if target.plan.work == Work::Plain {
         return json["body"] == nonce;
@@ -176,28 +178,28 @@
     let Ok(spans) = serde_json::from_value::<Vec<Span>>(spans.clone()) else {
         return false;
     };
-    let whole = truth::length(&prompt(nonce), number, CHAT_TOKENS);
-    Span::cover(&spans, whole)
+    let length = truth::length(&prompt(nonce), number, MAX_CHAT_TOKENS);
+    Span::cover(&spans, length)
         && json["choices"][0]["text"] == truth::text(&prompt(nonce), number, &spans)
 }
 
 /// Notes a failure; returns the wait before another try if it did not run.
-fn refused(
+fn record_failure(
     target: &Target,
     nonce: &str,
     number: u64,
-    answer: &Answered,
-    calls: &Mutex<Calls>,
+    answer: &FullResponse,
+    calls: &Mutex<CallResults>,
 ) -> Option<Duration> {
     let problem = answer.json();
     let may_have_run = problem["may_have_run"].as_bool();
-    note(calls, |calls| {
-        trouble_of(calls, format!("{nonce}: {problem}"));
+    update(calls, |calls| {
+        add_trouble(calls, format!("{nonce}: {problem}"));
         match may_have_run {
             Some(false) => {
                 let request = answer.header("redwing-request-id").unwrap_or_default();
                 let chat = target.plan.work == Work::Chat;
-                calls.refused.push(Refused {
+                calls.refused.push(Refusal {
                     prompt: chat.then(|| (prompt(nonce), number)),
                     request: request.to_owned(),
                 });
@@ -216,11 +218,11 @@
     format!("Advise the sorter on bale {nonce}.")
 }
 
-fn note(calls: &Mutex<Calls>, change: impl FnOnce(&mut Calls)) {
+fn update(calls: &Mutex<CallResults>, change: impl FnOnce(&mut CallResults)) {
     change(&mut calls.lock().unwrap_or_else(PoisonError::into_inner));
 }
 
-fn trouble_of(calls: &mut Calls, trouble: String) {
+fn add_trouble(calls: &mut CallResults, trouble: String) {
     if calls.troubles.len() < MAX_TROUBLES {
         calls.troubles.push(trouble);
     }
--- a/standins/src/cli/command.rs
+++ b/standins/src/cli/command.rs
@@ -140,28 +140,28 @@
                 ..Tuning::default()
             };
             let engine = Engine::open(command.listen, tuning).await?;
-            until_stopped("engine", engine.address).await
+            wait_for_stop("engine", engine.address).await
         }
         Command::Platform(command) => {
             let copy = Duration::from_millis(command.copy_ms);
             let platform = Platform::open(command.listen, command.copies, copy).await?;
-            until_stopped("platform", platform.address).await
+            wait_for_stop("platform", platform.address).await
         }
         Command::Scorer(command) => {
             let time = Duration::from_millis(command.time_ms);
             let scorer = Scorer::open(command.listen, time).await?;
-            until_stopped("scorer", scorer.address).await
+            wait_for_stop("scorer", scorer.address).await
         }
         Command::Service(command) => {
             let time = Duration::from_millis(command.time_ms);
             let service = Service::open(command.listen, time).await?;
-            until_stopped("service", service.address).await
+            wait_for_stop("service", service.address).await
         }
         Command::Trainer(command) => Ok(command.run().await),
     }
 }
 
-async fn until_stopped(what: &str, address: SocketAddr) -> std::io::Result<ExitCode> {
+async fn wait_for_stop(what: &str, address: SocketAddr) -> std::io::Result<ExitCode> {
     eprintln!("{what} listening at {address}");
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/standins/src/cli/trainer_command.rs
+++ b/standins/src/cli/trainer_command.rs
@@ -65,14 +65,14 @@
             prompts: vec!["Judge this foam core.".to_owned()],
             samples: self.samples,
             seed: 1,
-            staleness: self.staleness,
+            max_staleness: self.staleness,
             steps: self.steps,
             team: self.team,
-            train: Duration::from_millis(self.train_ms),
+            train_time: Duration::from_millis(self.train_ms),
         };
         let report = trainer::run(&config, &AtomicU64::new(0)).await;
         println!("{}", serde_json::json!(report));
-        match report.holds() {
+        match report.passed() {
             true => ExitCode::SUCCESS,
             false => ExitCode::FAILURE,
         }
--- a/standins/src/client.rs
+++ b/standins/src/client.rs
@@ -22,13 +22,13 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct FullResponse {
     pub body: Bytes,
     pub headers: HeaderMap,
     pub status: StatusCode,
 }
 
-impl Answered {
+impl FullResponse {
     /// The value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -66,8 +66,8 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-        wait: Duration,
-    ) -> Result<Answered, String> {
+        timeout: Duration,
+    ) -> Result<FullResponse, String> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"));
@@ -81,13 +81,13 @@
             let answer = self.pool.request(request).await.map_err(describe)?;
             let (parts, body) = answer.into_parts();
             let body = body.collect().await.map_err(|error| error.to_string())?;
-            Ok(Answered {
+            Ok(FullResponse {
                 body: body.to_bytes(),
                 headers: parts.headers,
                 status: parts.status,
             })
         };
-        match tokio::time::timeout(wait, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => answer,
             Err(_) => Err("no whole answer in time".to_owned()),
         }
--- a/standins/src/demo/command.rs
+++ b/standins/src/demo/command.rs
@@ -95,7 +95,7 @@
             return ExitCode::FAILURE;
         }
     }
-    match summary.broken().is_empty() {
+    match summary.violations().is_empty() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/standins/src/demo/director.rs
+++ b/standins/src/demo/disruptions.rs
@@ -11,66 +11,66 @@
 };
 
 /// How long a crashed engine is down.
-const DOWN: Duration = Duration::from_millis(800);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(800);
 
 /// What the director did.
 #[derive(Default)]
-pub(super) struct Story {
+pub(super) struct Disruptions {
     pub(super) cut: u64,
     pub(super) events: Vec<String>,
 }
 
 /// Crashes an engine at a quarter of the samples, stops an agent at a half,
 /// and an entry at three fifths, each while everything goes on.
-pub(super) async fn direct(fleet: &mut Fleet, progress: &AtomicU64, total: u64) -> Story {
+pub(super) async fn disrupt(fleet: &mut Fleet, progress: &AtomicU64, total: u64) -> Disruptions {
     let clock = Clock::open();
-    let mut story = Story::default();
-    let mut tell = |text: String| {
+    let mut disruptions = Disruptions::default();
+    let mut record = |text: String| {
         eprintln!("  {text}");
-        story
+        disruptions
             .events
             .push(format!("{:>6} ms  {text}", clock.micros() / 1_000));
     };
 
-    reach(progress, total / 4).await;
+    wait_for_samples(progress, total / 4).await;
     let engines = fleet.members.iter();
     let engine = engines.clone().find_map(|member| match &member.backend {
         Backend::Engine(engine) => Some((engine, &member.name)),
         Backend::Scorer(_) | Backend::Service(_) => None,
     });
     if let Some((engine, name)) = engine {
-        engine.crash(DOWN);
-        tell(format!(
+        engine.crash(CRASH_DOWNTIME);
+        record(format!(
             "engine `{name}` crashed for {} ms",
-            DOWN.as_millis()
+            CRASH_DOWNTIME.as_millis()
         ));
     }
 
-    reach(progress, total / 2).await;
+    wait_for_samples(progress, total / 2).await;
     let mut cut = 0;
     let last = fleet.members.last_mut();
     if let Some(member) = last {
         let name = member.name.clone();
-        tell(format!("agent `{name}` stops gracefully"));
+        record(format!("agent `{name}` stops gracefully"));
         cut += u64::from(!member.stop().await);
         let restarted = member.start(&fleet.platform, fleet.options).await;
-        tell(match restarted {
+        record(match restarted {
             Ok(()) => format!("agent `{name}` was replaced"),
             Err(error) => format!("agent `{name}` was not replaced: {error}"),
         });
     }
 
-    reach(progress, total * 3 / 5).await;
+    wait_for_samples(progress, total * 3 / 5).await;
     let name = fleet.entries.first().map(|(name, _)| name.clone());
     let name = name.unwrap_or_default();
-    tell(format!("entry `{name}` stops gracefully"));
+    record(format!("entry `{name}` stops gracefully"));
     cut += u64::from(!fleet.stop_entry().await);
-    tell(format!("entry `{name}` has stopped"));
-    story.cut = cut;
-    story
+    record(format!("entry `{name}` has stopped"));
+    disruptions.cut = cut;
+    disruptions
 }
 
-async fn reach(progress: &AtomicU64, samples: u64) {
+async fn wait_for_samples(progress: &AtomicU64, samples: u64) {
     while progress.load(Ordering::Relaxed) < samples {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -1,7 +1,7 @@
 //! The demo: both users' deployments at work, with failures on the way.
 
 mod command;
-mod director;
+mod disruptions;
 mod run;
 mod summary;
 
--- a/standins/src/demo/run.rs
+++ b/standins/src/demo/run.rs
@@ -1,11 +1,11 @@
 //! Runs the demo's fleet, trainers and callers, and judges what came of it.
 
 use super::{
-    director::{Story, direct},
+    disruptions::{Disruptions, disrupt},
     summary::{Staleness, Summary}, //
 };
 use crate::{
-    caller::{self, Calls, Refused, Target},
+    caller::{self, CallResults, Refusal, Target},
     fleet::{Backend, Fleet, FleetError, Options, Plan},
     trainer::{self, Config, Report}, //
 };
@@ -70,7 +70,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Line {
+struct PromptLine {
     prompt: String,
 }
 
@@ -88,7 +88,7 @@
     let progress = Arc::new(AtomicU64::new(0));
     let mut trainers = JoinSet::new();
     let mut total = 0;
-    for config in configs(&plans, &fleet, &prompts, settings.seed) {
+    for config in trainer_configs(&plans, &fleet, &prompts, settings.seed) {
         total += config.steps * u64::from(config.groups * config.samples);
         let progress = progress.clone();
         trainers.spawn(async move {
@@ -97,14 +97,14 @@
         });
     }
     let mut callers = JoinSet::new();
-    for target in targets(&plans, &fleet, settings.seed) {
+    for target in call_targets(&plans, &fleet, settings.seed) {
         callers.spawn(caller::run(target, CALL_TIME));
     }
-    let shown = tokio::spawn(show_progress(progress.clone(), total));
-    let story = direct(&mut fleet, &progress, total).await;
+    let progress_task = tokio::spawn(show_progress(progress.clone(), total));
+    let disruptions = disrupt(&mut fleet, &progress, total).await;
     let reports = trainers.join_all().await;
     let calls = callers.join_all().await;
-    shown.abort();
+    progress_task.abort();
 
     let mut summary = Summary {
         seed: settings.seed,
@@ -115,14 +115,14 @@
             .sum(),
         ..Summary::default()
     };
-    judge_story(&mut summary, story);
-    judge_samples(&mut summary, reports);
-    judge_calls(&mut summary, &fleet, &calls);
+    add_disruptions(&mut summary, disruptions);
+    add_samples(&mut summary, reports);
+    check_calls(&mut summary, &fleet, &calls);
     summary.wall_ms = clock.micros() / 1_000;
     Ok(summary)
 }
 
-fn configs(plans: &[Plan], fleet: &Fleet, prompts: &[String], seed: u64) -> Vec<Config> {
+fn trainer_configs(plans: &[Plan], fleet: &Fleet, prompts: &[String], seed: u64) -> Vec<Config> {
     let all = plans.iter().flat_map(|plan| {
         plan.trainers.iter().map(|(name, trainer)| Config {
             balancer: fleet.balancer.clone(),
@@ -134,16 +134,16 @@
             prompts: prompts.to_vec(),
             samples: trainer.samples,
             seed,
-            staleness: trainer.staleness,
+            max_staleness: trainer.staleness,
             steps: trainer.steps,
             team: plan.team.clone(),
-            train: Duration::from_millis(trainer.train_ms),
+            train_time: Duration::from_millis(trainer.train_ms),
         })
     });
     all.collect()
 }
 
-fn targets(plans: &[Plan], fleet: &Fleet, seed: u64) -> Vec<Target> {
+fn call_targets(plans: &[Plan], fleet: &Fleet, seed: u64) -> Vec<Target> {
     let all = plans.iter().flat_map(|plan| {
         plan.callers.iter().map(|(name, caller)| Target {
             balancer: fleet.balancer.clone(),
@@ -170,12 +170,12 @@
     }
 }
 
-fn judge_story(summary: &mut Summary, story: Story) {
-    summary.cut_by_stops = story.cut;
-    summary.events = story.events;
+fn add_disruptions(summary: &mut Summary, disruptions: Disruptions) {
+    summary.cut_by_stops = disruptions.cut;
+    summary.events = disruptions.events;
 }
 
-fn judge_samples(summary: &mut Summary, reports: Vec<(String, Report)>) {
+fn add_samples(summary: &mut Summary, reports: Vec<(String, Report)>) {
     for (name, report) in reports {
         summary.samples_asked += report.asked;
         summary.samples_delivered += report.delivered;
@@ -187,8 +187,8 @@
         summary.samples_stale += report.stale;
         summary.samples_unversioned += report.unversioned;
         let staleness = Staleness {
-            max: report.staleness_at(1.0),
-            p50: report.staleness_at(0.5),
+            max: report.staleness_quantile(1.0),
+            p50: report.staleness_quantile(0.5),
         };
         summary.staleness.insert(name.clone(), staleness);
         summary.idle_fraction.insert(name, report.idle_fraction());
@@ -196,7 +196,7 @@
 }
 
 /// Judges calls by what services and engines ran, not by our own counters.
-fn judge_calls(summary: &mut Summary, fleet: &Fleet, calls: &[Calls]) {
+fn check_calls(summary: &mut Summary, fleet: &Fleet, calls: &[CallResults]) {
     let mut ran: HashSet<String> = HashSet::new();
     for member in &fleet.members {
         if let Backend::Service(service) = &member.backend {
@@ -212,21 +212,21 @@
         summary.application_sent += one.sent;
         summary.application_wrong += one.wrong;
         summary.refused_not_run += one.refused.len() as u64;
-        let lies = one
+        let false_refusals = one
             .refused
             .iter()
             .filter(|refused| ran.contains(&refused.request) || engine_ran(fleet, refused));
-        summary.refused_not_run_false += lies.count() as u64;
+        summary.refused_not_run_false += false_refusals.count() as u64;
         summary.troubles.extend(one.troubles.iter().cloned());
     }
 }
 
-fn engine_ran(fleet: &Fleet, refused: &Refused) -> bool {
+fn engine_ran(fleet: &Fleet, refused: &Refusal) -> bool {
     let Some((prompt, seed)) = &refused.prompt else {
         return false;
     };
     fleet.members.iter().any(|member| match &member.backend {
-        Backend::Engine(engine) => engine.saw(prompt, *seed),
+        Backend::Engine(engine) => engine.has_seen(prompt, *seed),
         Backend::Scorer(_) | Backend::Service(_) => false,
     })
 }
@@ -250,7 +250,7 @@
     let prompts: Vec<String> = lines
         .filter(|(_, line)| !line.trim().is_empty())
         .map(|(at, line)| {
-            let parsed = serde_json::from_str::<Line>(line);
+            let parsed = serde_json::from_str::<PromptLine>(line);
             let line = at + 1;
             let parsed = parsed.context(PromptSnafu { file: &file, line })?;
             Ok(parsed.prompt)
--- a/standins/src/demo/summary.rs
+++ b/standins/src/demo/summary.rs
@@ -43,7 +43,7 @@
 
 impl Summary {
     /// The promises that were broken, in words.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let counts = [
             (self.application_wrong, "answers were wrong or not whole"),
             (self.cut_by_stops, "graceful stops cut something off"),
@@ -59,8 +59,8 @@
             (self.samples_stale, "samples were too old"),
             (self.samples_unversioned, "samples name no versions"),
         ];
-        let broken = counts.iter().filter(|(count, _)| *count > 0);
-        broken
+        let violations = counts.iter().filter(|(count, _)| *count > 0);
+        violations
             .map(|(count, what)| format!("{count} {what}"))
             .collect()
     }
@@ -91,13 +91,13 @@
             self.refused_not_run,
             self.application_in_doubt
         );
-        let broken = self.broken();
-        if broken.is_empty() {
+        let violations = self.violations();
+        if violations.is_empty() {
             println!("every promise held, by what the stand-ins saw");
             return;
         }
-        for promise in broken {
-            println!("BROKEN: {promise}");
+        for violation in violations {
+            println!("BROKEN: {violation}");
         }
         for trouble in &self.troubles {
             println!("  {trouble}");
--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -7,10 +7,10 @@
 };
 
 /// How often a paused or idle engine looks again.
-const IDLE: Duration = Duration::from_millis(20);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The load reports kept.
-const MAX_LOADS: usize = 512;
+const MAX_LOAD_REPORTS: usize = 512;
 
 /// Decodes until the engine is dropped.
 pub(super) async fn run(inner: Arc<Inner>) {
@@ -21,16 +21,16 @@
             state.admit(inner.tuning.max_batch);
             let now = inner.clock.now().0;
             let report = (now, state.running.len(), state.waiting.len());
-            state.loads.push_back(report);
-            if state.loads.len() > MAX_LOADS {
-                state.loads.pop_front();
+            state.load_reports.push_back(report);
+            if state.load_reports.len() > MAX_LOAD_REPORTS {
+                state.load_reports.pop_front();
             }
             let faults = state.faults;
             (state.running.len(), faults.slow.max(1), faults.paused)
         };
         if paused || batch == 0 {
-            let woken = inner.work.notified();
-            let _ = tokio::time::timeout(IDLE, woken).await;
+            let woken = inner.work_added.notified();
+            let _ = tokio::time::timeout(IDLE_POLL_INTERVAL, woken).await;
             due = inner.clock.micros();
             continue;
         }
@@ -46,6 +46,6 @@
         }
         let now = inner.clock.micros();
         due = due.max(now.saturating_sub(20_000));
-        inner.state().step(now);
+        inner.state().decode_step(now);
     }
 }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -8,7 +8,7 @@
 };
 
 /// The characters of one block.
-const BLOCK: usize = 64;
+const BLOCK_BYTES: usize = 64;
 
 /// The events kept for those who ask.
 const MAX_EVENTS: usize = 4_096;
@@ -53,7 +53,7 @@
     pub fn hashes(text: &str) -> Vec<u64> {
         let mut before = 0_u64;
         text.as_bytes()
-            .chunks(BLOCK)
+            .chunks(BLOCK_BYTES)
             .map(|block| {
                 before = stable_hash(&[&before.to_le_bytes(), block]);
                 before
@@ -62,20 +62,20 @@
     }
 
     /// Those of `hashes` that are here, up to the first that is not.
-    pub fn known(&self, hashes: &[u64]) -> usize {
+    pub fn cached_prefix(&self, hashes: &[u64]) -> usize {
         let known = hashes.iter().take_while(|h| self.blocks.contains_key(h));
         known.count()
     }
 
     /// Takes blocks in; returns how many were missing.
-    pub fn take(&mut self, now: u64, hashes: &[u64]) -> usize {
-        let known = self.known(hashes);
+    pub fn insert(&mut self, now: u64, hashes: &[u64]) -> usize {
+        let known = self.cached_prefix(hashes);
         self.hits += known as u64;
         self.misses += (hashes.len() - known) as u64;
         for hash in hashes {
             self.uses += 1;
             if self.blocks.insert(*hash, self.uses).is_none() {
-                self.note(now, *hash, true);
+                self.push_event(now, *hash, true);
             }
         }
         self.evict(now);
@@ -89,11 +89,11 @@
                 return;
             };
             self.blocks.remove(&oldest);
-            self.note(now, oldest, false);
+            self.push_event(now, oldest, false);
         }
     }
 
-    fn note(&mut self, at: u64, block: u64, added: bool) {
+    fn push_event(&mut self, at: u64, block: u64, added: bool) {
         self.sequence += 1;
         let sequence = self.sequence;
         self.events.push_back(CacheEvent {
--- a/standins/src/engine/handle.rs
+++ b/standins/src/engine/handle.rs
@@ -5,10 +5,10 @@
     Tuning,
     batch,
     cache::Cache,
-    state::{Produced, Sequence, State}, //
+    state::{Sequence, State, StreamItem}, //
 };
 use crate::{
-    server::{Server, decoded},
+    server::{Server, read_json},
     truth, //
 };
 use bytes::Bytes;
@@ -55,19 +55,19 @@
     pub(super) clock: Clock,
     state: Mutex<State>,
     pub(super) tuning: Tuning,
-    pub(super) work: Notify,
+    pub(super) work_added: Notify,
 }
 
 /// The tokens that may wait in one stream.
-const STREAM: usize = 256;
+const STREAM_CAPACITY: usize = 256;
 
 #[derive(Deserialize, Serialize)]
-struct Kv {
+struct KvBlocks {
     blocks: Vec<u64>,
 }
 
 #[derive(Deserialize)]
-struct KvAsked {
+struct KvExportRequest {
     prompt: String,
 }
 
@@ -80,7 +80,7 @@
             clock,
             state: Mutex::new(state),
             tuning,
-            work: Notify::new(),
+            work_added: Notify::new(),
         });
         let answer = |inner: Arc<Inner>, request| async move { inner.answer(request).await };
         let server = Server::open_shared(address, &inner, answer).await?;
@@ -106,12 +106,12 @@
     }
 
     /// The tokens made so far.
-    pub fn produced(&self) -> u64 {
-        self.inner.state().produced
+    pub fn tokens_produced(&self) -> u64 {
+        self.inner.state().tokens_produced
     }
 
     /// Whether a generation of this prompt and seed was ever begun here.
-    pub fn saw(&self, prompt: &str, seed: u64) -> bool {
+    pub fn has_seen(&self, prompt: &str, seed: u64) -> bool {
         self.inner.state().seen.contains(&(prompt.to_owned(), seed))
     }
 
@@ -159,7 +159,7 @@
         let (parts, body) = request.into_parts();
         let path = parts.uri.path();
         if path == "/admin/faults" {
-            let faults = decoded(body).await?;
+            let faults = read_json(body).await?;
             self.set_faults(faults);
             return Ok(text(StatusCode::OK, "text/plain", "ok\n"));
         }
@@ -173,25 +173,25 @@
             }
             (&Method::GET, "/v1/load") => Ok(self.load_report()),
             (&Method::GET, "/v1/state") => {
-                let told = self.state().told(&self.tuning);
-                Ok(json(StatusCode::OK, &told))
+                let state = self.state().wire_state(&self.tuning);
+                Ok(json(StatusCode::OK, &state))
             }
-            (&Method::POST, "/v1/completions") => Ok(self.complete(decoded(body).await?)),
+            (&Method::POST, "/v1/completions") => Ok(self.complete(read_json(body).await?)),
             (&Method::POST, "/v1/kv/export") => {
-                let asked: KvAsked = decoded(body).await?;
-                let mut blocks = Cache::hashes(&asked.prompt);
-                let known = self.state().cache.known(&blocks);
+                let wanted: KvExportRequest = read_json(body).await?;
+                let mut blocks = Cache::hashes(&wanted.prompt);
+                let known = self.state().cache.cached_prefix(&blocks);
                 blocks.truncate(known);
-                Ok(json(StatusCode::OK, &Kv { blocks }))
+                Ok(json(StatusCode::OK, &KvBlocks { blocks }))
             }
             (&Method::POST, "/v1/kv/import") => {
-                let kv: Kv = decoded(body).await?;
+                let kv: KvBlocks = read_json(body).await?;
                 let now = self.clock.now().0;
-                self.state().cache.take(now, &kv.blocks);
+                self.state().cache.insert(now, &kv.blocks);
                 Ok(text(StatusCode::OK, "text/plain", "ok\n"))
             }
             (&Method::POST, "/v1/orders") => {
-                let status = self.order(decoded(body).await?).await;
+                let status = self.execute_order(read_json(body).await?).await;
                 let mut state = self.state();
                 if state.faults.lose_orders > 0 {
                     state.faults.lose_orders -= 1;
@@ -203,31 +203,35 @@
         }
     }
 
-    fn complete(&self, asked: Completion) -> Answer {
-        let (out, tokens) = mpsc::channel(STREAM);
+    fn complete(&self, completion: Completion) -> Answer {
+        let (out, tokens) = mpsc::channel(STREAM_CAPACITY);
         let mut state = self.state();
-        if !state.models.contains_key(&asked.model) {
+        if !state.models.contains_key(&completion.model) {
             return text(StatusCode::NOT_FOUND, "text/plain", "no such model\n");
         }
-        state.seen.insert((asked.prompt.clone(), asked.seed));
-        let whole = format!("{}{}", asked.prompt, asked.done.concat());
-        let missing = state.cache.take(self.clock.now().0, &Cache::hashes(&whole));
+        state
+            .seen
+            .insert((completion.prompt.clone(), completion.seed));
+        let whole = format!("{}{}", completion.prompt, completion.done.concat());
+        let missing = state
+            .cache
+            .insert(self.clock.now().0, &Cache::hashes(&whole));
         let prefill = missing as u64 * self.tuning.prefill_us;
         state.waiting.push(Sequence {
-            length: truth::length(&asked.prompt, asked.seed, asked.max_tokens),
-            max: asked.max_tokens,
-            model: asked.model,
+            length: truth::length(&completion.prompt, completion.seed, completion.max_tokens),
+            max_tokens: completion.max_tokens,
+            model: completion.model,
             muted: false,
-            next: asked.done.len() as u32,
+            next: completion.done.len() as u32,
             out,
-            priority: asked.priority,
-            prompt: asked.prompt,
-            ready: self.clock.micros() + prefill,
-            seed: asked.seed,
+            priority: completion.priority,
+            prompt: completion.prompt,
+            ready_at: self.clock.micros() + prefill,
+            seed: completion.seed,
         });
         drop(state);
-        self.work.notify_one();
-        stream(tokens)
+        self.work_added.notify_one();
+        stream_response(tokens)
     }
 
     fn events(&self, query: &str) -> Answer {
@@ -236,34 +240,36 @@
         let state = self.state();
         let faults = state.faults;
         let until = self.clock.now().0.saturating_sub(faults.event_lag_ms);
-        let told: Vec<_> = state
+        let events: Vec<_> = state
             .cache
             .events
             .iter()
             .filter(|event| event.sequence > since && event.at <= until)
             .filter(|event| faults.event_gap == 0 || event.sequence % faults.event_gap != 0)
             .collect();
-        json(StatusCode::OK, &told)
+        json(StatusCode::OK, &events)
     }
 
     fn load_report(&self) -> Answer {
         let state = self.state();
         let until = self.clock.now().0.saturating_sub(state.faults.load_lag_ms);
-        let mut reports = state.loads.iter().rev();
+        let mut reports = state.load_reports.iter().rev();
         let report = reports.find(|(at, ..)| *at <= until);
         let (at, running, waiting) = report.copied().unwrap_or_default();
-        let told = serde_json::json!({ "at": at, "running": running, "waiting": waiting });
-        json(StatusCode::OK, &told)
+        let report = serde_json::json!({ "at": at, "running": running, "waiting": waiting });
+        json(StatusCode::OK, &report)
     }
 }
 
-fn stream(tokens: mpsc::Receiver<Produced>) -> Answer {
+fn stream_response(tokens: mpsc::Receiver<StreamItem>) -> Answer {
     let frames = futures_util::stream::unfold(Some(tokens), |state| async {
         let mut tokens = state?;
         match tokens.recv().await {
-            Some(Produced::Token(text)) => Some((Ok(event(Some(text), None)), Some(tokens))),
-            Some(Produced::Finished(finish)) => {
-                let last = event(None, Some(finish.word()));
+            Some(StreamItem::Token(text)) => {
+                Some((Ok(chunk_frame(Some(text), None)), Some(tokens)))
+            }
+            Some(StreamItem::Finished(finish)) => {
+                let last = chunk_frame(None, Some(finish.word()));
                 let done = Bytes::from_static(b"data: [DONE]\n\n");
                 let both = [last.into_data().unwrap_or_default(), done].concat();
                 Some((Ok(Frame::data(Bytes::from(both))), None))
@@ -280,7 +286,7 @@
     answer
 }
 
-fn event(text: Option<String>, finish: Option<&str>) -> Frame<Bytes> {
+fn chunk_frame(text: Option<String>, finish: Option<&str>) -> Frame<Bytes> {
     let chunk = Chunk {
         choices: vec![Choice {
             finish_reason: finish.map(str::to_owned),
--- a/standins/src/engine/orders.rs
+++ b/standins/src/engine/orders.rs
@@ -16,11 +16,11 @@
 use std::time::Duration;
 
 /// How long a copy from the weight store may take.
-const COPY: Duration = Duration::from_secs(60);
+const COPY_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Inner {
     /// Does an order; returns the status to answer with.
-    pub(super) async fn order(&self, order: Order) -> StatusCode {
+    pub(super) async fn execute_order(&self, order: Order) -> StatusCode {
         {
             let mut state = self.state();
             if self.tuning.checks_fence && order.fence < state.fence {
@@ -29,7 +29,7 @@
             state.fence = state.fence.max(order.fence);
         }
         match order.kind {
-            OrderKind::Load { version } => self.load(&order.model, version.0).await,
+            OrderKind::Load { version } => self.load_model(&order.model, version.0).await,
             OrderKind::Role { .. } => StatusCode::OK,
             OrderKind::Unload => {
                 self.state().models.remove(&order.model);
@@ -38,8 +38,8 @@
         }
     }
 
-    async fn load(&self, model: &str, version: u64) -> StatusCode {
-        if !self.copy(model, version).await {
+    async fn load_model(&self, model: &str, version: u64) -> StatusCode {
+        if !self.copy_weights(model, version).await {
             return StatusCode::BAD_GATEWAY;
         }
         let boot = {
@@ -48,9 +48,9 @@
             if !known && state.models.len() >= self.tuning.max_models {
                 return StatusCode::INSUFFICIENT_STORAGE;
             }
-            let slot = state.models.entry(model.to_owned()).or_default();
-            slot.loading = true;
-            slot.loads += 1;
+            let entry = state.models.entry(model.to_owned()).or_default();
+            entry.loading = true;
+            entry.loads += 1;
             state.boot
         };
         tokio::time::sleep(Duration::from_millis(self.tuning.swap_ms)).await;
@@ -61,9 +61,9 @@
         }
         let failed = state.faults.fail_swaps > 0;
         state.faults.fail_swaps = state.faults.fail_swaps.saturating_sub(1);
-        let slot: &mut Model = state.models.entry(model.to_owned()).or_default();
-        slot.loading = false;
-        slot.version = (!failed).then_some(version);
+        let entry: &mut Model = state.models.entry(model.to_owned()).or_default();
+        entry.loading = false;
+        entry.version = (!failed).then_some(version);
         match failed {
             true => StatusCode::INTERNAL_SERVER_ERROR,
             false => StatusCode::OK,
@@ -71,13 +71,13 @@
     }
 
     /// Copies weights from the store, as fast as its rate limit allows.
-    async fn copy(&self, model: &str, version: u64) -> bool {
+    async fn copy_weights(&self, model: &str, version: u64) -> bool {
         let Some(store) = self.tuning.weights else {
             return true;
         };
         let path = format!("/weights/{model}/{version}");
         let answer = Client::default()
-            .call(Method::GET, store, &path, &[], "", COPY)
+            .call(Method::GET, store, &path, &[], "", COPY_TIMEOUT)
             .await;
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -19,7 +19,7 @@
 
 /// What a sequence's stream carries.
 #[derive(Debug)]
-pub(super) enum Produced {
+pub(super) enum StreamItem {
     Finished(Finish),
     Token(String),
 }
@@ -27,15 +27,15 @@
 /// One generation in the engine.
 pub(super) struct Sequence {
     pub(super) length: u32,
-    pub(super) max: u32,
+    pub(super) max_tokens: u32,
     pub(super) model: String,
     /// The index of the next token.
     pub(super) next: u32,
-    pub(super) out: mpsc::Sender<Produced>,
+    pub(super) out: mpsc::Sender<StreamItem>,
     pub(super) priority: u8,
     pub(super) prompt: String,
     /// When its prompt will have been taken in, in microseconds.
-    pub(super) ready: u64,
+    pub(super) ready_at: u64,
     pub(super) seed: u64,
     pub(super) muted: bool,
 }
@@ -56,9 +56,9 @@
     pub(super) faults: Faults,
     pub(super) fence: Fence,
     /// Load reports of late: time, running, waiting.
-    pub(super) loads: VecDeque<(u64, usize, usize)>,
+    pub(super) load_reports: VecDeque<(u64, usize, usize)>,
     pub(super) models: BTreeMap<String, Model>,
-    pub(super) produced: u64,
+    pub(super) tokens_produced: u64,
     pub(super) running: Vec<Sequence>,
     /// The prompts and seeds that were ever asked for.
     pub(super) seen: HashSet<(String, u64)>,
@@ -78,9 +78,9 @@
             cache: Cache::new(tuning.cache_blocks),
             faults: Faults::default(),
             fence: 0,
-            loads: VecDeque::new(),
+            load_reports: VecDeque::new(),
             models: BTreeMap::from([("base".to_owned(), base)]),
-            produced: 0,
+            tokens_produced: 0,
             running: Vec::new(),
             seen: HashSet::new(),
             waiting: Vec::new(),
@@ -88,7 +88,7 @@
     }
 
     /// The state as the engine tells it.
-    pub(super) fn told(&self, tuning: &Tuning) -> EngineState {
+    pub(super) fn wire_state(&self, tuning: &Tuning) -> EngineState {
         let models = self.models.iter().map(|(name, model)| {
             let version = model.version.filter(|_| !model.loading);
             let state = ModelState {
@@ -117,31 +117,31 @@
     }
 
     /// Makes one token for each sequence of the batch that can go on.
-    pub(super) fn step(&mut self, now_us: u64) {
+    pub(super) fn decode_step(&mut self, now_us: u64) {
         let models = &self.models;
-        let mut produced = 0;
+        let mut tokens_produced = 0;
         self.running.retain_mut(|sequence| {
             if sequence.out.is_closed() {
                 return false;
             }
             let model = models.get(&sequence.model).copied().unwrap_or_default();
-            if sequence.muted || model.loading || sequence.ready > now_us {
+            if sequence.muted || model.loading || sequence.ready_at > now_us {
                 return true;
             }
-            let going_on = sequence.step(model.version.unwrap_or(truth::MIXED));
-            produced += 1;
-            going_on
+            let unfinished = sequence.produce_token(model.version.unwrap_or(truth::MIXED_WEIGHTS));
+            tokens_produced += 1;
+            unfinished
         });
-        self.produced += produced;
+        self.tokens_produced += tokens_produced;
     }
 }
 
 impl Sequence {
     /// Makes the next token; false when it was the last or nobody listens.
-    fn step(&mut self, version: u64) -> bool {
+    fn produce_token(&mut self, version: u64) -> bool {
         if self.next < self.length {
             let text = truth::token(&self.prompt, self.seed, self.next, version);
-            match self.out.try_send(Produced::Token(text)) {
+            match self.out.try_send(StreamItem::Token(text)) {
                 Ok(()) => self.next += 1,
                 Err(mpsc::error::TrySendError::Full(_)) => return true,
                 Err(mpsc::error::TrySendError::Closed(_)) => return false,
@@ -150,10 +150,10 @@
         if self.next < self.length {
             return true;
         }
-        let finish = match self.length < self.max {
+        let finish = match self.length < self.max_tokens {
             true => Finish::Stop,
             false => Finish::Length,
         };
-        self.out.try_send(Produced::Finished(finish)).is_err() && !self.out.is_closed()
+        self.out.try_send(StreamItem::Finished(finish)).is_err() && !self.out.is_closed()
     }
 }
--- a/standins/src/load/case.rs
+++ b/standins/src/load/case.rs
@@ -12,7 +12,7 @@
 
 /// How a case is to be run.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub struct RunOptions {
     /// Which policies are measured: baseline, current, or both.
     pub baseline: bool,
     pub current: bool,
@@ -23,7 +23,7 @@
 }
 
 /// A case's function.
-pub type Measure = fn(Run) -> Pin<Box<dyn Future<Output = Result<Outcome, LoadError>>>>;
+pub type Measure = fn(RunOptions) -> Pin<Box<dyn Future<Output = Result<Outcome, LoadError>>>>;
 
 /// A named experiment.
 pub struct Case {
--- a/standins/src/load/command.rs
+++ b/standins/src/load/command.rs
@@ -3,7 +3,7 @@
 use super::{
     LoadError,
     Outcome,
-    Run,
+    RunOptions,
     cases::CASES,
     plot, //
 };
@@ -99,7 +99,7 @@
     };
 
     open_log(LogFormat::Text, &command.log);
-    let run = Run {
+    let run = RunOptions {
         baseline,
         current,
         process: command.entry.zip(command.pid),
@@ -117,7 +117,7 @@
         wall_ms: clock.micros() / 1_000,
         ..outcome
     });
-    match outcome.and_then(|outcome| tell(&outcome, command.json, command.svg)) {
+    match outcome.and_then(|outcome| report(&outcome, command.json, command.svg)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
             eprintln!("error: the case measured nothing");
@@ -130,7 +130,11 @@
     }
 }
 
-fn tell(outcome: &Outcome, json: Option<PathBuf>, svg: Option<PathBuf>) -> Result<bool, LoadError> {
+fn report(
+    outcome: &Outcome,
+    json: Option<PathBuf>,
+    svg: Option<PathBuf>,
+) -> Result<bool, LoadError> {
     outcome.print();
     if let Some(path) = json {
         std::fs::write(path, serde_json::json!(outcome).to_string())?;
--- a/standins/src/load/faults.rs
+++ b/standins/src/load/faults.rs
@@ -4,10 +4,10 @@
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     plot::Series,
     row::Aim,
-    scene::{self, End, Flow, Judged, Pool, Sent}, //
+    service_load::{self, CallOutcome, CallRecord, Flow, Pool, RunAudit}, //
 };
 use crate::{
     fleet::{Backend, Fleet, Options},
@@ -22,12 +22,12 @@
 
 /// What one policy did in a case.
 struct Trial {
-    judged: Judged,
-    sent: Vec<Sent>,
+    audit: RunAudit,
+    sent: Vec<CallRecord>,
 }
 
 /// Nine servers, as Tahtiraita's ledger has.
-const NINE: Pool = Pool {
+const POOL: Pool = Pool {
     capacity: 8,
     queue: 256,
     servers: 9,
@@ -46,7 +46,7 @@
 }
 
 /// Runs `flows` while `script` makes things go wrong.
-async fn trial<F, Fut>(
+async fn run_trial<F, Fut>(
     pool: Pool,
     policy: Policy,
     options: Options,
@@ -57,17 +57,17 @@
     F: FnOnce(Fleet) -> Fut,
     Fut: Future<Output = Fleet>,
 {
-    let fleet = scene::open(pool, policy, options).await?;
+    let fleet = service_load::open(pool, policy, options).await?;
     let balancer = fleet.balancer.clone();
-    let sending = scene::send(&balancer, flows);
+    let sending = service_load::send(&balancer, flows);
     let (sent, fleet) = tokio::join!(sending, script(fleet));
-    let judged = scene::judge(&fleet, &sent);
-    Ok(Trial { judged, sent })
+    let audit = service_load::audit_runs(&fleet, &sent);
+    Ok(Trial { audit, sent })
 }
 
 /// Runs a case under the policies that are asked for.
-async fn both<F, Fut>(
-    run: Run,
+async fn run_policies<F, Fut>(
+    run: RunOptions,
     pool: Pool,
     options: Options,
     flows: &[Flow],
@@ -84,7 +84,7 @@
     ];
     for (at, (wanted, policy)) in wanted.into_iter().enumerate() {
         if wanted {
-            trials[at] = Some(trial(pool, policy, options, flows, &script).await?);
+            trials[at] = Some(run_trial(pool, policy, options, flows, &script).await?);
         }
     }
     Ok(trials)
@@ -105,37 +105,37 @@
 }
 
 /// The promises that every case holds to.
-fn promises(trials: &[Option<Trial>; 2]) -> [Row; 2] {
+fn guarantee_rows(trials: &[Option<Trial>; 2]) -> [Row; 2] {
     [
         row("double runs", "calls", trials, Aim::AtMost(0.0), |trial| {
-            Some(trial.judged.double_runs as f64)
+            Some(trial.audit.double_runs as f64)
         }),
         row(
             "false refusals",
             "calls",
             trials,
             Aim::AtMost(0.0),
-            |trial| Some(trial.judged.false_refusals as f64),
+            |trial| Some(trial.audit.false_refusals as f64),
         ),
     ]
 }
 
-fn count(trial: &Trial, end: End) -> f64 {
-    trial.sent.iter().filter(|one| one.end == end).count() as f64
+fn count(trial: &Trial, end: CallOutcome) -> f64 {
+    trial.sent.iter().filter(|one| one.outcome == end).count() as f64
 }
 
 fn series(trials: &[Option<Trial>; 2]) -> Vec<Series> {
     let named = ["baseline", "current"].into_iter().zip(trials);
     let drawn = named.filter_map(|(name, trial)| {
         let trial = trial.as_ref()?;
-        Some(scene::timeline(name, &trial.sent))
+        Some(service_load::timeline(name, &trial.sent))
     });
     drawn.collect()
 }
 
 fn outcome(trials: &[Option<Trial>; 2], rows: Vec<Row>) -> Outcome {
     let mut results = rows;
-    results.extend(promises(trials));
+    results.extend(guarantee_rows(trials));
     Outcome {
         results,
         series: series(trials),
@@ -155,10 +155,10 @@
 }
 
 /// `overload`: three times the capacity for a while, then 0.7 of it.
-pub async fn overload(run: Run) -> Result<Outcome, LoadError> {
-    let pool = Pool { servers: 4, ..NINE };
-    let most = run.seconds * 1_000;
-    let (begin, end) = (1_000, 1_000 + most);
+pub async fn overload(run: RunOptions) -> Result<Outcome, LoadError> {
+    let pool = Pool { servers: 4, ..POOL };
+    let overload_ms = run.seconds * 1_000;
+    let (begin, end) = (1_000, 1_000 + overload_ms);
     let after = end + 6_000;
     let capacity = pool.rate();
     let flows = [
@@ -170,14 +170,14 @@
         deadline: 400,
         ..flow
     });
-    let trials = both(run, pool, Options::default(), &flows, |fleet| async {
+    let trials = run_policies(run, pool, Options::default(), &flows, |fleet| async {
         fleet
     })
     .await?;
-    let goodput = |trial: &Trial| Some(scene::goodput(&trial.sent, begin, end) / capacity);
-    let late = |trial: &Trial| {
-        let due = trial.sent.iter().filter(|one| one.due >= end + 2_000);
-        scene::percentile(due, 0.99)
+    let goodput = |trial: &Trial| Some(service_load::goodput(&trial.sent, begin, end) / capacity);
+    let p99_after = |trial: &Trial| {
+        let due = trial.sent.iter().filter(|one| one.due_ms >= end + 2_000);
+        service_load::percentile(due, 0.99)
     };
     Ok(outcome(
         &trials,
@@ -194,24 +194,24 @@
                 "ms",
                 &trials,
                 Aim::AtMost(100.0),
-                late,
+                p99_after,
             ),
             row("refused as not run", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::NotRun))
+                Some(count(trial, CallOutcome::NotRun))
             }),
         ],
     ))
 }
 
 /// `slow-server`: one of nine is ten times slower.
-pub async fn slow_server(run: Run) -> Result<Outcome, LoadError> {
+pub async fn slow_server(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
-    let flows = [flow(NINE.rate() * 0.5, 0, end)];
-    let trials = both(run, NINE, Options::default(), &flows, |fleet| async {
+    let flows = [flow(POOL.rate() * 0.5, 0, end)];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(1_000).await;
         if let Some(service) = services(&fleet).next() {
             service.set_faults(service::Faults {
-                delay_ms: NINE.service_ms * 9,
+                delay_ms: POOL.service_ms * 9,
                 ..service::Faults::default()
             });
         }
@@ -220,8 +220,8 @@
     })
     .await?;
     let p99 = |trial: &Trial| {
-        let due = trial.sent.iter().filter(|one| one.due >= 2_000);
-        scene::percentile(due, 0.99)
+        let due = trial.sent.iter().filter(|one| one.due_ms >= 2_000);
+        service_load::percentile(due, 0.99)
     };
     Ok(outcome(
         &trials,
@@ -230,14 +230,14 @@
 }
 
 /// `crash`: two of nine crash and return, under calls of both kinds.
-pub async fn crash(run: Run) -> Result<Outcome, LoadError> {
+pub async fn crash(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = run.seconds * 1_000;
     let keyed = Flow {
         keyed: true,
-        ..flow(NINE.rate() * 0.02, 0, end)
+        ..flow(POOL.rate() * 0.02, 0, end)
     };
-    let flows = [flow(NINE.rate() * 0.5, 0, end), keyed];
-    let trials = both(run, NINE, Options::default(), &flows, |fleet| async {
+    let flows = [flow(POOL.rate() * 0.5, 0, end), keyed];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(end / 4).await;
         for service in services(&fleet).take(2) {
             service.switch().send_replace(false);
@@ -252,14 +252,14 @@
     .await?;
     let lost = |trial: &Trial| {
         let lost = trial.sent.iter();
-        let lost = lost.filter(|one| one.end != End::Answered && one.request.is_some());
+        let lost = lost.filter(|one| one.outcome != CallOutcome::Answered && one.request.is_some());
         Some(lost.count() as f64)
     };
     Ok(outcome(
         &trials,
         vec![
             row("p99", "ms", &trials, Aim::RatioAtMost(0.5), |trial| {
-                scene::percentile(trial.sent.iter(), 0.99)
+                service_load::percentile(trial.sent.iter(), 0.99)
             }),
             row("not answered", "calls", &trials, Aim::None, lost),
         ],
@@ -267,7 +267,7 @@
 }
 
 /// `silent`: half of the links go silent.
-pub async fn silent(run: Run) -> Result<Outcome, LoadError> {
+pub async fn silent(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
     let options = Options {
         relayed: true,
@@ -276,9 +276,9 @@
     // Time enough that the link's silence settles a call, not its deadline.
     let flows = [Flow {
         deadline: 8_000,
-        ..flow(NINE.rate() * 0.3, 0, end)
+        ..flow(POOL.rate() * 0.3, 0, end)
     }];
-    let trials = both(run, NINE, options, &flows, |fleet| async {
+    let trials = run_policies(run, POOL, options, &flows, |fleet| async {
         sleep(1_000).await;
         for member in fleet.members.iter().step_by(2) {
             if let Some(relay) = &member.relay {
@@ -293,7 +293,7 @@
     })
     .await?;
     let slowest = |trial: &Trial| {
-        let times = trial.sent.iter().map(|one| one.taken);
+        let times = trial.sent.iter().map(|one| one.latency_ms);
         Some(times.fold(0.0, f64::max))
     };
     Ok(outcome(
@@ -308,18 +308,18 @@
                 slowest,
             ),
             row("not answered", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::InDoubt) + count(trial, End::NotRun))
+                Some(count(trial, CallOutcome::InDoubt) + count(trial, CallOutcome::NotRun))
             }),
         ],
     ))
 }
 
 /// `retry-storm`: the pool is out for a while at 0.8 of its load.
-pub async fn retry_storm(run: Run) -> Result<Outcome, LoadError> {
+pub async fn retry_storm(run: RunOptions) -> Result<Outcome, LoadError> {
     let out = run.seconds * 1_000;
     let end = 2_000 + out + 5_000;
-    let flows = [flow(NINE.rate() * 0.8, 0, end)];
-    let trials = both(run, NINE, Options::default(), &flows, |fleet| async {
+    let flows = [flow(POOL.rate() * 0.8, 0, end)];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(2_000).await;
         for service in services(&fleet) {
             service.set_faults(service::Faults {
@@ -336,10 +336,10 @@
     })
     .await?;
     let attempts =
-        |trial: &Trial| Some(trial.judged.attempts as f64 / trial.sent.len().max(1) as f64);
+        |trial: &Trial| Some(trial.audit.attempts as f64 / trial.sent.len().max(1) as f64);
     let recovered = |trial: &Trial| {
-        let rate = scene::goodput(&trial.sent, 2_000 + out + 3_000, end);
-        Some(rate / (NINE.rate() * 0.8))
+        let rate = service_load::goodput(&trial.sent, 2_000 + out + 3_000, end);
+        Some(rate / (POOL.rate() * 0.8))
     };
     Ok(outcome(
         &trials,
@@ -357,8 +357,8 @@
 }
 
 /// `noisy-team`: one team offers ten times its share.
-pub async fn noisy_team(run: Run) -> Result<Outcome, LoadError> {
-    let pool = Pool { servers: 4, ..NINE };
+pub async fn noisy_team(run: RunOptions) -> Result<Outcome, LoadError> {
+    let pool = Pool { servers: 4, ..POOL };
     let share = pool.rate() / 3.0;
     let (begin, end) = (3_000, 3_000 + run.seconds * 1_000);
     let quiet = |team| Flow {
@@ -367,14 +367,14 @@
     };
     let noisy = flow(share * 10.0, begin, end);
     let flows = [flow(share * 0.6, 0, begin), noisy, quiet("b"), quiet("c")];
-    let trials = both(run, pool, Options::default(), &flows, |fleet| async {
+    let trials = run_policies(run, pool, Options::default(), &flows, |fleet| async {
         fleet
     })
     .await?;
     let others = |trial: &Trial, begin: u64, end: u64| {
         let others = trial.sent.iter().filter(|one| one.team != "a");
-        let due = others.filter(|one| (begin..end).contains(&one.due));
-        scene::percentile(due, 0.99)
+        let due = others.filter(|one| (begin..end).contains(&one.due_ms));
+        service_load::percentile(due, 0.99)
     };
     let worse = |trial: &Trial| {
         let quiet = others(trial, 1_000, begin)?;
@@ -383,9 +383,11 @@
     let answered = |trial: &Trial| {
         let due = || {
             let others = trial.sent.iter().filter(|one| one.team != "a");
-            others.filter(|one| one.due >= begin)
+            others.filter(|one| one.due_ms >= begin)
         };
-        let answered = due().filter(|one| one.end == End::Answered).count();
+        let answered = due()
+            .filter(|one| one.outcome == CallOutcome::Answered)
+            .count();
         Some(answered as f64 / due().count().max(1) as f64)
     };
     Ok(outcome(
@@ -394,14 +396,17 @@
             row("others' p99 / quiet", "", &trials, Aim::AtMost(1.3), worse),
             row("others' p50", "ms", &trials, Aim::None, |trial| {
                 let others = trial.sent.iter().filter(|one| one.team != "a");
-                scene::percentile(others.filter(|one| one.due > begin + 500), 0.5)
+                service_load::percentile(others.filter(|one| one.due_ms > begin + 500), 0.5)
             }),
             row("others' quiet p99", "ms", &trials, Aim::None, |trial| {
                 others(trial, 1_000, begin)
             }),
             row("others' quiet p50", "ms", &trials, Aim::None, |trial| {
                 let others = trial.sent.iter().filter(|one| one.team != "a");
-                scene::percentile(others.filter(|one| (1_000..begin).contains(&one.due)), 0.5)
+                service_load::percentile(
+                    others.filter(|one| (1_000..begin).contains(&one.due_ms)),
+                    0.5,
+                )
             }),
             row("others answered", "", &trials, Aim::AtLeast(0.99), answered),
         ],
@@ -409,14 +414,14 @@
 }
 
 /// `drain`: every agent and every entry is replaced, one after another.
-pub async fn drain(run: Run) -> Result<Outcome, LoadError> {
+pub async fn drain(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = run.seconds * 1_000 + 6_000;
     let keyed = Flow {
         keyed: true,
         ..flow(40.0, 0, end)
     };
-    let flows = [flow(NINE.rate() * 0.3, 0, end), keyed];
-    let trials = both(run, NINE, Options::default(), &flows, |mut fleet| async {
+    let flows = [flow(POOL.rate() * 0.3, 0, end), keyed];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |mut fleet| async {
         sleep(500).await;
         for at in 0..fleet.members.len() {
             let (platform, options) = (&fleet.platform, fleet.options);
@@ -440,13 +445,13 @@
                 "calls",
                 &trials,
                 Aim::AtMost(0.0),
-                |trial| Some(count(trial, End::InDoubt)),
+                |trial| Some(count(trial, CallOutcome::InDoubt)),
             ),
             row("refused as not run", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::NotRun))
+                Some(count(trial, CallOutcome::NotRun))
             }),
             row("answered", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::Answered))
+                Some(count(trial, CallOutcome::Answered))
             }),
         ],
     ))
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -4,7 +4,7 @@
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     plot::Series,
     row::Aim,
     usage, //
@@ -41,30 +41,30 @@
 };
 
 /// The numbers of agents.
-const SIZES: [usize; 4] = [32, 100, 200, 400];
+const AGENT_COUNTS: [usize; 4] = [32, 100, 200, 400];
 
 /// How often each agent reports; real ones do so at most this often.
-const REPORT: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-const KEY: &str = "fleet";
+const LINK_KEY: &str = "fleet";
 
 /// What an entry used at one size.
-struct Used {
+struct EntryUsage {
     agents: f64,
     /// Bytes a second received and sent over all links.
     bytes: f64,
     /// Milliseconds of processor time a second.
-    cpu: f64,
+    cpu_ms: f64,
     memory: f64,
 }
 
 /// Runs the case.
-pub async fn measure(run: Run) -> Result<Outcome, LoadError> {
+pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
     let mut used = Vec::new();
-    for agents in SIZES {
-        used.push(at(agents, Duration::from_secs(run.seconds)).await?);
+    for agents in AGENT_COUNTS {
+        used.push(measure_entry(agents, Duration::from_secs(run.seconds)).await?);
     }
-    let slope = |figure: fn(&Used) -> f64| {
+    let slope = |figure: fn(&EntryUsage) -> f64| {
         let (first, last) = (used.first()?, used.last()?);
         Some((figure(last) - figure(first)) / (last.agents - first.agents))
     };
@@ -76,7 +76,7 @@
                 "CPU for each agent",
                 "us/s",
                 None,
-                slope(|u| u.cpu * 1e3),
+                slope(|u| u.cpu_ms * 1e3),
                 Aim::None,
             ),
             Row::new(
@@ -97,14 +97,14 @@
                 "CPU of a core at 32",
                 "%",
                 None,
-                first.map(|u| u.cpu / 10.0),
+                first.map(|u| u.cpu_ms / 10.0),
                 Aim::AtMost(2.8),
             ),
             Row::new(
                 "CPU of a core at 400",
                 "%",
                 None,
-                last.map(|u| u.cpu / 10.0),
+                last.map(|u| u.cpu_ms / 10.0),
                 Aim::None,
             ),
             Row::new(
@@ -124,13 +124,13 @@
         ],
         series: vec![Series {
             name: "ms of CPU a second over linked agents".to_owned(),
-            points: used.iter().map(|u| (u.agents, u.cpu)).collect(),
+            points: used.iter().map(|u| (u.agents, u.cpu_ms)).collect(),
         }],
         ..Outcome::default()
     })
 }
 
-async fn at(agents: usize, time: Duration) -> Result<Used, LoadError> {
+async fn measure_entry(agents: usize, time: Duration) -> Result<EntryUsage, LoadError> {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = Platform::open(loopback, 1, Duration::ZERO).await?;
     platform.apply("pools/any", "kind: service\n");
@@ -147,8 +147,8 @@
         });
         tasks.spawn(agent(listener, number));
     }
-    let before = usage::resident();
-    let common = common(platform.address);
+    let before = usage::own_memory();
+    let common = common_settings(platform.address);
     let entry = Entry::open(EntrySettings {
         callers: loopback,
         common,
@@ -161,15 +161,15 @@
     })?;
     tokio::time::sleep(Duration::from_secs(3)).await;
 
-    let cpu = usage::now();
-    let bytes = traffic();
+    let cpu = usage::cpu_times();
+    let bytes = loopback_bytes();
     tokio::time::sleep(time).await;
     let seconds = time.as_secs_f64();
-    let used = Used {
+    let used = EntryUsage {
         agents: agents as f64,
-        bytes: (traffic() - bytes) as f64 / seconds,
-        cpu: usage::since(&cpu, &usage::PRODUCT) as f64 / 1e6 / seconds,
-        memory: usage::resident().saturating_sub(before) as f64,
+        bytes: (loopback_bytes() - bytes) as f64 / seconds,
+        cpu_ms: usage::cpu_since(&cpu, &usage::REDWING_THREADS) as f64 / 1e6 / seconds,
+        memory: usage::own_memory().saturating_sub(before) as f64,
     };
     drop(entry);
     Ok(used)
@@ -177,14 +177,14 @@
 
 /// The bytes received over the loopback interface: every byte of the links
 /// and of the platform's answers, with their TCP and IP headers, once.
-fn traffic() -> u64 {
+fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|l| l.trim().strip_prefix("lo:"));
     let first = line.and_then(|line| line.split_whitespace().next());
     first.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn common(platform: SocketAddr) -> Common {
+fn common_settings(platform: SocketAddr) -> Common {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     Common {
         admin: loopback,
@@ -194,7 +194,7 @@
             leave: Millis(0),
         },
         instance: "entry".to_owned(),
-        key: KEY.to_owned(),
+        key: LINK_KEY.to_owned(),
         links: loopback,
         log: LogFormat::Text,
         log_level: "off".to_owned(),
@@ -208,7 +208,7 @@
     let hello = Hello {
         incarnation: Incarnation(1),
         instance: format!("agent-{number}"),
-        key: common(loopback).link_key(),
+        key: common_settings(loopback).link_key(),
         role: Role::Agent,
     };
     while let Ok((stream, _)) = listener.accept().await {
@@ -230,7 +230,7 @@
                 if !sender.send(FromAgent::Report(report.clone())).await {
                     return;
                 }
-                tokio::time::sleep(REPORT).await;
+                tokio::time::sleep(REPORT_INTERVAL).await;
             }
         };
         tokio::select! {
--- a/standins/src/load/hops.rs
+++ b/standins/src/load/hops.rs
@@ -32,7 +32,7 @@
 }
 
 /// The names of the hops' threads begin so.
-pub const THREADS: &str = "hop-";
+pub const THREAD_PREFIX: &str = "hop-";
 
 type Pool = Client<HttpConnector, Incoming>;
 
@@ -42,7 +42,7 @@
         let (sender, receiver) = mpsc::sync_channel(1);
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::Builder::new()
-            .name(format!("{THREADS}{number}"))
+            .name(format!("{THREAD_PREFIX}{number}"))
             .spawn(move || {
                 let runtime = tokio::runtime::Builder::new_current_thread()
                     .enable_all()
@@ -74,9 +74,12 @@
     }
 }
 
-async fn serve(target: SocketAddr, told: &mpsc::SyncSender<SocketAddr>) -> io::Result<()> {
+async fn serve(
+    target: SocketAddr,
+    address_sender: &mpsc::SyncSender<SocketAddr>,
+) -> io::Result<()> {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
-    let _ = told.send(listener.local_addr()?);
+    let _ = address_sender.send(listener.local_addr()?);
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let pool: Pool = Client::builder(TokioExecutor::new())
@@ -87,7 +90,7 @@
         let _ = stream.set_nodelay(true);
         let pool = pool.clone();
         tokio::spawn(async move {
-            let service = service_fn(move |request| pass(pool.clone(), target, request));
+            let service = service_fn(move |request| forward(pool.clone(), target, request));
             let builder = Builder::new(TokioExecutor::new());
             let _ = builder
                 .serve_connection(TokioIo::new(stream), service)
@@ -96,7 +99,7 @@
     }
 }
 
-async fn pass(
+async fn forward(
     pool: Pool,
     target: SocketAddr,
     mut request: Request<Incoming>,
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -12,13 +12,13 @@
 mod plot;
 mod rollout;
 mod row;
-mod scene;
+mod service_load;
 mod steady;
 mod streams;
 mod usage;
 
 pub use self::{
-    case::{Case, Run},
+    case::{Case, RunOptions},
     command::load_main,
     load_error::LoadError,
     outcome::Outcome,
--- a/standins/src/load/open_loop.rs
+++ b/standins/src/load/open_loop.rs
@@ -29,7 +29,7 @@
 
 /// What came back.
 #[derive(Debug)]
-pub struct Measured {
+pub struct LoadResult {
     pub answered: u64,
     /// Microseconds from the time a request was due to its whole answer.
     pub latency: Histogram<u64>,
@@ -37,11 +37,11 @@
 }
 
 /// How long one request may take.
-const WAIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-impl Measured {
+impl LoadResult {
     /// A percentile of the latency in milliseconds.
-    pub fn at(&self, percentile: f64) -> f64 {
+    pub fn percentile_ms(&self, percentile: f64) -> f64 {
         self.latency.value_at_percentile(percentile) as f64 / 1_000.0
     }
 }
@@ -51,65 +51,65 @@
 
 /// The requests under way at once. Latency counts from when a request was
 /// due, so those that wait for their turn are not hidden.
-const CONNECTIONS: usize = 256;
+const MAX_IN_FLIGHT: usize = 256;
 
 /// Sends `rate` requests a second for `time`.
-pub async fn run(client: &Client, target: &Target, rate: u64, time: Duration) -> Measured {
+pub async fn run(client: &Client, target: &Target, rate: u64, time: Duration) -> LoadResult {
     let clock = Clock::open();
     let total = rate * time.as_millis() as u64 / 1_000;
     // With a connection for each request that waits, one stall becomes a storm
     // of new connections that keeps itself going, on any path measured.
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
-    let sums = Arc::new(Sums {
+    let permits = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
+    let totals = Arc::new(Totals {
         answered: AtomicU64::new(0),
         latency: Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).ok()),
     });
     let mut senders = JoinSet::new();
     for first in 0..SENDERS {
-        let (client, target, sums) = (client.clone(), target.clone(), sums.clone());
-        let room = room.clone();
+        let (client, target, totals) = (client.clone(), target.clone(), totals.clone());
+        let permits = permits.clone();
         senders.spawn(async move {
-            let mut under_way = JoinSet::new();
+            let mut in_flight = JoinSet::new();
             for number in (first..total).step_by(SENDERS as usize) {
                 let due = number * 1_000_000 / rate;
                 let wait = due.saturating_sub(clock.micros());
                 if wait > 0 {
                     tokio::time::sleep(Duration::from_micros(wait)).await;
                 }
-                let (client, target, sums) = (client.clone(), target.clone(), sums.clone());
-                let room = room.clone();
-                under_way.spawn(async move {
-                    let _permit = room.acquire().await;
-                    if once(&client, &target).await {
-                        sums.note(clock.micros().saturating_sub(due));
+                let (client, target, totals) = (client.clone(), target.clone(), totals.clone());
+                let permits = permits.clone();
+                in_flight.spawn(async move {
+                    let _permit = permits.acquire().await;
+                    if send_one(&client, &target).await {
+                        totals.record(clock.micros().saturating_sub(due));
                     }
                 });
-                while under_way.try_join_next().is_some() {}
+                while in_flight.try_join_next().is_some() {}
             }
-            while under_way.join_next().await.is_some() {}
+            while in_flight.join_next().await.is_some() {}
         });
     }
     while senders.join_next().await.is_some() {}
-    let latency = sums
+    let latency = totals
         .latency
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .take();
-    Measured {
-        answered: sums.answered.load(Ordering::Relaxed),
-        latency: latency.unwrap_or_else(empty),
+    LoadResult {
+        answered: totals.answered.load(Ordering::Relaxed),
+        latency: latency.unwrap_or_else(empty_histogram),
         sent: total,
     }
 }
 
 /// What the senders' requests add up to.
-struct Sums {
+struct Totals {
     answered: AtomicU64,
     latency: Mutex<Option<Histogram<u64>>>,
 }
 
-impl Sums {
-    fn note(&self, micros: u64) {
+impl Totals {
+    fn record(&self, micros: u64) {
         self.answered.fetch_add(1, Ordering::Relaxed);
         let mut latency = self.latency.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(latency) = latency.as_mut() {
@@ -127,7 +127,7 @@
         callers.spawn(async move {
             let mut answered = 0_u64;
             while clock.micros() < time.as_micros() as u64 {
-                answered += u64::from(once(&client, &target).await);
+                answered += u64::from(send_one(&client, &target).await);
             }
             answered
         });
@@ -136,7 +136,7 @@
     answered as f64 / (clock.micros() as f64 / 1e6)
 }
 
-async fn once(client: &Client, target: &Target) -> bool {
+async fn send_one(client: &Client, target: &Target) -> bool {
     let body = target.body.clone();
     let headers = [("content-type", "text/plain")];
     let call = client.call(
@@ -145,12 +145,12 @@
         &target.path,
         &headers,
         body,
-        WAIT,
+        REQUEST_TIMEOUT,
     );
     call.await.is_ok_and(|answer| answer.status.is_success())
 }
 
-fn empty() -> Histogram<u64> {
+fn empty_histogram() -> Histogram<u64> {
     // INVARIANT: 1 to 2 with 3 digits is within the histogram's own limits.
     Histogram::new_with_bounds(1, 2, 3).unwrap_or_else(|_| std::process::abort())
 }
--- a/standins/src/load/rollout.rs
+++ b/standins/src/load/rollout.rs
@@ -4,7 +4,7 @@
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     row::Aim,
     usage, //
 };
@@ -42,7 +42,7 @@
 const SAMPLES: u32 = 8;
 
 /// Runs the case.
-pub async fn measure(run: Run) -> Result<Outcome, LoadError> {
+pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
     let plan = read("rollout", PLAN, Plan::read)?;
     let options = Options {
         entries: 1,
@@ -59,25 +59,25 @@
         prompts: vec!["Judge this foam core.".to_owned()],
         samples: SAMPLES,
         seed: run.seed,
-        staleness: 1,
+        max_staleness: 1,
         steps: 3,
         team: "bench".to_owned(),
-        train: Duration::from_millis(10),
+        train_time: Duration::from_millis(10),
     };
-    let before = usage::now();
+    let before = usage::cpu_times();
     let report = trainer::run(&config, &AtomicU64::new(0)).await;
-    let cpu = usage::since(&before, &usage::PRODUCT) as f64 / 1e3;
+    let cpu = usage::cpu_since(&before, &usage::REDWING_THREADS) as f64 / 1e3;
     let entry = ["front", "traffic", "rollout"];
-    let entry_cpu = usage::since(&before, &entry) as f64 / 1e3;
+    let entry_cpu = usage::cpu_since(&before, &entry) as f64 / 1e3;
     let tokens: u64 = fleet
         .members
         .iter()
         .map(|member| match &member.backend {
-            Backend::Engine(engine) => engine.produced(),
+            Backend::Engine(engine) => engine.tokens_produced(),
             Backend::Scorer(_) | Backend::Service(_) => 0,
         })
         .sum();
-    if !report.holds() || tokens == 0 || report.delivered == 0 {
+    if !report.passed() || tokens == 0 || report.delivered == 0 {
         let what = "a step whose promises did not hold".to_owned();
         return Err(LoadError::NotMeasured { what });
     }
--- a/standins/src/load/scene.rs
+++ b/standins/src/load/service_load.rs
@@ -53,7 +53,7 @@
 
 /// How one call ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum CallOutcome {
     Answered,
     /// It may have run, or there was no answer.
     InDoubt,
@@ -62,15 +62,15 @@
 
 /// One call of a scene.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct CallRecord {
     pub deadline: u64,
     /// When it was due, in ms from the scene's start.
-    pub due: u64,
-    pub end: End,
+    pub due_ms: u64,
+    pub outcome: CallOutcome,
     /// The id of the request, where an answer told it.
     pub request: Option<String>,
     /// From when it was due to its answer, in ms.
-    pub taken: f64,
+    pub latency_ms: f64,
     pub team: &'static str,
 }
 
@@ -78,7 +78,7 @@
 const TEAMS: [&str; 3] = ["a", "b", "c"];
 
 /// How long past its deadline a caller waits for the answer.
-const PATIENCE: Duration = Duration::from_secs(4);
+const ANSWER_GRACE: Duration = Duration::from_secs(4);
 
 /// Opens a fleet with one pool of services and three teams.
 pub async fn open(pool: Pool, policy: Policy, options: Options) -> Result<Fleet, LoadError> {
@@ -104,16 +104,16 @@
 }
 
 /// Sends all flows; returns every call once the last has ended.
-pub async fn send(balancer: &Arc<Balancer>, flows: &[Flow]) -> Vec<Sent> {
+pub async fn send(balancer: &Arc<Balancer>, flows: &[Flow]) -> Vec<CallRecord> {
     let calls = Arc::new(Mutex::new(Vec::new()));
     let clock = Clock::open();
     let client = Client::default();
-    let mut flows_under_way = JoinSet::new();
+    let mut flow_tasks = JoinSet::new();
     for (number, flow) in flows.iter().copied().enumerate() {
         let (calls, client) = (calls.clone(), client.clone());
         let balancer = balancer.clone();
-        flows_under_way.spawn(async move {
-            let mut under_way = JoinSet::new();
+        flow_tasks.spawn(async move {
+            let mut in_flight = JoinSet::new();
             let total = flow.rate * (flow.end - flow.begin) / 1_000;
             for call in 0..total {
                 let due = flow.begin * 1_000 + call * 1_000_000 / flow.rate;
@@ -126,14 +126,14 @@
                 };
                 let (calls, client) = (calls.clone(), client.clone());
                 let key = format!("{number}-{call}");
-                under_way.spawn(async move {
-                    let (end, request) = once(&client, entry, flow, &key).await;
-                    let sent = Sent {
+                in_flight.spawn(async move {
+                    let (outcome, request) = send_call(&client, entry, flow, &key).await;
+                    let sent = CallRecord {
                         deadline: flow.deadline,
-                        due: due / 1_000,
-                        end,
+                        due_ms: due / 1_000,
+                        outcome,
                         request,
-                        taken: clock.micros().saturating_sub(due) as f64 / 1e3,
+                        latency_ms: clock.micros().saturating_sub(due) as f64 / 1e3,
                         team: flow.team,
                     };
                     calls
@@ -141,16 +141,21 @@
                         .unwrap_or_else(PoisonError::into_inner)
                         .push(sent);
                 });
-                while under_way.try_join_next().is_some() {}
+                while in_flight.try_join_next().is_some() {}
             }
-            while under_way.join_next().await.is_some() {}
+            while in_flight.join_next().await.is_some() {}
         });
     }
-    while flows_under_way.join_next().await.is_some() {}
+    while flow_tasks.join_next().await.is_some() {}
     std::mem::take(&mut *calls.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-async fn once(client: &Client, entry: SocketAddr, flow: Flow, key: &str) -> (End, Option<String>) {
+async fn send_call(
+    client: &Client,
+    entry: SocketAddr,
+    flow: Flow,
+    key: &str,
+) -> (CallOutcome, Option<String>) {
     let path = format!("/v1/app/{}/plain/work", flow.team);
     let deadline = flow.deadline.to_string();
     let mut headers = vec![("redwing-deadline-ms", deadline.as_str())];
@@ -160,25 +165,25 @@
     } else {
         headers.push(("redwing-idempotent", "true"));
     }
-    let wait = Duration::from_millis(flow.deadline) + PATIENCE;
+    let wait = Duration::from_millis(flow.deadline) + ANSWER_GRACE;
     let post = Method::POST;
     let answer = client.call(post, entry, &path, &headers, key.to_owned(), wait);
     let Ok(answer) = answer.await else {
-        return (End::InDoubt, None);
+        return (CallOutcome::InDoubt, None);
     };
     let request = answer.header("redwing-request-id").map(str::to_owned);
     if answer.status == StatusCode::OK {
-        return (End::Answered, request);
+        return (CallOutcome::Answered, request);
     }
     match answer.json()["may_have_run"].as_bool() {
-        Some(false) => (End::NotRun, request),
-        Some(true) | None => (End::InDoubt, request),
+        Some(false) => (CallOutcome::NotRun, request),
+        Some(true) | None => (CallOutcome::InDoubt, request),
     }
 }
 
 /// What the services ran, beside what the callers were told.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Judged {
+pub struct RunAudit {
     /// Runs in all.
     pub attempts: u64,
     /// Keys that ran twice.
@@ -188,32 +193,33 @@
 }
 
 /// Holds what callers were told against what the services ran.
-pub fn judge(fleet: &Fleet, sent: &[Sent]) -> Judged {
-    let mut judged = Judged::default();
+pub fn audit_runs(fleet: &Fleet, sent: &[CallRecord]) -> RunAudit {
+    let mut audit = RunAudit::default();
     let mut ran = std::collections::HashSet::new();
     for member in &fleet.members {
         let Backend::Service(service) = &member.backend else {
             continue;
         };
         let runs = service.runs();
-        judged.attempts += runs.requests.values().map(|n| u64::from(*n)).sum::<u64>();
-        judged.double_runs += runs.keys.values().filter(|n| **n > 1).count() as u64;
+        audit.attempts += runs.requests.values().map(|n| u64::from(*n)).sum::<u64>();
+        audit.double_runs += runs.keys.values().filter(|n| **n > 1).count() as u64;
         ran.extend(runs.requests.into_keys());
     }
-    let refused = sent.iter().filter(|one| one.end == End::NotRun);
-    let lies = refused.filter(|one| one.request.as_ref().is_some_and(|id| ran.contains(id)));
-    judged.false_refusals = lies.count() as u64;
-    judged
+    let refused = sent.iter().filter(|one| one.outcome == CallOutcome::NotRun);
+    let false_refusals =
+        refused.filter(|one| one.request.as_ref().is_some_and(|id| ran.contains(id)));
+    audit.false_refusals = false_refusals.count() as u64;
+    audit
 }
 
 /// A percentile of the times of calls, in ms; `None` without any. A call that
 /// was not answered counts with its deadline, or with its time if that was
 /// longer: else a policy that fails its slow calls would look fast.
-pub fn percentile<'a>(sent: impl Iterator<Item = &'a Sent>, share: f64) -> Option<f64> {
+pub fn percentile<'a>(sent: impl Iterator<Item = &'a CallRecord>, share: f64) -> Option<f64> {
     let mut times: Vec<f64> = sent
-        .map(|one| match one.end {
-            End::Answered => one.taken,
-            End::InDoubt | End::NotRun => one.taken.max(one.deadline as f64),
+        .map(|one| match one.outcome {
+            CallOutcome::Answered => one.latency_ms,
+            CallOutcome::InDoubt | CallOutcome::NotRun => one.latency_ms.max(one.deadline as f64),
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -223,18 +229,18 @@
 
 /// The calls answered within their deadline, a second, among those due
 /// between `begin` and `end`.
-pub fn goodput(sent: &[Sent], begin: u64, end: u64) -> f64 {
+pub fn goodput(sent: &[CallRecord], begin: u64, end: u64) -> f64 {
     let good = sent.iter().filter(|one| {
-        (begin..end).contains(&one.due)
-            && one.end == End::Answered
-            && one.taken <= one.deadline as f64
+        (begin..end).contains(&one.due_ms)
+            && one.outcome == CallOutcome::Answered
+            && one.latency_ms <= one.deadline as f64
     });
     good.count() as f64 * 1_000.0 / (end - begin).max(1) as f64
 }
 
 /// Calls a second answered in time, by second, for a plot.
-pub fn timeline(name: &str, sent: &[Sent]) -> super::plot::Series {
-    let last = sent.iter().map(|one| one.due).max().unwrap_or(0);
+pub fn timeline(name: &str, sent: &[CallRecord]) -> super::plot::Series {
+    let last = sent.iter().map(|one| one.due_ms).max().unwrap_or(0);
     let points = (0..=last / 250).map(|quarter| {
         let begin = quarter * 250;
         (begin as f64 / 1e3, goodput(sent, begin, begin + 250))
--- a/standins/src/load/steady.rs
+++ b/standins/src/load/steady.rs
@@ -4,9 +4,9 @@
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     hops::{self, Hop},
-    open_loop::{self, Measured, Target},
+    open_loop::{self, LoadResult, Target},
     plot::Series,
     row::Aim,
     usage, //
@@ -36,13 +36,13 @@
 ";
 
 /// Callers that saturate a path.
-const PARALLEL: u32 = 64;
+const CALLERS: u32 = 64;
 
 /// The body of every request.
 const BODY_BYTES: usize = 256;
 
 /// Runs the case.
-pub async fn measure(run: Run) -> Result<Outcome, LoadError> {
+pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
     let plan = read("steady", PLAN, Plan::read)?;
     let options = Options {
         entries: 1,
@@ -67,28 +67,30 @@
     };
     let direct = target(service, "/work");
     let hops = target(first.address, "/work");
-    let product = target(entry, "/v1/app/bench/plain/work");
+    let redwing = target(entry, "/v1/app/bench/plain/work");
     let client = Client::default();
 
     let probe = Duration::from_secs(2);
-    let most_hops = open_loop::saturate(&client, &hops, PARALLEL, probe).await;
-    let most_product = open_loop::saturate(&client, &product, PARALLEL, probe).await;
-    let rate = (most_product.min(most_hops) / 2.0) as u64;
+    let max_hops_rate = open_loop::saturate(&client, &hops, CALLERS, probe).await;
+    let max_redwing_rate = open_loop::saturate(&client, &redwing, CALLERS, probe).await;
+    let rate = (max_redwing_rate.min(max_hops_rate) / 2.0) as u64;
     let time = Duration::from_millis(run.seconds * 1_000 / u64::from(ROUNDS));
-    let mut straight = Path::default();
-    let mut passed = Path::default();
-    let mut through = Path::default();
+    let mut direct_rounds = PathRounds::default();
+    let mut hops_rounds = PathRounds::default();
+    let mut redwing_rounds = PathRounds::default();
     for _ in 0..ROUNDS {
-        straight.add(&client, &direct, rate, time, &[]).await?;
-        passed
-            .add(&client, &hops, rate, time, &[hops::THREADS])
+        direct_rounds
+            .run_round(&client, &direct, rate, time, &[])
             .await?;
-        through
-            .add(&client, &product, rate, time, &usage::PRODUCT)
+        hops_rounds
+            .run_round(&client, &hops, rate, time, &[hops::THREAD_PREFIX])
+            .await?;
+        redwing_rounds
+            .run_round(&client, &redwing, rate, time, &usage::REDWING_THREADS)
             .await?;
     }
 
-    let added = |path: &Path, at: f64| Some(path.median(at) - straight.median(at));
+    let added = |path: &PathRounds, at: f64| Some(path.median(at) - direct_rounds.median(at));
     Ok(Outcome {
         results: vec![
             Row::new(
@@ -101,36 +103,36 @@
             Row::new(
                 "saturation",
                 "req/s",
-                Some(most_hops),
-                Some(most_product),
+                Some(max_hops_rate),
+                Some(max_redwing_rate),
                 Aim::None,
             ),
             Row::new(
                 "CPU per request",
                 "us",
-                Some(passed.cpu_each()),
-                Some(through.cpu_each()),
+                Some(hops_rounds.cpu_per_request()),
+                Some(redwing_rounds.cpu_per_request()),
                 Aim::RatioAtMost(2.5),
             ),
             Row::new(
                 "added p50",
                 "ms",
-                added(&passed, 50.0),
-                added(&through, 50.0),
+                added(&hops_rounds, 50.0),
+                added(&redwing_rounds, 50.0),
                 Aim::None,
             ),
             Row::new(
                 "added p99",
                 "ms",
-                added(&passed, 99.0),
-                added(&through, 99.0),
+                added(&hops_rounds, 99.0),
+                added(&redwing_rounds, 99.0),
                 Aim::AtMost(3.0),
             ),
         ],
         series: vec![
-            straight.curve("direct"),
-            passed.curve("two hops"),
-            through.curve("redwingpond"),
+            direct_rounds.curve("direct"),
+            hops_rounds.curve("two hops"),
+            redwing_rounds.curve("redwingpond"),
         ],
         ..Outcome::default()
     })
@@ -142,13 +144,13 @@
 
 /// The rounds of one path.
 #[derive(Default)]
-struct Path {
+struct PathRounds {
     cpu: u64,
-    rounds: Vec<Measured>,
+    rounds: Vec<LoadResult>,
 }
 
-impl Path {
-    async fn add(
+impl PathRounds {
+    async fn run_round(
         &mut self,
         client: &Client,
         target: &Target,
@@ -156,9 +158,9 @@
         time: Duration,
         threads: &[&str],
     ) -> Result<(), LoadError> {
-        let before = usage::now();
+        let before = usage::cpu_times();
         let measured = open_loop::run(client, target, rate, time).await;
-        self.cpu += usage::since(&before, threads);
+        self.cpu += usage::cpu_since(&before, threads);
         if measured.answered < measured.sent {
             let lost = measured.sent - measured.answered;
             let what = format!(
@@ -171,7 +173,7 @@
         Ok(())
     }
 
-    fn cpu_each(&self) -> f64 {
+    fn cpu_per_request(&self) -> f64 {
         let answered: u64 = self.rounds.iter().map(|one| one.answered).sum();
         self.cpu as f64 / 1e3 / answered.max(1) as f64
     }
@@ -187,7 +189,11 @@
 
     /// The median over the rounds of a percentile, in milliseconds.
     fn median(&self, percentile: f64) -> f64 {
-        let mut figures: Vec<f64> = self.rounds.iter().map(|one| one.at(percentile)).collect();
+        let mut figures: Vec<f64> = self
+            .rounds
+            .iter()
+            .map(|one| one.percentile_ms(percentile))
+            .collect();
         figures.sort_by(f64::total_cmp);
         figures.get(figures.len() / 2).copied().unwrap_or_default()
     }
--- a/standins/src/load/streams.rs
+++ b/standins/src/load/streams.rs
@@ -4,7 +4,7 @@
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     row::Aim,
     usage, //
 };
@@ -21,23 +21,23 @@
 const STREAMS: usize = 1_000;
 
 /// A call whose body has begun and does not end; `/echo` answers as it goes.
-const BEGIN: &str = "POST /v1/app/tema/weighbridge/echo HTTP/1.1\r\nhost: entry\r\n\
+const STREAM_REQUEST: &str = "POST /v1/app/tema/weighbridge/echo HTTP/1.1\r\nhost: entry\r\n\
     redwing-deadline-ms: 60000\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
 
 /// Runs the case against the entry that `--entry` and `--pid` name.
-pub async fn measure(run: Run) -> Result<Outcome, LoadError> {
+pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
     let Some((entry, pid)) = run.process else {
         let what = "an entry's memory without `--entry` and `--pid`".to_owned();
         return Err(LoadError::NotMeasured { what });
     };
     let pid = pid.to_string();
-    let idle = usage::resident_of(&pid);
+    let idle = usage::process_memory(&pid);
     let mut streams = Vec::with_capacity(STREAMS);
     for _ in 0..STREAMS {
-        streams.push(open(entry).await?);
+        streams.push(open_stream(entry).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let full = usage::resident_of(&pid);
+    let full = usage::process_memory(&pid);
     if idle == 0 || full == 0 {
         let what = format!("the memory of process {pid}");
         return Err(LoadError::NotMeasured { what });
@@ -62,9 +62,9 @@
 }
 
 /// Opens a stream, and sees that its answer has begun.
-async fn open(entry: SocketAddr) -> Result<TcpStream, LoadError> {
+async fn open_stream(entry: SocketAddr) -> Result<TcpStream, LoadError> {
     let mut stream = TcpStream::connect(entry).await?;
-    stream.write_all(BEGIN.as_bytes()).await?;
+    stream.write_all(STREAM_REQUEST.as_bytes()).await?;
     let mut first = [0; 1_024];
     let mut answer = String::new();
     while !answer.contains("hello") {
--- a/standins/src/load/usage.rs
+++ b/standins/src/load/usage.rs
@@ -6,10 +6,10 @@
 };
 
 /// Processor time by thread name, in nanoseconds.
-pub type Usage = BTreeMap<String, u64>;
+pub type CpuTimes = BTreeMap<String, u64>;
 
 /// The threads of entries and agents.
-pub const PRODUCT: [&str; 11] = [
+pub const REDWING_THREADS: [&str; 11] = [
     "admin",
     "claims",
     "door",
@@ -24,25 +24,25 @@
 ];
 
 /// The processor time of all threads so far.
-pub fn now() -> Usage {
-    let mut usage = Usage::new();
+pub fn cpu_times() -> CpuTimes {
+    let mut times = CpuTimes::new();
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
-        return usage;
+        return times;
     };
     for task in tasks.flatten() {
         let path = task.path();
         let name = fs::read_to_string(path.join("comm")).unwrap_or_default();
-        let times = fs::read_to_string(path.join("schedstat")).unwrap_or_default();
-        let first = times.split_whitespace().next();
+        let stat = fs::read_to_string(path.join("schedstat")).unwrap_or_default();
+        let first = stat.split_whitespace().next();
         let nanos: u64 = first.and_then(|text| text.parse().ok()).unwrap_or(0);
-        *usage.entry(name.trim().to_owned()).or_default() += nanos;
+        *times.entry(name.trim().to_owned()).or_default() += nanos;
     }
-    usage
+    times
 }
 
 /// What the threads whose names begin with one of `names` used since `before`.
-pub fn since(before: &Usage, names: &[&str]) -> u64 {
-    let after = now();
+pub fn cpu_since(before: &CpuTimes, names: &[&str]) -> u64 {
+    let after = cpu_times();
     let used = after
         .iter()
         .filter(|(name, _)| names.iter().any(|wanted| name.starts_with(wanted)))
@@ -50,12 +50,12 @@
     used.sum()
 }
 /// The resident memory of this process, in bytes.
-pub fn resident() -> u64 {
-    resident_of("self")
+pub fn own_memory() -> u64 {
+    process_memory("self")
 }
 
 /// The resident memory of process `pid`, in bytes; 0 when there is none.
-pub fn resident_of(pid: &str) -> u64 {
+pub fn process_memory(pid: &str) -> u64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok());
--- a/standins/src/platform/handle.rs
+++ b/standins/src/platform/handle.rs
@@ -7,8 +7,8 @@
 };
 use crate::server::{
     Server,
-    decoded,
-    whole, //
+    read_body, //
+    read_json,
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -61,21 +61,25 @@
     counts: Counts,
     faults: Faults,
     /// Lists by the time from which each is true, oldest first.
-    instances: VecDeque<(u64, BTreeMap<String, Instance>)>,
+    instance_lists: VecDeque<(u64, BTreeMap<String, Instance>)>,
     objects: BTreeMap<String, Bytes>,
     table: Table,
 }
 
 /// How long the outage of a request hangs before its connection is cut.
-const HANG: Duration = Duration::from_millis(300);
+const OUTAGE_HANG: Duration = Duration::from_millis(300);
 
 impl Platform {
     /// Opens a platform whose weight store copies `slots` at once, each in `copy`.
-    pub async fn open(address: SocketAddr, slots: usize, copy: Duration) -> io::Result<Self> {
+    pub async fn open(
+        address: SocketAddr,
+        max_copies: usize,
+        copy_time: Duration,
+    ) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             clock: Clock::open(),
             state: Mutex::default(),
-            weights: Weights::new(slots, copy),
+            weights: Weights::new(max_copies, copy_time),
         });
         let answer = |inner: Arc<Inner>, request| async move { inner.answer(request).await };
         let server = Server::open_shared(address, &inner, answer).await?;
@@ -113,14 +117,14 @@
 
     /// Adds or replaces an instance in the list.
     pub fn put_instance(&self, instance: Instance) {
-        self.inner.change_list(|list| {
+        self.inner.update_instances(|list| {
             list.insert(instance.name.clone(), instance);
         });
     }
 
     /// Removes an instance from the list.
     pub fn remove_instance(&self, name: &str) {
-        self.inner.change_list(|list| {
+        self.inner.update_instances(|list| {
             list.remove(name);
         });
     }
@@ -137,43 +141,48 @@
         let path = parts.uri.path().to_owned();
         let query = parts.uri.query().unwrap_or_default().to_owned();
         if let Some(rest) = path.strip_prefix("/admin/") {
-            return self.admin(&parts.method, rest, body).await;
+            return self.answer_admin(&parts.method, rest, body).await;
         }
         if let Some(rest) = path.strip_prefix("/weights/") {
-            return Ok(self.weights(&parts.method, rest).await);
+            return Ok(self.answer_weights(&parts.method, rest).await);
         }
 
         let faults = self.state().faults;
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.outage {
-            tokio::time::sleep(HANG).await;
+            tokio::time::sleep(OUTAGE_HANG).await;
             return Err(io::Error::other("outage"));
         }
-        let body = whole(body).await?;
-        let list = path == "/instances" || path == "/table";
-        let answer = self.store(&parts.method, &path, &query, body)?;
-        match list && parts.method == Method::GET {
-            true => tagged(answer, parts.headers.get(IF_NONE_MATCH)).await,
+        let body = read_body(body).await?;
+        let has_etag = path == "/instances" || path == "/table";
+        let answer = self.answer_store(&parts.method, &path, &query, body)?;
+        match has_etag && parts.method == Method::GET {
+            true => with_etag(answer, parts.headers.get(IF_NONE_MATCH)).await,
             false => Ok(answer),
         }
     }
 
-    async fn admin(&self, method: &Method, path: &str, body: Incoming) -> io::Result<Answer> {
+    async fn answer_admin(
+        &self,
+        method: &Method,
+        path: &str,
+        body: Incoming,
+    ) -> io::Result<Answer> {
         match (method, path) {
             (&Method::GET, "counts") => return Ok(json(StatusCode::OK, &self.state().counts)),
             (&Method::POST, "faults") => {
-                let faults = decoded(body).await?;
+                let faults = read_json(body).await?;
                 self.state().faults = faults;
             }
             (&Method::POST, "instances") => {
-                let instance: Instance = decoded(body).await?;
-                self.change_list(|list| {
+                let instance: Instance = read_json(body).await?;
+                self.update_instances(|list| {
                     list.insert(instance.name.clone(), instance);
                 });
             }
             (&Method::DELETE, path) => {
                 let name = path.strip_prefix("instances/").unwrap_or_default();
-                self.change_list(|list| {
+                self.update_instances(|list| {
                     list.remove(name);
                 });
             }
@@ -182,7 +191,7 @@
         Ok(plain(StatusCode::OK, "ok\n"))
     }
 
-    async fn weights(&self, method: &Method, path: &str) -> Answer {
+    async fn answer_weights(&self, method: &Method, path: &str) -> Answer {
         let parsed = path.rsplit_once('/').and_then(|(model, version)| {
             let version = version.parse().ok()?;
             Some((model, version))
@@ -200,16 +209,22 @@
         }
     }
 
-    fn store(&self, method: &Method, path: &str, query: &str, body: Bytes) -> io::Result<Answer> {
+    fn answer_store(
+        &self,
+        method: &Method,
+        path: &str,
+        query: &str,
+        body: Bytes,
+    ) -> io::Result<Answer> {
         let mut state = self.state();
         if path == "/instances" {
             state.counts.list_reads += 1;
             let lag = state.faults.lag_ms;
-            let list = state.list(self.clock.now().0.saturating_sub(lag));
+            let list = state.instances_at(self.clock.now().0.saturating_sub(lag));
             return Ok(json(StatusCode::OK, &list));
         }
         if let Some(key) = path.strip_prefix("/objects/") {
-            return Ok(state.object(method, key, body));
+            return Ok(state.answer_object(method, key, body));
         }
         match (method, path) {
             (&Method::POST, "/table") => {
@@ -239,15 +254,15 @@
         }
     }
 
-    fn change_list(&self, change: impl FnOnce(&mut BTreeMap<String, Instance>)) {
+    fn update_instances(&self, change: impl FnOnce(&mut BTreeMap<String, Instance>)) {
         let now = self.clock.now().0;
         let mut state = self.state();
-        let latest = state.instances.back();
+        let latest = state.instance_lists.back();
         let mut list = latest.map(|(_, list)| list.clone()).unwrap_or_default();
         change(&mut list);
-        state.instances.push_back((now, list));
-        if state.instances.len() > 1_024 {
-            state.instances.pop_front();
+        state.instance_lists.push_back((now, list));
+        if state.instance_lists.len() > 1_024 {
+            state.instance_lists.pop_front();
         }
     }
 
@@ -257,14 +272,14 @@
 }
 
 impl State {
-    fn list(&self, at: u64) -> Vec<Instance> {
-        let mut lists = self.instances.iter().rev();
+    fn instances_at(&self, at: u64) -> Vec<Instance> {
+        let mut lists = self.instance_lists.iter().rev();
         let list = lists.find(|(since, _)| *since <= at);
         list.map(|(_, list)| list.values().cloned().collect())
             .unwrap_or_default()
     }
 
-    fn object(&mut self, method: &Method, key: &str, body: Bytes) -> Answer {
+    fn answer_object(&mut self, method: &Method, key: &str, body: Bytes) -> Answer {
         if method == Method::PUT {
             self.counts.object_writes += 1;
             if self.objects.contains_key(key) {
@@ -282,7 +297,7 @@
 }
 
 /// Adds the tag of an answer's content, or answers that it has not changed.
-async fn tagged(answer: Answer, known: Option<&HeaderValue>) -> io::Result<Answer> {
+async fn with_etag(answer: Answer, known: Option<&HeaderValue>) -> io::Result<Answer> {
     let (parts, body) = answer.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     let tag = format!("\"{:016x}\"", redwingpond::base::stable_hash(&[&body]));
--- a/standins/src/platform/weights.rs
+++ b/standins/src/platform/weights.rs
@@ -10,18 +10,18 @@
 /// Published weights, copied out at a bounded rate.
 #[derive(Debug)]
 pub struct Weights {
-    copy: Duration,
+    copy_time: Duration,
     published: Mutex<BTreeSet<(String, u64)>>,
-    slots: Semaphore,
+    copy_permits: Semaphore,
 }
 
 impl Weights {
     /// A store in which `slots` copies go on at once, each taking `copy`.
-    pub fn new(slots: usize, copy: Duration) -> Self {
+    pub fn new(max_copies: usize, copy_time: Duration) -> Self {
         Self {
-            copy,
+            copy_time,
             published: Mutex::default(),
-            slots: Semaphore::new(slots),
+            copy_permits: Semaphore::new(max_copies),
         }
     }
 
@@ -37,10 +37,10 @@
         if !known {
             return false;
         }
-        let Ok(_slot) = self.slots.acquire().await else {
+        let Ok(_permit) = self.copy_permits.acquire().await else {
             return false;
         };
-        tokio::time::sleep(self.copy).await;
+        tokio::time::sleep(self.copy_time).await;
         true
     }
 
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -44,8 +44,13 @@
             let silence = silence.clone();
             async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let (era, _) = *silence.borrow();
-                    tokio::spawn(connection(stream, target, silence.subscribe(), era));
+                    let (generation, _) = *silence.borrow();
+                    tokio::spawn(relay_connection(
+                        stream,
+                        target,
+                        silence.subscribe(),
+                        generation,
+                    ));
                 }
             }
         });
@@ -71,11 +76,11 @@
     }
 }
 
-async fn connection(
+async fn relay_connection(
     client: TcpStream,
     target: SocketAddr,
     silence: watch::Receiver<(u64, Silence)>,
-    era: u64,
+    generation: u64,
 ) {
     let Ok(server) = TcpStream::connect(target).await else {
         return;
@@ -84,23 +89,27 @@
     let _ = server.set_nodelay(true);
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
-    let to = pass(client_in, server_out, silence.clone(), era, |s| s.to_target);
-    let from = pass(server_in, client_out, silence, era, |s| s.from_target);
-    tokio::join!(to, from);
+    let to_target = forward(client_in, server_out, silence.clone(), generation, |s| {
+        s.to_target
+    });
+    let from_target = forward(server_in, client_out, silence, generation, |s| {
+        s.from_target
+    });
+    tokio::join!(to_target, from_target);
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     silence: watch::Receiver<(u64, Silence)>,
-    era: u64,
-    silent: fn(&Silence) -> bool,
+    generation: u64,
+    is_silent: fn(&Silence) -> bool,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     while let Ok(read) = from.read(&mut buffer).await {
         let muted = {
             let state = silence.borrow();
-            state.0 > era && silent(&state.1)
+            state.0 > generation && is_silent(&state.1)
         };
         if muted {
             // Swallowed, and the end of the connection with it.
--- a/standins/src/scorer.rs
+++ b/standins/src/scorer.rs
@@ -1,7 +1,7 @@
 //! A scoring service's stand-in: `POST /score` with `{prompt, text}`.
 
 use crate::{
-    server::{Server, decoded},
+    server::{Server, read_json},
     truth, //
 };
 use hyper::{
@@ -28,7 +28,7 @@
 }
 
 #[derive(Deserialize)]
-struct Judged {
+struct ScoreRequest {
     text: String,
 }
 
@@ -47,8 +47,8 @@
     if request.uri().path() != "/score" {
         return Ok(text(StatusCode::NOT_FOUND, "text/plain", "no such path\n"));
     }
-    let judged: Judged = decoded(request.into_body()).await?;
+    let score_request: ScoreRequest = read_json(request.into_body()).await?;
     tokio::time::sleep(time).await;
-    let score = truth::score(&judged.text);
+    let score = truth::score(&score_request.text);
     Ok(json(StatusCode::OK, &serde_json::json!({ "score": score })))
 }
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -41,8 +41,8 @@
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (up, watch) = watch::channel(true);
-        let task = tokio::spawn(serve(listener, address, watch, handler));
+        let (up, switch) = watch::channel(true);
+        let task = tokio::spawn(serve(listener, address, switch, handler));
         Ok(Self {
             address,
             task,
@@ -87,7 +87,7 @@
     H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = io::Result<Answer>> + Send + 'static,
 {
-    let watch = up.clone();
+    let switch = up.clone();
     let mut listener = Some(listener);
     loop {
         let Some(open) = &listener else {
@@ -100,7 +100,7 @@
         tokio::select! {
             accepted = open.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    tokio::spawn(connection(stream, watch.clone(), handler.clone()));
+                    tokio::spawn(serve_connection(stream, switch.clone(), handler.clone()));
                 }
             }
             Ok(_) = up.wait_for(|up| !*up) => listener = None,
@@ -108,7 +108,7 @@
     }
 }
 
-async fn connection<H, Fut>(stream: TcpStream, mut up: watch::Receiver<bool>, handler: H)
+async fn serve_connection<H, Fut>(stream: TcpStream, mut up: watch::Receiver<bool>, handler: H)
 where
     H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = io::Result<Answer>> + Send + 'static,
@@ -124,12 +124,12 @@
 }
 
 /// Reads a whole body.
-pub async fn whole(body: Incoming) -> io::Result<Bytes> {
+pub async fn read_body(body: Incoming) -> io::Result<Bytes> {
     let body = body.collect().await.map_err(io::Error::other)?;
     Ok(body.to_bytes())
 }
 
 /// Reads a whole JSON body.
-pub async fn decoded<T: serde::de::DeserializeOwned>(body: Incoming) -> io::Result<T> {
-    serde_json::from_slice(&whole(body).await?).map_err(io::Error::other)
+pub async fn read_json<T: serde::de::DeserializeOwned>(body: Incoming) -> io::Result<T> {
+    serde_json::from_slice(&read_body(body).await?).map_err(io::Error::other)
 }
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -10,8 +10,8 @@
 
 use crate::server::{
     Server,
-    decoded,
-    whole, //
+    read_body, //
+    read_json,
 };
 use http_body_util::BodyExt;
 use hyper::{
@@ -68,7 +68,7 @@
 }
 
 #[derive(Serialize)]
-struct Work {
+struct WorkResult {
     body: String,
     key: Option<String>,
     run: u32,
@@ -115,19 +115,19 @@
         };
         match parts.uri.path() {
             "/admin/faults" => {
-                let faults = decoded(body).await?;
+                let faults = read_json(body).await?;
                 self.state().0 = faults;
                 Ok(text(StatusCode::OK, "text/plain", "ok\n"))
             }
             "/admin/runs" => Ok(json(StatusCode::OK, &self.state().1)),
             "/echo" => {
-                self.count(header("redwing-request-key"), header("redwing-request-id"));
+                self.record_run(header("redwing-request-key"), header("redwing-request-id"));
                 Ok(Response::new(body.map_err(io::Error::other).boxed_unsync()))
             }
             "/work" => {
-                let body = whole(body).await?;
+                let body = read_body(body).await?;
                 let key = header("redwing-request-key");
-                let (run, faults) = self.count(key.clone(), header("redwing-request-id"));
+                let (run, faults) = self.record_run(key.clone(), header("redwing-request-id"));
                 let time = self.service_time + Duration::from_millis(faults.delay_ms);
                 if !time.is_zero() {
                     tokio::time::sleep(time).await;
@@ -136,7 +136,7 @@
                     return Err(io::Error::other("the answer is lost"));
                 }
                 let body = String::from_utf8_lossy(&body).into_owned();
-                Ok(json(StatusCode::OK, &Work { body, key, run }))
+                Ok(json(StatusCode::OK, &WorkResult { body, key, run }))
             }
             path => {
                 let size = path.strip_prefix("/bytes/").and_then(|n| n.parse().ok());
@@ -149,7 +149,7 @@
     }
 
     /// Counts a run; tells how often the key, or else the request, has run.
-    fn count(&self, key: Option<String>, request: Option<String>) -> (u32, Faults) {
+    fn record_run(&self, key: Option<String>, request: Option<String>) -> (u32, Faults) {
         let mut state = self.state();
         let faults = state.0;
         state.0.lose_answers = faults.lose_answers.saturating_sub(1);
--- a/standins/src/site/scene.rs
+++ b/standins/src/site/scene.rs
@@ -9,8 +9,8 @@
     Store, //
 };
 use crate::client::{
-    Answered,
     Client, //
+    FullResponse,
 };
 use hyper::Method;
 use redwingpond::{
@@ -202,7 +202,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<bytes::Bytes>,
-    ) -> Option<Answered> {
+    ) -> Option<FullResponse> {
         let address = self.gateways[gateway].callers;
         let mut all = vec![("host", "site.example")];
         all.extend_from_slice(headers);
--- a/standins/src/site/trainer.rs
+++ b/standins/src/site/trainer.rs
@@ -1,6 +1,6 @@
 //! A trainer's batches and what it reads of them.
 
-use crate::client::Answered;
+use crate::client::FullResponse;
 use base64::{
     Engine as _,
     prelude::BASE64_STANDARD, //
@@ -113,7 +113,7 @@
 
 impl ScenePage {
     /// Reads a page from an answer.
-    pub fn read(answer: &Answered) -> Self {
+    pub fn read(answer: &FullResponse) -> Self {
         let json = answer.json();
         let results = json["results"].as_array().cloned().unwrap_or_default();
         let number = |name: &str| json[name].as_u64().unwrap_or(0) as usize;
--- a/standins/src/soak/trainer.rs
+++ b/standins/src/soak/trainer.rs
@@ -1,7 +1,7 @@
 //! Trainers' batches, and what a trainer may never see.
 
 use crate::{
-    client::{Answered, Client},
+    client::{Client, FullResponse},
     site::{Batch, Reply, ScenePage}, //
 };
 use hyper::Method;
@@ -81,7 +81,7 @@
         self.check(&answer, from);
     }
 
-    fn check(&mut self, answer: &Answered, from: usize) {
+    fn check(&mut self, answer: &FullResponse, from: usize) {
         let id = &self.batch.id;
         match (answer.status.as_u16(), self.accepted) {
             (200, _) if self.refused => self.broken.push(format!("batch {id} was refused and is")),
--- a/standins/src/trainer/api.rs
+++ b/standins/src/trainer/api.rs
@@ -5,8 +5,8 @@
     check::Sample, //
 };
 use crate::client::{
-    Answered,
     Client, //
+    FullResponse,
 };
 use hyper::{
     Method,
@@ -38,8 +38,8 @@
 /// How a fetch went.
 pub(super) enum Fetch {
     /// To be asked again after a while.
-    Again,
-    Got(Fetched),
+    Retry,
+    Received(Fetched),
     /// The owner doesn't know the step: it is to be submitted again.
     Unknown,
 }
@@ -51,10 +51,10 @@
 }
 
 /// How long a fetch is held by the owner.
-const HOLD_MS: u64 = 1_000;
+const FETCH_WAIT_MS: u64 = 1_000;
 
 /// How long any request may take.
-const WAIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl<'a> Api<'a> {
     pub(super) fn new(config: &'a Config) -> Self {
@@ -68,19 +68,19 @@
         let body = serde_json::json!({
             "epoch": epoch,
             "have": have.to_string(),
-            "wait_ms": HOLD_MS,
+            "wait_ms": FETCH_WAIT_MS,
             "weight_version": version,
         });
         let path = format!("steps/{step}/fetch");
         match self.post(&path, body.to_string()).await {
             Some(answer) if answer.status == StatusCode::OK => {
                 match serde_json::from_slice(&answer.body) {
-                    Ok(fetched) => Fetch::Got(fetched),
-                    Err(_) => Fetch::Again,
+                    Ok(fetched) => Fetch::Received(fetched),
+                    Err(_) => Fetch::Retry,
                 }
             }
             Some(answer) if answer.status == StatusCode::NOT_FOUND => Fetch::Unknown,
-            Some(_) | None => Fetch::Again,
+            Some(_) | None => Fetch::Retry,
         }
     }
 
@@ -91,44 +91,45 @@
         loop {
             let put = self
                 .client
-                .call(Method::PUT, platform, &path, &[], "", WAIT);
+                .call(Method::PUT, platform, &path, &[], "", REQUEST_TIMEOUT);
             if put.await.is_ok() {
                 break;
             }
-            pause().await;
+            wait_before_retry().await;
         }
         let body = serde_json::json!({ "model": self.config.model, "weight_version": version });
-        self.insist("version", &body.to_string()).await;
+        self.post_until_accepted("version", &body.to_string()).await;
     }
 
     pub(super) async fn submit(&self, step: u64, spec: &StepSpec) {
         let body = serde_json::to_string(spec).unwrap_or_default();
-        self.insist(&format!("steps/{step}"), &body).await;
+        self.post_until_accepted(&format!("steps/{step}"), &body)
+            .await;
     }
 
     /// Repeats a request until it is accepted; repeats are harmless.
-    async fn insist(&self, path: &str, body: &str) {
+    async fn post_until_accepted(&self, path: &str, body: &str) {
         loop {
             let answer = self.post(path, body.to_owned()).await;
             if answer.is_some_and(|answer| answer.status == StatusCode::OK) {
                 return;
             }
-            pause().await;
+            wait_before_retry().await;
         }
     }
 
-    async fn post(&self, path: &str, body: String) -> Option<Answered> {
+    async fn post(&self, path: &str, body: String) -> Option<FullResponse> {
         let entry = self.config.balancer.next()?;
         let (team, name) = (&self.config.team, &self.config.name);
         let path = format!("/v1/teams/{team}/trainers/{name}/{path}");
         let call = self
             .client
-            .call(Method::POST, entry, &path, &[], body, WAIT);
+            .call(Method::POST, entry, &path, &[], body, REQUEST_TIMEOUT);
         call.await.ok()
     }
 }
 
 /// The wait before a request is made again.
-pub(super) async fn pause() {
+pub(super) async fn wait_before_retry() {
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
--- a/standins/src/trainer/check.rs
+++ b/standins/src/trainer/check.rs
@@ -37,13 +37,13 @@
         report.unversioned += 1;
         return;
     }
-    let said = truth::text(prompt, seed, &sample.weight_versions);
-    if said != sample.tokens.concat() {
+    let expected = truth::text(prompt, seed, &sample.weight_versions);
+    if expected != sample.tokens.concat() {
         report.misversioned += 1;
     }
-    let whole = truth::length(prompt, seed, spec.sampling.max_tokens);
+    let length = truth::length(prompt, seed, spec.sampling.max_tokens);
     let score = truth::score(&sample.tokens.concat());
-    if tokens != whole || (score - sample.score).abs() > 1e-9 {
+    if tokens != length || (score - sample.score).abs() > 1e-9 {
         report.partial += 1;
     }
 
--- a/standins/src/trainer/config.rs
+++ b/standins/src/trainer/config.rs
@@ -26,11 +26,11 @@
     /// Samples in each group.
     pub samples: u32,
     pub seed: u64,
-    pub staleness: u64,
+    pub max_staleness: u64,
     pub steps: u64,
     pub team: String,
     /// How long training on one step takes.
-    pub train: Duration,
+    pub train_time: Duration,
 }
 
 impl Config {
@@ -53,7 +53,7 @@
                 seed: stable_hash(&[self.name.as_bytes(), &(self.seed + step).to_le_bytes()]),
                 temperature: 1.0,
             },
-            staleness: self.staleness,
+            staleness: self.max_staleness,
             weight_version: WeightVersion(version),
         }
     }
--- a/standins/src/trainer/report.rs
+++ b/standins/src/trainer/report.rs
@@ -34,18 +34,18 @@
     }
 
     /// Whether every promise about samples held.
-    pub fn holds(&self) -> bool {
-        let broken = self.duplicate
+    pub fn passed(&self) -> bool {
+        let violations = self.duplicate
             + self.misversioned
             + self.missing
             + self.partial
             + self.stale
             + self.unversioned;
-        broken == 0
+        violations == 0
     }
 
     /// A percentile of the staleness, `share` from 0 to 1.
-    pub fn staleness_at(&self, share: f64) -> u64 {
+    pub fn staleness_quantile(&self, share: f64) -> u64 {
         let mut sorted = self.staleness.clone();
         sorted.sort_unstable();
         let at = (sorted.len() as f64 * share) as usize;
--- a/standins/src/trainer/run.rs
+++ b/standins/src/trainer/run.rs
@@ -3,7 +3,7 @@
 use super::{
     Config,
     Report,
-    api::{Api, Fetch, pause},
+    api::{Api, Fetch, wait_before_retry},
     check::check, //
 };
 use redwingpond::{
@@ -18,7 +18,7 @@
 /// Runs all steps; `progress` counts samples as they come.
 pub async fn run(config: &Config, progress: &AtomicU64) -> Report {
     let clock = Clock::open();
-    let begun = clock.now();
+    let started = clock.now();
     let api = Api::new(config);
     let mut trainer = Trainer {
         api,
@@ -36,7 +36,7 @@
     for step in 0..config.steps {
         let spec = next.clone();
         let waiting = clock.now();
-        trainer.gather(step, &spec).await;
+        trainer.collect_step(step, &spec).await;
         let now = clock.now();
         trainer.report.idle_ms += now.since(waiting).0;
         trainer.report.step_ms.push(now.since(submitted).0);
@@ -45,11 +45,11 @@
             trainer.api.submit(step + 1, &next).await;
             submitted = clock.now();
         }
-        tokio::time::sleep(config.train).await;
+        tokio::time::sleep(config.train_time).await;
         trainer.version += 1;
         trainer.api.publish(trainer.version).await;
     }
-    trainer.report.wall_ms = clock.now().since(begun).0;
+    trainer.report.wall_ms = clock.now().since(started).0;
     trainer.report
 }
 
@@ -64,32 +64,32 @@
 }
 
 /// A step that is not whole after this long is given up, and counted missing.
-const GIVE_UP_MS: u64 = 60_000;
+const STEP_TIMEOUT_MS: u64 = 60_000;
 
 impl Trainer<'_> {
     /// Fetches until the step is whole.
-    async fn gather(&mut self, step: u64, spec: &StepSpec) {
+    async fn collect_step(&mut self, step: u64, spec: &StepSpec) {
         let mut have = Bitmap::default();
         let wanted = spec.samples();
         self.report.asked += u64::from(wanted);
-        let begun = self.clock.now();
+        let started = self.clock.now();
         let mut regenerated = 0;
-        while have.count() < wanted && self.clock.now().since(begun).0 < GIVE_UP_MS {
+        while have.count() < wanted && self.clock.now().since(started).0 < STEP_TIMEOUT_MS {
             let fetch = self.api.fetch(step, &have, self.version, self.epoch);
             match fetch.await {
-                Fetch::Again => {
+                Fetch::Retry => {
                     self.report.failed_requests += 1;
-                    pause().await;
+                    wait_before_retry().await;
                 }
-                Fetch::Got(fetched) if fetched.epoch < self.epoch => {
+                Fetch::Received(fetched) if fetched.epoch < self.epoch => {
                     self.report.failed_requests += 1;
                 }
-                Fetch::Got(fetched) => {
+                Fetch::Received(fetched) => {
                     self.epoch = fetched.epoch;
                     regenerated = fetched.regenerated;
                     for group in &fetched.groups {
                         for sample in &group.samples {
-                            self.take(spec, group.group, sample, &mut have);
+                            self.record_sample(spec, group.group, sample, &mut have);
                         }
                     }
                     if fetched.done && have.count() < wanted {
@@ -103,7 +103,7 @@
         self.report.missing += u64::from(wanted - have.count());
     }
 
-    fn take(
+    fn record_sample(
         &mut self,
         spec: &StepSpec,
         group: u32,
--- a/standins/src/truth.rs
+++ b/standins/src/truth.rs
@@ -10,19 +10,19 @@
 };
 
 /// The version of tokens made while the weights were no one version.
-pub const MIXED: u64 = u64::MAX;
+pub const MIXED_WEIGHTS: u64 = u64::MAX;
 
 /// The median length of a sample, in tokens.
-const MEDIAN: f64 = 24.0;
+const MEDIAN_LENGTH: f64 = 24.0;
 
 /// The exponent of the lengths' tail; a greater one makes longer stragglers.
-const TAIL: f64 = 0.55;
+const TAIL_EXPONENT: f64 = 0.55;
 
 /// The length in tokens that a generation has when `max` does not cut it.
 pub fn length(prompt: &str, seed: u64, max: u32) -> u32 {
     let hash = stable_hash(&[b"length", prompt.as_bytes(), &seed.to_le_bytes()]);
     let draw = (hash >> 11) as f64 / (1_u64 << 53) as f64;
-    let length = MEDIAN * (2.0 * (1.0 - draw).max(1e-6)).powf(-TAIL);
+    let length = MEDIAN_LENGTH * (2.0 * (1.0 - draw).max(1e-6)).powf(-TAIL_EXPONENT);
     (length as u32).clamp(1, max)
 }
 
--- a/standins/tests/integration/stage.rs
+++ b/standins/tests/integration/stage.rs
@@ -4,7 +4,7 @@
 use hyper::Method;
 use redwing_standins::{
     balancer::Balancer,
-    client::{Answered, Client},
+    client::{Client, FullResponse},
     engine,
     fleet::{Backend, Fleet, Options, Plan},
     platform,
@@ -24,8 +24,8 @@
 
 /// A fleet, the calls under way and the answers so far.
 pub struct Stage {
-    answers: BTreeMap<String, Result<Answered, String>>,
-    calls: HashMap<String, JoinHandle<Result<Answered, String>>>,
+    answers: BTreeMap<String, Result<FullResponse, String>>,
+    calls: HashMap<String, JoinHandle<Result<FullResponse, String>>>,
     client: Client,
     entries: Vec<SocketAddr>,
     fleet: Option<Fleet>,
@@ -188,7 +188,7 @@
         self.keep(id, answer)
     }
 
-    fn keep(&mut self, id: String, answer: Result<Answered, String>) -> String {
+    fn keep(&mut self, id: String, answer: Result<FullResponse, String>) -> String {
         let told = describe(&answer);
         self.answers.insert(id, answer);
         told
@@ -367,10 +367,10 @@
             prompts: vec!["Judge.".into()],
             samples: number(case, "samples", 4) as u32,
             seed: 1,
-            staleness: number(case, "staleness", 1),
+            max_staleness: number(case, "staleness", 1),
             steps: number(case, "steps", 2),
             team: "plant".into(),
-            train: Duration::from_millis(50),
+            train_time: Duration::from_millis(50),
         };
         let progress = Arc::new(AtomicU64::new(0));
         let report = self.runtime.block_on(trainer::run(&config, &progress));
@@ -378,7 +378,7 @@
             "{} of {} delivered, every promise held: {}",
             report.delivered,
             report.asked,
-            report.holds()
+            report.passed()
         )
     }
 }
@@ -402,7 +402,7 @@
 ";
 
 /// An answer in words that are the same in every run.
-fn describe(answer: &Result<Answered, String>) -> String {
+fn describe(answer: &Result<FullResponse, String>) -> String {
     let Ok(answer) = answer else {
         return "no whole answer".into();
     };
