--- a/standins/src/demo/disruptions.rs
+++ b/standins/src/demo/disruptions.rs
@@ -16,7 +16,7 @@
 /// What the director did.
 #[derive(Default)]
 pub(super) struct Disruptions {
-    pub(super) cut: u64,
+    pub(super) cut_by_stops: u64,
     pub(super) events: Vec<String>,
 }
 
@@ -47,12 +47,12 @@
     }
 
     wait_for_samples(progress, total / 2).await;
-    let mut cut = 0;
+    let mut cut_by_stops = 0;
     let last = fleet.members.last_mut();
     if let Some(member) = last {
         let name = member.name.clone();
         record(format!("agent `{name}` stops gracefully"));
-        cut += u64::from(!member.stop().await);
+        cut_by_stops += u64::from(!member.stop().await);
         let restarted = member.start(&fleet.platform, fleet.options).await;
         record(match restarted {
             Ok(()) => format!("agent `{name}` was replaced"),
@@ -64,9 +64,9 @@
     let name = fleet.entries.first().map(|(name, _)| name.clone());
     let name = name.unwrap_or_default();
     record(format!("entry `{name}` stops gracefully"));
-    cut += u64::from(!fleet.stop_entry().await);
+    cut_by_stops += u64::from(!fleet.stop_entry().await);
     record(format!("entry `{name}` has stopped"));
-    disruptions.cut = cut;
+    disruptions.cut_by_stops = cut_by_stops;
     disruptions
 }
 
--- a/standins/src/demo/run.rs
+++ b/standins/src/demo/run.rs
@@ -171,7 +171,7 @@
 }
 
 fn add_disruptions(summary: &mut Summary, disruptions: Disruptions) {
-    summary.cut_by_stops = disruptions.cut;
+    summary.cut_by_stops = disruptions.cut_by_stops;
     summary.events = disruptions.events;
 }
 
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -63,15 +63,15 @@
 
     /// Those of `hashes` that are here, up to the first that is not.
     pub fn cached_prefix(&self, hashes: &[u64]) -> usize {
-        let known = hashes.iter().take_while(|h| self.blocks.contains_key(h));
-        known.count()
+        let cached = hashes.iter().take_while(|h| self.blocks.contains_key(h));
+        cached.count()
     }
 
     /// Takes blocks in; returns how many were missing.
     pub fn insert(&mut self, now: u64, hashes: &[u64]) -> usize {
-        let known = self.cached_prefix(hashes);
-        self.hits += known as u64;
-        self.misses += (hashes.len() - known) as u64;
+        let cached = self.cached_prefix(hashes);
+        self.hits += cached as u64;
+        self.misses += (hashes.len() - cached) as u64;
         for hash in hashes {
             self.uses += 1;
             if self.blocks.insert(*hash, self.uses).is_none() {
@@ -79,7 +79,7 @@
             }
         }
         self.evict(now);
-        hashes.len() - known
+        hashes.len() - cached
     }
 
     fn evict(&mut self, now: u64) {
--- a/standins/src/engine/handle.rs
+++ b/standins/src/engine/handle.rs
@@ -180,8 +180,8 @@
             (&Method::POST, "/v1/kv/export") => {
                 let wanted: KvExportRequest = read_json(body).await?;
                 let mut blocks = Cache::hashes(&wanted.prompt);
-                let known = self.state().cache.cached_prefix(&blocks);
-                blocks.truncate(known);
+                let cached = self.state().cache.cached_prefix(&blocks);
+                blocks.truncate(cached);
                 Ok(json(StatusCode::OK, &KvBlocks { blocks }))
             }
             (&Method::POST, "/v1/kv/import") => {
@@ -212,11 +212,11 @@
         state
             .seen
             .insert((completion.prompt.clone(), completion.seed));
-        let whole = format!("{}{}", completion.prompt, completion.done.concat());
-        let missing = state
+        let prefix = format!("{}{}", completion.prompt, completion.done.concat());
+        let uncached = state
             .cache
-            .insert(self.clock.now().0, &Cache::hashes(&whole));
-        let prefill = missing as u64 * self.tuning.prefill_us;
+            .insert(self.clock.now().0, &Cache::hashes(&prefix));
+        let prefill = uncached as u64 * self.tuning.prefill_us;
         state.waiting.push(Sequence {
             length: truth::length(&completion.prompt, completion.seed, completion.max_tokens),
             max_tokens: completion.max_tokens,
--- a/standins/src/load/faults.rs
+++ b/standins/src/load/faults.rs
@@ -23,7 +23,7 @@
 /// What one policy did in a case.
 struct Trial {
     audit: RunAudit,
-    sent: Vec<CallRecord>,
+    calls: Vec<CallRecord>,
 }
 
 /// Nine servers, as Tahtiraita's ledger has.
@@ -36,9 +36,9 @@
 
 fn flow(rate: f64, begin: u64, end: u64) -> Flow {
     Flow {
-        begin,
-        deadline: 1_000,
-        end,
+        begin_ms: begin,
+        deadline_ms: 1_000,
+        end_ms: end,
         keyed: false,
         rate: rate as u64,
         team: "a",
@@ -60,9 +60,9 @@
     let fleet = service_load::open(pool, policy, options).await?;
     let balancer = fleet.balancer.clone();
     let sending = service_load::send(&balancer, flows);
-    let (sent, fleet) = tokio::join!(sending, script(fleet));
-    let audit = service_load::audit_runs(&fleet, &sent);
-    Ok(Trial { audit, sent })
+    let (calls, fleet) = tokio::join!(sending, script(fleet));
+    let audit = service_load::audit_runs(&fleet, &calls);
+    Ok(Trial { audit, calls })
 }
 
 /// Runs a case under the policies that are asked for.
@@ -121,14 +121,14 @@
 }
 
 fn count(trial: &Trial, end: CallOutcome) -> f64 {
-    trial.sent.iter().filter(|one| one.outcome == end).count() as f64
+    trial.calls.iter().filter(|one| one.outcome == end).count() as f64
 }
 
 fn series(trials: &[Option<Trial>; 2]) -> Vec<Series> {
     let named = ["baseline", "current"].into_iter().zip(trials);
     let drawn = named.filter_map(|(name, trial)| {
         let trial = trial.as_ref()?;
-        Some(service_load::timeline(name, &trial.sent))
+        Some(service_load::timeline(name, &trial.calls))
     });
     drawn.collect()
 }
@@ -167,16 +167,16 @@
         flow(capacity * 0.7, end, after),
     ]
     .map(|flow| Flow {
-        deadline: 400,
+        deadline_ms: 400,
         ..flow
     });
     let trials = run_policies(run, pool, Options::default(), &flows, |fleet| async {
         fleet
     })
     .await?;
-    let goodput = |trial: &Trial| Some(service_load::goodput(&trial.sent, begin, end) / capacity);
+    let goodput = |trial: &Trial| Some(service_load::goodput(&trial.calls, begin, end) / capacity);
     let p99_after = |trial: &Trial| {
-        let due = trial.sent.iter().filter(|one| one.due_ms >= end + 2_000);
+        let due = trial.calls.iter().filter(|one| one.due_ms >= end + 2_000);
         service_load::percentile(due, 0.99)
     };
     Ok(outcome(
@@ -220,7 +220,7 @@
     })
     .await?;
     let p99 = |trial: &Trial| {
-        let due = trial.sent.iter().filter(|one| one.due_ms >= 2_000);
+        let due = trial.calls.iter().filter(|one| one.due_ms >= 2_000);
         service_load::percentile(due, 0.99)
     };
     Ok(outcome(
@@ -251,7 +251,7 @@
     })
     .await?;
     let lost = |trial: &Trial| {
-        let lost = trial.sent.iter();
+        let lost = trial.calls.iter();
         let lost = lost.filter(|one| one.outcome != CallOutcome::Answered && one.request.is_some());
         Some(lost.count() as f64)
     };
@@ -259,7 +259,7 @@
         &trials,
         vec![
             row("p99", "ms", &trials, Aim::RatioAtMost(0.5), |trial| {
-                service_load::percentile(trial.sent.iter(), 0.99)
+                service_load::percentile(trial.calls.iter(), 0.99)
             }),
             row("not answered", "calls", &trials, Aim::None, lost),
         ],
@@ -275,7 +275,7 @@
     };
     // Time enough that the link's silence settles a call, not its deadline.
     let flows = [Flow {
-        deadline: 8_000,
+        deadline_ms: 8_000,
         ..flow(POOL.rate() * 0.3, 0, end)
     }];
     let trials = run_policies(run, POOL, options, &flows, |fleet| async {
@@ -293,7 +293,7 @@
     })
     .await?;
     let slowest = |trial: &Trial| {
-        let times = trial.sent.iter().map(|one| one.latency_ms);
+        let times = trial.calls.iter().map(|one| one.latency_ms);
         Some(times.fold(0.0, f64::max))
     };
     Ok(outcome(
@@ -316,8 +316,8 @@
 
 /// `retry-storm`: the pool is out for a while at 0.8 of its load.
 pub async fn retry_storm(run: RunOptions) -> Result<Outcome, LoadError> {
-    let out = run.seconds * 1_000;
-    let end = 2_000 + out + 5_000;
+    let outage_ms = run.seconds * 1_000;
+    let end = 2_000 + outage_ms + 5_000;
     let flows = [flow(POOL.rate() * 0.8, 0, end)];
     let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(2_000).await;
@@ -327,18 +327,18 @@
                 lose_answers: u32::MAX,
             });
         }
-        sleep(out).await;
+        sleep(outage_ms).await;
         for service in services(&fleet) {
             service.set_faults(service::Faults::default());
         }
-        sleep(end - out - 2_000).await;
+        sleep(end - outage_ms - 2_000).await;
         fleet
     })
     .await?;
     let attempts =
-        |trial: &Trial| Some(trial.audit.attempts as f64 / trial.sent.len().max(1) as f64);
+        |trial: &Trial| Some(trial.audit.attempts as f64 / trial.calls.len().max(1) as f64);
     let recovered = |trial: &Trial| {
-        let rate = service_load::goodput(&trial.sent, 2_000 + out + 3_000, end);
+        let rate = service_load::goodput(&trial.calls, 2_000 + outage_ms + 3_000, end);
         Some(rate / (POOL.rate() * 0.8))
     };
     Ok(outcome(
@@ -372,7 +372,7 @@
     })
     .await?;
     let others = |trial: &Trial, begin: u64, end: u64| {
-        let others = trial.sent.iter().filter(|one| one.team != "a");
+        let others = trial.calls.iter().filter(|one| one.team != "a");
         let due = others.filter(|one| (begin..end).contains(&one.due_ms));
         service_load::percentile(due, 0.99)
     };
@@ -382,7 +382,7 @@
     };
     let answered = |trial: &Trial| {
         let due = || {
-            let others = trial.sent.iter().filter(|one| one.team != "a");
+            let others = trial.calls.iter().filter(|one| one.team != "a");
             others.filter(|one| one.due_ms >= begin)
         };
         let answered = due()
@@ -395,14 +395,14 @@
         vec![
             row("others' p99 / quiet", "", &trials, Aim::AtMost(1.3), worse),
             row("others' p50", "ms", &trials, Aim::None, |trial| {
-                let others = trial.sent.iter().filter(|one| one.team != "a");
+                let others = trial.calls.iter().filter(|one| one.team != "a");
                 service_load::percentile(others.filter(|one| one.due_ms > begin + 500), 0.5)
             }),
             row("others' quiet p99", "ms", &trials, Aim::None, |trial| {
                 others(trial, 1_000, begin)
             }),
             row("others' quiet p50", "ms", &trials, Aim::None, |trial| {
-                let others = trial.sent.iter().filter(|one| one.team != "a");
+                let others = trial.calls.iter().filter(|one| one.team != "a");
                 service_load::percentile(
                     others.filter(|one| (1_000..begin).contains(&one.due_ms)),
                     0.5,
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -60,16 +60,16 @@
 
 /// Runs the case.
 pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
-    let mut used = Vec::new();
+    let mut usages = Vec::new();
     for agents in AGENT_COUNTS {
-        used.push(measure_entry(agents, Duration::from_secs(run.seconds)).await?);
+        usages.push(measure_entry(agents, Duration::from_secs(run.seconds)).await?);
     }
     let slope = |figure: fn(&EntryUsage) -> f64| {
-        let (first, last) = (used.first()?, used.last()?);
+        let (first, last) = (usages.first()?, usages.last()?);
         Some((figure(last) - figure(first)) / (last.agents - first.agents))
     };
     // Two pools of 16 servers each are what one entry links to.
-    let (first, last) = (used.first(), used.last());
+    let (first, last) = (usages.first(), usages.last());
     Ok(Outcome {
         results: vec![
             Row::new(
@@ -124,7 +124,7 @@
         ],
         series: vec![Series {
             name: "ms of CPU a second over linked agents".to_owned(),
-            points: used.iter().map(|u| (u.agents, u.cpu_ms)).collect(),
+            points: usages.iter().map(|u| (u.agents, u.cpu_ms)).collect(),
         }],
         ..Outcome::default()
     })
--- a/standins/src/load/plot.rs
+++ b/standins/src/load/plot.rs
@@ -24,8 +24,8 @@
         message: error.to_string(),
     };
     let points = || series.iter().flat_map(|one| &one.points);
-    let right = points().map(|point| point.0).fold(1.0, f64::max);
-    let top = points().map(|point| point.1).fold(1.0, f64::max);
+    let max_x = points().map(|point| point.0).fold(1.0, f64::max);
+    let max_y = points().map(|point| point.1).fold(1.0, f64::max);
 
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
     area.fill(&WHITE).map_err(|error| failed(&error))?;
@@ -34,7 +34,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..right, 0.0..top * 1.05)
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y * 1.05)
         .map_err(|error| failed(&error))?;
     chart
         .configure_mesh()
--- a/standins/src/load/service_load.rs
+++ b/standins/src/load/service_load.rs
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Flow {
     /// When it begins and ends, in ms from the scene's start.
-    pub begin: u64,
-    pub deadline: u64,
-    pub end: u64,
+    pub begin_ms: u64,
+    pub deadline_ms: u64,
+    pub end_ms: u64,
     /// Each call has a key and must run at most once.
     pub keyed: bool,
     pub rate: u64,
@@ -63,7 +63,7 @@
 /// One call of a scene.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    pub deadline: u64,
+    pub deadline_ms: u64,
     /// When it was due, in ms from the scene's start.
     pub due_ms: u64,
     pub outcome: CallOutcome,
@@ -114,9 +114,9 @@
         let balancer = balancer.clone();
         flow_tasks.spawn(async move {
             let mut in_flight = JoinSet::new();
-            let total = flow.rate * (flow.end - flow.begin) / 1_000;
+            let total = flow.rate * (flow.end_ms - flow.begin_ms) / 1_000;
             for call in 0..total {
-                let due = flow.begin * 1_000 + call * 1_000_000 / flow.rate;
+                let due = flow.begin_ms * 1_000 + call * 1_000_000 / flow.rate;
                 let wait = due.saturating_sub(clock.micros());
                 if wait > 0 {
                     tokio::time::sleep(Duration::from_micros(wait)).await;
@@ -128,8 +128,8 @@
                 let key = format!("{number}-{call}");
                 in_flight.spawn(async move {
                     let (outcome, request) = send_call(&client, entry, flow, &key).await;
-                    let sent = CallRecord {
-                        deadline: flow.deadline,
+                    let record = CallRecord {
+                        deadline_ms: flow.deadline_ms,
                         due_ms: due / 1_000,
                         outcome,
                         request,
@@ -139,7 +139,7 @@
                     calls
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .push(sent);
+                        .push(record);
                 });
                 while in_flight.try_join_next().is_some() {}
             }
@@ -157,7 +157,7 @@
     key: &str,
 ) -> (CallOutcome, Option<String>) {
     let path = format!("/v1/app/{}/plain/work", flow.team);
-    let deadline = flow.deadline.to_string();
+    let deadline = flow.deadline_ms.to_string();
     let mut headers = vec![("redwing-deadline-ms", deadline.as_str())];
     if flow.keyed {
         headers.push(("redwing-request-key", key));
@@ -165,7 +165,7 @@
     } else {
         headers.push(("redwing-idempotent", "true"));
     }
-    let wait = Duration::from_millis(flow.deadline) + ANSWER_GRACE;
+    let wait = Duration::from_millis(flow.deadline_ms) + ANSWER_GRACE;
     let post = Method::POST;
     let answer = client.call(post, entry, &path, &headers, key.to_owned(), wait);
     let Ok(answer) = answer.await else {
@@ -193,7 +193,7 @@
 }
 
 /// Holds what callers were told against what the services ran.
-pub fn audit_runs(fleet: &Fleet, sent: &[CallRecord]) -> RunAudit {
+pub fn audit_runs(fleet: &Fleet, calls: &[CallRecord]) -> RunAudit {
     let mut audit = RunAudit::default();
     let mut ran = std::collections::HashSet::new();
     for member in &fleet.members {
@@ -205,7 +205,9 @@
         audit.double_runs += runs.keys.values().filter(|n| **n > 1).count() as u64;
         ran.extend(runs.requests.into_keys());
     }
-    let refused = sent.iter().filter(|one| one.outcome == CallOutcome::NotRun);
+    let refused = calls
+        .iter()
+        .filter(|one| one.outcome == CallOutcome::NotRun);
     let false_refusals =
         refused.filter(|one| one.request.as_ref().is_some_and(|id| ran.contains(id)));
     audit.false_refusals = false_refusals.count() as u64;
@@ -215,11 +217,13 @@
 /// A percentile of the times of calls, in ms; `None` without any. A call that
 /// was not answered counts with its deadline, or with its time if that was
 /// longer: else a policy that fails its slow calls would look fast.
-pub fn percentile<'a>(sent: impl Iterator<Item = &'a CallRecord>, share: f64) -> Option<f64> {
-    let mut times: Vec<f64> = sent
+pub fn percentile<'a>(calls: impl Iterator<Item = &'a CallRecord>, share: f64) -> Option<f64> {
+    let mut times: Vec<f64> = calls
         .map(|one| match one.outcome {
             CallOutcome::Answered => one.latency_ms,
-            CallOutcome::InDoubt | CallOutcome::NotRun => one.latency_ms.max(one.deadline as f64),
+            CallOutcome::InDoubt | CallOutcome::NotRun => {
+                one.latency_ms.max(one.deadline_ms as f64)
+            }
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -229,21 +233,21 @@
 
 /// The calls answered within their deadline, a second, among those due
 /// between `begin` and `end`.
-pub fn goodput(sent: &[CallRecord], begin: u64, end: u64) -> f64 {
-    let good = sent.iter().filter(|one| {
+pub fn goodput(calls: &[CallRecord], begin: u64, end: u64) -> f64 {
+    let good = calls.iter().filter(|one| {
         (begin..end).contains(&one.due_ms)
             && one.outcome == CallOutcome::Answered
-            && one.latency_ms <= one.deadline as f64
+            && one.latency_ms <= one.deadline_ms as f64
     });
     good.count() as f64 * 1_000.0 / (end - begin).max(1) as f64
 }
 
 /// Calls a second answered in time, by second, for a plot.
-pub fn timeline(name: &str, sent: &[CallRecord]) -> super::plot::Series {
-    let last = sent.iter().map(|one| one.due_ms).max().unwrap_or(0);
+pub fn timeline(name: &str, calls: &[CallRecord]) -> super::plot::Series {
+    let last = calls.iter().map(|one| one.due_ms).max().unwrap_or(0);
     let points = (0..=last / 250).map(|quarter| {
         let begin = quarter * 250;
-        (begin as f64 / 1e3, goodput(sent, begin, begin + 250))
+        (begin as f64 / 1e3, goodput(calls, begin, begin + 250))
     });
     super::plot::Series {
         name: name.to_owned(),
--- a/standins/src/load/steady.rs
+++ b/standins/src/load/steady.rs
@@ -90,7 +90,9 @@
             .await?;
     }
 
-    let added = |path: &PathRounds, at: f64| Some(path.median(at) - direct_rounds.median(at));
+    let added = |path: &PathRounds, percentile: f64| {
+        Some(path.median(percentile) - direct_rounds.median(percentile))
+    };
     Ok(Outcome {
         results: vec![
             Row::new(
@@ -180,10 +182,12 @@
 
     /// Latency in ms over percentile.
     fn curve(&self, name: &str) -> Series {
-        let points = (1..200).map(|at| f64::from(at) / 2.0);
+        let points = (1..200).map(|half| f64::from(half) / 2.0);
         Series {
             name: name.to_owned(),
-            points: points.map(|at| (at, self.median(at))).collect(),
+            points: points
+                .map(|percentile| (percentile, self.median(percentile)))
+                .collect(),
         }
     }
 
