--- a/standins/src/engine/handle.rs
+++ b/standins/src/engine/handle.rs
@@ -178,8 +178,8 @@
             }
             (&Method::POST, "/v1/completions") => Ok(self.complete(read_json(body).await?)),
             (&Method::POST, "/v1/kv/export") => {
-                let wanted: KvExportRequest = read_json(body).await?;
-                let mut blocks = Cache::hashes(&wanted.prompt);
+                let export: KvExportRequest = read_json(body).await?;
+                let mut blocks = Cache::hashes(&export.prompt);
                 let cached = self.state().cache.cached_prefix(&blocks);
                 blocks.truncate(cached);
                 Ok(json(StatusCode::OK, &KvBlocks { blocks }))
--- a/standins/src/load/faults.rs
+++ b/standins/src/load/faults.rs
@@ -120,8 +120,12 @@
     ]
 }
 
-fn count(trial: &Trial, end: CallOutcome) -> f64 {
-    trial.calls.iter().filter(|one| one.outcome == end).count() as f64
+fn count(trial: &Trial, outcome: CallOutcome) -> f64 {
+    trial
+        .calls
+        .iter()
+        .filter(|one| one.outcome == outcome)
+        .count() as f64
 }
 
 fn series(trials: &[Option<Trial>; 2]) -> Vec<Series> {
@@ -371,14 +375,14 @@
         fleet
     })
     .await?;
-    let others = |trial: &Trial, begin: u64, end: u64| {
+    let others_p99 = |trial: &Trial, begin: u64, end: u64| {
         let others = trial.calls.iter().filter(|one| one.team != "a");
         let due = others.filter(|one| (begin..end).contains(&one.due_ms));
         service_load::percentile(due, 0.99)
     };
-    let worse = |trial: &Trial| {
-        let quiet = others(trial, 1_000, begin)?;
-        Some(others(trial, begin + 500, end)? / quiet)
+    let p99_ratio = |trial: &Trial| {
+        let quiet = others_p99(trial, 1_000, begin)?;
+        Some(others_p99(trial, begin + 500, end)? / quiet)
     };
     let answered = |trial: &Trial| {
         let due = || {
@@ -393,13 +397,19 @@
     Ok(outcome(
         &trials,
         vec![
-            row("others' p99 / quiet", "", &trials, Aim::AtMost(1.3), worse),
+            row(
+                "others' p99 / quiet",
+                "",
+                &trials,
+                Aim::AtMost(1.3),
+                p99_ratio,
+            ),
             row("others' p50", "ms", &trials, Aim::None, |trial| {
                 let others = trial.calls.iter().filter(|one| one.team != "a");
                 service_load::percentile(others.filter(|one| one.due_ms > begin + 500), 0.5)
             }),
             row("others' quiet p99", "ms", &trials, Aim::None, |trial| {
-                others(trial, 1_000, begin)
+                others_p99(trial, 1_000, begin)
             }),
             row("others' quiet p50", "ms", &trials, Aim::None, |trial| {
                 let others = trial.calls.iter().filter(|one| one.team != "a");
--- a/standins/src/load/steady.rs
+++ b/standins/src/load/steady.rs
@@ -147,7 +147,7 @@
 /// The rounds of one path.
 #[derive(Default)]
 struct PathRounds {
-    cpu: u64,
+    cpu_ns: u64,
     rounds: Vec<LoadResult>,
 }
 
@@ -162,7 +162,7 @@
     ) -> Result<(), LoadError> {
         let before = usage::cpu_times();
         let measured = open_loop::run(client, target, rate, time).await;
-        self.cpu += usage::cpu_since(&before, threads);
+        self.cpu_ns += usage::cpu_since(&before, threads);
         if measured.answered < measured.sent {
             let lost = measured.sent - measured.answered;
             let what = format!(
@@ -177,7 +177,7 @@
 
     fn cpu_per_request(&self) -> f64 {
         let answered: u64 = self.rounds.iter().map(|one| one.answered).sum();
-        self.cpu as f64 / 1e3 / answered.max(1) as f64
+        self.cpu_ns as f64 / 1e3 / answered.max(1) as f64
     }
 
     /// Latency in ms over percentile.
