--- a/standins/src/cli/command.rs
+++ b/standins/src/cli/command.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs.
+//! The subcommands of `redwing-standin`.
 
 use super::trainer_command::TrainerCommand;
 use crate::{
@@ -19,8 +19,7 @@
     signal, //
 };
 
-/// Runs one stand-in for what redwingpond serves or is served by. SIGTERM or
-/// SIGINT ends it.
+/// Runs one stand-in for a service around redwingpond. SIGTERM or SIGINT ends it.
 #[derive(FromArgs)]
 struct StandinCommand {
     #[argh(subcommand)]
@@ -41,7 +40,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineCommand {
-    /// whether orders with an old fencing number are refused
+    /// refuse orders with an outdated fencing number
     #[argh(switch)]
     checks_fence: bool,
 
@@ -49,15 +48,15 @@
     #[argh(option)]
     listen: SocketAddr,
 
-    /// sequences in a batch at most (default: 8)
+    /// the most sequences in a batch (default: 8)
     #[argh(option, default = "8")]
     max_batch: usize,
 
-    /// the platform to copy weights from (default: none is needed)
+    /// the platform to copy weights from (default: load without a copy)
     #[argh(option)]
     platform: Option<SocketAddr>,
 
-    /// the time of one decoding step in microseconds (default: 3000)
+    /// the base time of one decoding step in microseconds (default: 3000)
     #[argh(option, default = "3000")]
     step_us: u64,
 }
@@ -66,7 +65,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformCommand {
-    /// copies of weights at once (default: 6)
+    /// the most copies of weights at once (default: 6)
     #[argh(option, default = "6")]
     copies: usize,
 
@@ -92,7 +91,7 @@
     time_ms: u64,
 }
 
-/// A plain service that counts what it ran.
+/// A plain HTTP service that counts the calls that it ran.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "service")]
 struct ServiceCommand {
@@ -114,7 +113,7 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("error: no runtime: {error}");
+            eprintln!("error: can't start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -161,6 +160,7 @@
     }
 }
 
+/// Prints the address, then waits for SIGTERM or SIGINT.
 async fn wait_for_stop(what: &str, address: SocketAddr) -> std::io::Result<ExitCode> {
     eprintln!("{what} listening at {address}");
     let mut term = signal(SignalKind::terminate())?;
--- a/standins/src/cli/trainer_command.rs
+++ b/standins/src/cli/trainer_command.rs
@@ -1,4 +1,4 @@
-//! `redwing-standin trainer`.
+//! The subcommand `redwing-standin trainer`.
 
 use crate::{
     balancer::Balancer,
@@ -12,11 +12,11 @@
     time::Duration, //
 };
 
-/// A trainer that runs some steps and checks every sample.
+/// A trainer that runs a number of steps and checks every sample.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trainer")]
 pub(super) struct TrainerCommand {
-    /// the callers' address of an entry; may be given again
+    /// an entry's address for callers; may be repeated
     #[argh(option)]
     entry: Vec<SocketAddr>,
 
@@ -24,11 +24,11 @@
     #[argh(option, default = "8")]
     groups: u32,
 
-    /// the trainer's name, which its model has too
+    /// the name of the trainer and of its model
     #[argh(option)]
     name: String,
 
-    /// the platform, where weights are published
+    /// the platform to publish weights to
     #[argh(option)]
     platform: SocketAddr,
 
@@ -36,7 +36,7 @@
     #[argh(option, default = "4")]
     samples: u32,
 
-    /// versions that a sample may be behind (default: 1)
+    /// how many weight versions a sample may be behind (default: 1)
     #[argh(option, default = "1")]
     staleness: u64,
 
@@ -54,6 +54,7 @@
 }
 
 impl TrainerCommand {
+    /// Runs the trainer and prints its report as JSON; fails if a check failed.
     pub(super) async fn run(self) -> ExitCode {
         let config = Config {
             balancer: Arc::new(Balancer::new(self.entry)),
--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -6,13 +6,13 @@
     time::Duration, //
 };
 
-/// How often a paused or idle engine looks again.
+/// How often a paused or idle engine checks for work.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The load reports kept.
+/// The load reports kept for `Faults::load_lag_ms`.
 const MAX_LOAD_REPORTS: usize = 512;
 
-/// Decodes until the engine is dropped.
+/// Runs decoding steps, one for the whole batch at a time; never returns.
 pub(super) async fn run(inner: Arc<Inner>) {
     let mut due = inner.clock.micros();
     loop {
@@ -35,7 +35,8 @@
             continue;
         }
 
-        // Steps keep to a schedule, so that a late timer is made up for.
+        // Each step is due a fixed time after the one before, so that a late timer
+        // doesn't slow decoding down: later steps catch up, by 20 ms at most.
         let step = inner.tuning.step_us + inner.tuning.step_each_us * batch as u64;
         due += step * slow;
         let wait = due.saturating_sub(inner.clock.micros());
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! A bounded prefix cache.
+//! A bounded prefix cache of prompt blocks.
 
 use redwingpond::base::stable_hash;
 use serde::Serialize;
@@ -7,31 +7,38 @@
     VecDeque, //
 };
 
-/// The characters of one block.
+/// The size of a block of prompt text.
 const BLOCK_BYTES: usize = 64;
 
-/// The events kept for those who ask.
+/// The events kept for `GET /v1/events`.
 const MAX_EVENTS: usize = 4_096;
 
-/// A change of the cache.
+/// A block added to the cache or evicted from it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct CacheEvent {
+    /// False for an eviction.
     pub added: bool,
+    /// The time of the change in milliseconds.
     pub at: u64,
+    /// The hash of the block.
     pub block: u64,
     pub sequence: u64,
 }
 
-/// Blocks of prompts by a hash over all that goes before, least used first out.
+/// The cached blocks, each known by a hash over the text up to its end. The least
+/// recently used block is evicted first.
 #[derive(Debug)]
 pub struct Cache {
-    /// When each block was used last.
+    /// The value of `uses` when each block was used last.
     blocks: HashMap<u64, u64>,
+    /// In blocks.
     capacity: usize,
     pub events: VecDeque<CacheEvent>,
     pub hits: u64,
     pub misses: u64,
+    /// The number of the last event.
     sequence: u64,
+    /// Counts the uses of all blocks.
     uses: u64,
 }
 
@@ -49,7 +56,7 @@
         }
     }
 
-    /// The hashes of a text's blocks, each covering all before it.
+    /// The hashes of a text's blocks; each also covers the blocks before it.
     pub fn hashes(text: &str) -> Vec<u64> {
         let mut before = 0_u64;
         text.as_bytes()
@@ -61,13 +68,14 @@
             .collect()
     }
 
-    /// Those of `hashes` that are here, up to the first that is not.
+    /// How many of `hashes` are cached, counted up to the first that is not.
     pub fn cached_prefix(&self, hashes: &[u64]) -> usize {
         let cached = hashes.iter().take_while(|h| self.blocks.contains_key(h));
         cached.count()
     }
 
-    /// Takes blocks in; returns how many were missing.
+    /// Adds blocks, or marks them as used; returns how many follow the cached
+    /// prefix.
     pub fn insert(&mut self, now: u64, hashes: &[u64]) -> usize {
         let cached = self.cached_prefix(hashes);
         self.hits += cached as u64;
@@ -82,6 +90,7 @@
         hashes.len() - cached
     }
 
+    /// Removes the least recently used blocks above the capacity.
     fn evict(&mut self, now: u64) {
         while self.blocks.len() > self.capacity {
             let oldest = self.blocks.iter().min_by_key(|(_, used)| **used);
--- a/standins/src/engine/faults.rs
+++ b/standins/src/engine/faults.rs
@@ -1,28 +1,28 @@
-//! What goes wrong at an engine on command.
+//! The faults of a stand-in engine.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// The faults in force. The counted ones run out.
+/// Faults that an engine injects on request. Counts go down with each use.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every which cache event is lost; 0 for none.
+    /// Every n-th cache event is left out; 0 leaves out none.
     pub event_gap: u64,
-    /// How late cache events are told.
+    /// How late cache events are reported.
     pub event_lag_ms: u64,
-    /// Loads that fail partway and leave mixed weights.
+    /// How many of the next loads fail halfway and leave mixed weights.
     pub fail_swaps: u32,
     /// How far the load report lags behind.
     pub load_lag_ms: u64,
-    /// Orders that are done but whose answer is lost.
+    /// How many of the next orders are carried out but not answered.
     pub lose_orders: u32,
-    /// The present streams go silent; later ones work.
+    /// The running streams go silent; streams begun later work.
     pub mute: bool,
-    /// Nothing happens and nothing is answered.
+    /// No token is generated, and no request but `/admin/faults` is answered.
     pub paused: bool,
-    /// Each decoding step takes this many times as long; 0 means once.
+    /// A factor on the time of each decoding step; 0 counts as 1.
     pub slow: u64,
 }
--- a/standins/src/engine/handle.rs
+++ b/standins/src/engine/handle.rs
@@ -1,4 +1,4 @@
-//! A running stand-in of a model engine.
+//! The stand-in engine's handle and its HTTP interface.
 
 use super::{
     Faults,
@@ -43,7 +43,7 @@
     task::JoinHandle, //
 };
 
-/// A running stand-in; dropping it ends it.
+/// A running engine; dropping it stops it.
 pub struct Engine {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -55,24 +55,28 @@
     pub(super) clock: Clock,
     state: Mutex<State>,
     pub(super) tuning: Tuning,
+    /// Wakes the decoding loop when a sequence was added.
     pub(super) work_added: Notify,
 }
 
-/// The tokens that may wait in one stream.
+/// The items that wait in one stream for a slow reader. Decoding of the sequence
+/// stops while the stream is full.
 const STREAM_CAPACITY: usize = 256;
 
+/// The body that `/v1/kv/export` answers and `/v1/kv/import` takes.
 #[derive(Deserialize, Serialize)]
 struct KvBlocks {
     blocks: Vec<u64>,
 }
 
+/// The body of `/v1/kv/export`.
 #[derive(Deserialize)]
 struct KvExportRequest {
     prompt: String,
 }
 
 impl Engine {
-    /// Opens an engine.
+    /// Starts an engine that listens at `address`.
     pub async fn open(address: SocketAddr, tuning: Tuning) -> io::Result<Self> {
         let clock = Clock::open();
         let state = State::new(&tuning, clock.now().0);
@@ -92,25 +96,26 @@
         })
     }
 
-    /// Prefix blocks found in the cache, and those not found.
+    /// The prefix blocks found in the cache, and those not found.
     pub fn cache_hits(&self) -> (u64, u64) {
         let state = self.inner.state();
         (state.cache.hits, state.cache.misses)
     }
 
-    /// Crashes the engine: every connection is cut and everything forgotten.
-    /// It boots again after `down`.
+    /// Crashes the engine: closes every connection and clears the state but the
+    /// prompts seen. The engine boots again after `down`.
     pub fn crash(&self, down: Duration) {
         let (inner, up) = (self.inner.clone(), self.server.switch());
         crash(&inner, &up, down);
     }
 
-    /// The tokens made so far.
+    /// The tokens generated since the last boot.
     pub fn tokens_produced(&self) -> u64 {
         self.inner.state().tokens_produced
     }
 
-    /// Whether a generation of this prompt and seed was ever begun here.
+    /// Whether a generation with this prompt and seed ever began here, also before
+    /// a crash.
     pub fn has_seen(&self, prompt: &str, seed: u64) -> bool {
         self.inner.state().seen.contains(&(prompt.to_owned(), seed))
     }
@@ -203,6 +208,7 @@
         }
     }
 
+    /// Queues a completion and answers with its stream.
     fn complete(&self, completion: Completion) -> Answer {
         let (out, tokens) = mpsc::channel(STREAM_CAPACITY);
         let mut state = self.state();
@@ -234,6 +240,7 @@
         stream_response(tokens)
     }
 
+    /// Answers with the cache events after the query's `since`.
     fn events(&self, query: &str) -> Answer {
         let since = query.strip_prefix("since=").and_then(|n| n.parse().ok());
         let since: u64 = since.unwrap_or(0);
@@ -250,6 +257,7 @@
         json(StatusCode::OK, &events)
     }
 
+    /// Answers with the newest load report that is old enough for the lag.
     fn load_report(&self) -> Answer {
         let state = self.state();
         let until = self.clock.now().0.saturating_sub(state.faults.load_lag_ms);
@@ -261,6 +269,7 @@
     }
 }
 
+/// An event stream of `tokens`, ended by `[DONE]`.
 fn stream_response(tokens: mpsc::Receiver<StreamItem>) -> Answer {
     let frames = futures_util::stream::unfold(Some(tokens), |state| async {
         let mut tokens = state?;
@@ -274,8 +283,8 @@
                 let both = [last.into_data().unwrap_or_default(), done].concat();
                 Some((Ok(Frame::data(Bytes::from(both))), None))
             }
-            // The engine crashed: the stream is cut without its end marker.
-            None => Some((Err(io::Error::other("crashed")), None)),
+            // The engine crashed: the stream breaks off without its end marker.
+            None => Some((Err(io::Error::other("the engine crashed")), None)),
         }
     });
     let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
@@ -286,6 +295,7 @@
     answer
 }
 
+/// One chunk of a completion as a server-sent event.
 fn chunk_frame(text: Option<String>, finish: Option<&str>) -> Frame<Bytes> {
     let chunk = Chunk {
         choices: vec![Choice {
--- a/standins/src/engine/orders.rs
+++ b/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! How a stand-in engine does orders.
+//! How a stand-in engine carries out orders.
 
 use super::{
     handle::Inner,
@@ -19,7 +19,7 @@
 const COPY_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Inner {
-    /// Does an order; returns the status to answer with.
+    /// Carries out an order; returns the status of the answer.
     pub(super) async fn execute_order(&self, order: Order) -> StatusCode {
         {
             let mut state = self.state();
@@ -38,6 +38,8 @@
         }
     }
 
+    /// Copies and swaps in a version. The model can't generate during the swap; a
+    /// failed swap leaves mixed weights.
     async fn load_model(&self, model: &str, version: u64) -> StatusCode {
         if !self.copy_weights(model, version).await {
             return StatusCode::BAD_GATEWAY;
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Copies weights from the store, as fast as its rate limit allows.
+    /// Copies weights from the weight store, which delays them by its rate limit;
+    /// false if the store has no such version.
     async fn copy_weights(&self, model: &str, version: u64) -> bool {
         let Some(store) = self.tuning.weights else {
             return true;
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! All that a stand-in engine holds.
+//! A stand-in engine's state: models, sequences and prefix cache.
 
 use super::{
     Faults,
@@ -17,56 +17,63 @@
 };
 use tokio::sync::mpsc;
 
-/// What a sequence's stream carries.
+/// An item of a sequence's stream.
 #[derive(Debug)]
 pub(super) enum StreamItem {
     Finished(Finish),
     Token(String),
 }
 
-/// One generation in the engine.
+/// One generation, waiting or in the batch.
 pub(super) struct Sequence {
+    /// The tokens after which the generation ends.
     pub(super) length: u32,
     pub(super) max_tokens: u32,
     pub(super) model: String,
     /// The index of the next token.
     pub(super) next: u32,
     pub(super) out: mpsc::Sender<StreamItem>,
+    /// The smallest number enters the batch first.
     pub(super) priority: u8,
     pub(super) prompt: String,
-    /// When its prompt will have been taken in, in microseconds.
+    /// When the prefill of its prompt ends, in microseconds.
     pub(super) ready_at: u64,
     pub(super) seed: u64,
+    /// Set by `Faults::mute`: no more tokens are sent, and the stream stays open.
     pub(super) muted: bool,
 }
 
-/// A model in the engine.
+/// A model that is loaded or being loaded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Model {
     pub(super) loading: bool,
+    /// Loads begun since the boot.
     pub(super) loads: u64,
-    /// The version that makes tokens now; `None` for mixed weights.
+    /// The version that generates tokens; `None` for mixed weights.
     pub(super) version: Option<u64>,
 }
 
-/// An engine from one boot to the next.
+/// The state of an engine; a crash replaces all of it but `seen`.
 pub(super) struct State {
+    /// The time of the boot in milliseconds, which tells boots apart.
     pub(super) boot: u64,
     pub(super) cache: Cache,
     pub(super) faults: Faults,
+    /// The highest fence of any order.
     pub(super) fence: Fence,
-    /// Load reports of late: time, running, waiting.
+    /// The latest load reports: time in milliseconds, running and waiting sequences.
     pub(super) load_reports: VecDeque<(u64, usize, usize)>,
     pub(super) models: BTreeMap<String, Model>,
     pub(super) tokens_produced: u64,
+    /// The batch.
     pub(super) running: Vec<Sequence>,
-    /// The prompts and seeds that were ever asked for.
+    /// The prompts and seeds of all requests, also from before a crash.
     pub(super) seen: HashSet<(String, u64)>,
     pub(super) waiting: Vec<Sequence>,
 }
 
 impl State {
-    /// An engine just booted, which holds nothing but `base` at version 0.
+    /// The state after a boot: only the model `base`, at version 0.
     pub(super) fn new(tuning: &Tuning, boot: u64) -> Self {
         let base = Model {
             loading: false,
@@ -87,7 +94,7 @@
         }
     }
 
-    /// The state as the engine tells it.
+    /// The state as `GET /v1/state` reports it.
     pub(super) fn wire_state(&self, tuning: &Tuning) -> EngineState {
         let models = self.models.iter().map(|(name, model)| {
             let version = model.version.filter(|_| !model.loading);
@@ -104,7 +111,8 @@
         }
     }
 
-    /// Moves waiting sequences into the batch, the most urgent first.
+    /// Moves waiting sequences into the batch, the smallest priority number first,
+    /// and in order of arrival within it.
     pub(super) fn admit(&mut self, max_batch: usize) {
         while self.running.len() < max_batch {
             let first = self.waiting.iter().enumerate();
@@ -116,7 +124,7 @@
         }
     }
 
-    /// Makes one token for each sequence of the batch that can go on.
+    /// Generates one token for each sequence of the batch that isn't blocked.
     pub(super) fn decode_step(&mut self, now_us: u64) {
         let models = &self.models;
         let mut tokens_produced = 0;
@@ -137,7 +145,8 @@
 }
 
 impl Sequence {
-    /// Makes the next token; false when it was the last or nobody listens.
+    /// Sends the next token, and after the last one the finish reason. Returns false
+    /// when the sequence leaves the batch: it has ended or its stream was closed.
     fn produce_token(&mut self, version: u64) -> bool {
         if self.next < self.length {
             let text = truth::token(&self.prompt, self.seed, self.next, version);
--- a/standins/src/engine/tuning.rs
+++ b/standins/src/engine/tuning.rs
@@ -1,4 +1,4 @@
-//! How fast a stand-in engine is.
+//! The speed and the limits of a stand-in engine.
 
 use serde::{
     Deserialize,
@@ -6,27 +6,27 @@
 };
 use std::net::SocketAddr;
 
-/// An engine's measures.
+/// An engine's timings, limits and options.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Tuning {
-    /// Prefix blocks that the cache holds.
+    /// The capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fence: bool,
-    /// Sequences in a batch at most.
+    /// The most sequences in a batch.
     pub max_batch: usize,
-    /// Models held at once.
+    /// The most models loaded at once.
     pub max_models: usize,
-    /// The time of one decoding step, in microseconds, for an empty batch.
+    /// The base time of one decoding step, in microseconds.
     pub step_us: u64,
-    /// What each sequence of the batch adds to it.
+    /// The time that each sequence of the batch adds to a step, in microseconds.
     pub step_each_us: u64,
-    /// The time to take in one block of a prompt that is not cached.
+    /// The prefill time of each prompt block that isn't cached, in microseconds.
     pub prefill_us: u64,
-    /// How long a load takes beside the copy from the weight store.
+    /// The time of a load after the copy from the weight store, in milliseconds.
     pub swap_ms: u64,
-    /// The weight store; without one every version is at hand.
+    /// The weight store; without one, every version loads without a copy.
     pub weights: Option<SocketAddr>,
 }
 
--- a/standins/src/platform/faults.rs
+++ b/standins/src/platform/faults.rs
@@ -1,20 +1,20 @@
-//! What goes wrong at the platform on command.
+//! The faults of the stand-in platform.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// The faults in force.
+/// Faults that the platform injects on request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Added to every answer of table, objects and list.
+    /// Added to each request to the table, the objects and the instance list.
     pub delay_ms: u64,
-    /// How long the instance list lags behind.
+    /// How far the instance list lags behind.
     pub lag_ms: u64,
-    /// The answers to the next writes are lost after the writes took effect.
+    /// How many of the next table transactions take effect but get no answer.
     pub lose_answers: u32,
-    /// Nothing answers.
+    /// The table, the objects and the instance list answer nothing.
     pub outage: bool,
 }
--- a/standins/src/platform/handle.rs
+++ b/standins/src/platform/handle.rs
@@ -1,4 +1,4 @@
-//! A running stand-in of the platform.
+//! The stand-in platform's handle and its HTTP interface.
 
 use super::{
     Faults,
@@ -33,7 +33,7 @@
     time::Duration, //
 };
 
-/// Requests answered, by kind.
+/// The numbers of requests by kind. Failed writes and repeated ones count too.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Counts {
     pub list_reads: u64,
@@ -43,7 +43,7 @@
     pub table_writes: u64,
 }
 
-/// A running stand-in.
+/// A running platform; dropping it stops it.
 pub struct Platform {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -60,17 +60,19 @@
 struct State {
     counts: Counts,
     faults: Faults,
-    /// Lists by the time from which each is true, oldest first.
+    /// The versions of the instance list, oldest first, each with the time in
+    /// milliseconds from which it holds.
     instance_lists: VecDeque<(u64, BTreeMap<String, Instance>)>,
     objects: BTreeMap<String, Bytes>,
     table: Table,
 }
 
-/// How long the outage of a request hangs before its connection is cut.
+/// How long a request hangs during an outage before its connection is closed.
 const OUTAGE_HANG: Duration = Duration::from_millis(300);
 
 impl Platform {
-    /// Opens a platform whose weight store copies `slots` at once, each in `copy`.
+    /// Starts a platform whose weight store runs up to `max_copies` copies at once,
+    /// each taking `copy_time`.
     pub async fn open(
         address: SocketAddr,
         max_copies: usize,
@@ -90,12 +92,12 @@
         })
     }
 
-    /// The requests answered so far.
+    /// The numbers of requests so far.
     pub fn counts(&self) -> Counts {
         self.inner.state().counts
     }
 
-    /// Writes settings at an operator's path, whatever is there.
+    /// Writes settings at an operator's path, over any existing ones.
     pub fn apply(&self, path: &str, value: &str) {
         let mut state = self.inner.state();
         let path = format!("{}{path}", redwingpond::settings::ROOT);
@@ -115,7 +117,7 @@
         self.inner.weights.publish(model, version);
     }
 
-    /// Adds or replaces an instance in the list.
+    /// Adds an instance to the list, or replaces it.
     pub fn put_instance(&self, instance: Instance) {
         self.inner.update_instances(|list| {
             list.insert(instance.name.clone(), instance);
@@ -254,6 +256,7 @@
         }
     }
 
+    /// Changes the instance list and keeps the old version for `lag_ms`.
     fn update_instances(&self, change: impl FnOnce(&mut BTreeMap<String, Instance>)) {
         let now = self.clock.now().0;
         let mut state = self.state();
@@ -272,6 +275,7 @@
 }
 
 impl State {
+    /// The instance list as it was at `at`.
     fn instances_at(&self, at: u64) -> Vec<Instance> {
         let mut lists = self.instance_lists.iter().rev();
         let list = lists.find(|(since, _)| *since <= at);
@@ -296,7 +300,7 @@
     }
 }
 
-/// Adds the tag of an answer's content, or answers that it has not changed.
+/// Adds an `ETag` made from the content, or answers 304 if the client knows it.
 async fn with_etag(answer: Answer, known: Option<&HeaderValue>) -> io::Result<Answer> {
     let (parts, body) = answer.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
--- a/standins/src/platform/table.rs
+++ b/standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table.
+//! A versioned table with transactions, held in memory.
 
 use redwingpond::table::{
     Listing,
@@ -11,10 +11,11 @@
     HashMap, //
 };
 
-/// Rows by path, and the outcomes of operations by their token.
+/// Rows by path, and the outcomes of transactions by their token.
 #[derive(Debug, Default)]
 pub struct Table {
     outcomes: HashMap<String, Written>,
+    /// The version of the rows written last.
     revision: u64,
     rows: BTreeMap<String, Row>,
 }
@@ -25,7 +26,8 @@
         self.rows.get(path)
     }
 
-    /// All rows whose path begins with `prefix`.
+    /// All rows whose path begins with `prefix`; their highest version is the
+    /// listing's revision.
     pub fn list(&self, prefix: &str) -> Listing {
         let rows = self.rows.iter();
         let rows = rows.filter(|(path, _)| path.starts_with(prefix));
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Does all writes or none; a repeated token returns the first outcome.
+    /// Applies all writes or none. A repeated token returns the first outcome again
+    /// and writes nothing.
     pub fn transact(&mut self, transaction: Transaction) -> Written {
         if let Some(outcome) = self.outcomes.get(&transaction.token) {
             return outcome.clone();
@@ -48,6 +51,7 @@
         outcome
     }
 
+    /// Applies the writes if every row has its expected version; 0 expects no row.
     fn write(&mut self, transaction: &Transaction) -> Written {
         for write in &transaction.writes {
             let version = self.rows.get(&write.path).map_or(0, |row| row.version);
--- a/standins/src/platform/weights.rs
+++ b/standins/src/platform/weights.rs
@@ -1,4 +1,4 @@
-//! The rate-limited weight store.
+//! The weight store, whose copies are limited.
 
 use std::{
     collections::BTreeSet,
@@ -7,16 +7,18 @@
 };
 use tokio::sync::Semaphore;
 
-/// Published weights, copied out at a bounded rate.
+/// The published weights. It keeps no weights, only simulates the time of copies.
 #[derive(Debug)]
 pub struct Weights {
+    /// How long one copy takes.
     copy_time: Duration,
+    /// Models and their published versions.
     published: Mutex<BTreeSet<(String, u64)>>,
     copy_permits: Semaphore,
 }
 
 impl Weights {
-    /// A store in which `slots` copies go on at once, each taking `copy`.
+    /// A store that runs up to `max_copies` at once, each taking `copy_time`.
     pub fn new(max_copies: usize, copy_time: Duration) -> Self {
         Self {
             copy_time,
@@ -25,7 +27,8 @@
         }
     }
 
-    /// Copies weights out; false when there are none.
+    /// Waits for a permit and for the time of a copy; false if the version was not
+    /// published.
     pub async fn copy(&self, model: &str, version: u64) -> bool {
         let key = (model.to_owned(), version);
         let known = {
@@ -44,7 +47,7 @@
         true
     }
 
-    /// Makes weights available.
+    /// Makes a version available.
     pub fn publish(&self, model: &str, version: u64) {
         let mut published = self
             .published
--- a/standins/src/trainer.rs
+++ b/standins/src/trainer.rs
@@ -1,5 +1,5 @@
-//! A trainer's stand-in: asks for steps, trains, publishes weights, and checks
-//! every sample it gets.
+//! A stand-in for a trainer: submits steps, simulates training, publishes
+//! weights, and checks every sample that it receives.
 
 mod api;
 mod check;
--- a/standins/src/trainer/api.rs
+++ b/standins/src/trainer/api.rs
@@ -1,4 +1,4 @@
-//! A trainer's requests to the entries.
+//! The trainer's requests to entries and to the weight store.
 
 use super::{
     Config,
@@ -19,7 +19,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// A group as it is delivered.
+/// The delivered samples of a group.
 #[derive(Debug, Deserialize)]
 pub(super) struct Group {
     pub(super) group: u32,
@@ -37,23 +37,23 @@
 
 /// How a fetch went.
 pub(super) enum Fetch {
-    /// To be asked again after a while.
+    /// The fetch failed: repeat it after a delay.
     Retry,
     Received(Fetched),
-    /// The owner doesn't know the step: it is to be submitted again.
+    /// The owner doesn't know the step: submit it again.
     Unknown,
 }
 
-/// A trainer's connection to the service.
+/// The client of one trainer.
 pub(super) struct Api<'a> {
     client: Client,
     config: &'a Config,
 }
 
-/// How long a fetch is held by the owner.
+/// How long the owner may hold a fetch open until there are new samples.
 const FETCH_WAIT_MS: u64 = 1_000;
 
-/// How long any request may take.
+/// The timeout of every request. It exceeds [`FETCH_WAIT_MS`].
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl<'a> Api<'a> {
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Fetches the samples of a step that are not in `have`.
     pub(super) async fn fetch(&self, step: u64, have: &Bitmap, version: u64, epoch: u64) -> Fetch {
         let body = serde_json::json!({
             "epoch": epoch,
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Publishes weights and tells that the trainer is at them.
+    /// Publishes weights and reports their version as the trainer's own. Repeats
+    /// both until they succeed.
     pub(super) async fn publish(&self, version: u64) {
         let path = format!("/weights/{}/{version}", self.config.model);
         let platform = self.config.platform;
@@ -101,13 +103,14 @@
         self.post_until_accepted("version", &body.to_string()).await;
     }
 
+    /// Submits a step, until it is accepted.
     pub(super) async fn submit(&self, step: u64, spec: &StepSpec) {
         let body = serde_json::to_string(spec).unwrap_or_default();
         self.post_until_accepted(&format!("steps/{step}"), &body)
             .await;
     }
 
-    /// Repeats a request until it is accepted; repeats are harmless.
+    /// Repeats a request until it is accepted. A repeat has no further effect.
     async fn post_until_accepted(&self, path: &str, body: &str) {
         loop {
             let answer = self.post(path, body.to_owned()).await;
@@ -129,7 +132,7 @@
     }
 }
 
-/// The wait before a request is made again.
+/// Waits before a request is repeated.
 pub(super) async fn wait_before_retry() {
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
--- a/standins/src/trainer/check.rs
+++ b/standins/src/trainer/check.rs
@@ -1,4 +1,4 @@
-//! Checks one delivered sample against what engines really make.
+//! Checks a delivered sample against what the stand-in engines generate.
 
 use super::Report;
 use crate::truth;
@@ -8,17 +8,20 @@
 };
 use serde::Deserialize;
 
-/// A sample as it is delivered.
+/// A delivered sample.
 #[derive(Debug, Deserialize)]
 pub(super) struct Sample {
+    /// The position in the group.
     pub(super) index: u32,
+    /// The position in the step.
     pub(super) number: u32,
     pub(super) score: f64,
     pub(super) tokens: Vec<String>,
     pub(super) weight_versions: Vec<Span>,
 }
 
-/// Counts what is wrong with `sample` of `group` into `report`.
+/// Checks `sample` of `group` at the trainer's weight version, and counts its
+/// faults and its staleness in `report`.
 pub(super) fn check(
     report: &mut Report,
     spec: &StepSpec,
--- a/standins/src/trainer/config.rs
+++ b/standins/src/trainer/config.rs
@@ -1,4 +1,4 @@
-//! What a stand-in trainer does.
+//! The configuration of a stand-in trainer.
 
 use crate::balancer::Balancer;
 use redwingpond::{
@@ -11,30 +11,34 @@
     time::Duration, //
 };
 
-/// A trainer's work.
+/// A trainer's identity, its addresses, and the size and number of its steps.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub balancer: Arc<Balancer>,
+    /// Groups in each step.
     pub groups: u32,
     pub max_tokens: u32,
     pub model: String,
     /// The trainer's name.
     pub name: String,
-    /// Where weights are published.
+    /// The platform, to whose weight store versions are published.
     pub platform: SocketAddr,
+    /// The groups take these prompts in turn.
     pub prompts: Vec<String>,
     /// Samples in each group.
     pub samples: u32,
     pub seed: u64,
+    /// How many versions a sample's oldest tokens may be behind the trainer's.
     pub max_staleness: u64,
+    /// The number of steps to run.
     pub steps: u64,
     pub team: String,
-    /// How long training on one step takes.
+    /// How long the training on one step takes.
     pub train_time: Duration,
 }
 
 impl Config {
-    /// What step `step` asks for at weight version `version`.
+    /// The specification of step `step` at weight version `version`.
     pub fn spec(&self, step: u64, version: u64) -> StepSpec {
         let groups = (0..self.groups).map(|group| {
             let at = step * u64::from(self.groups) + u64::from(group);
--- a/standins/src/trainer/report.rs
+++ b/standins/src/trainer/report.rs
@@ -1,39 +1,46 @@
-//! What a stand-in trainer saw.
+//! The report of a stand-in trainer's run.
 
 use serde::Serialize;
 
-/// The outcome of a trainer's run, by its own checks.
+/// Counts and times of a trainer's run, from its own checks.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
+    /// Samples that the steps asked for.
     pub asked: u64,
+    /// Samples that came, each counted once.
     pub delivered: u64,
+    /// Samples that came again.
     pub duplicate: u64,
-    /// Requests that were refused or failed and made again.
+    /// Fetches that failed or came from an old owner, and were repeated.
     pub failed_requests: u64,
-    /// Time without anything to train on, in milliseconds.
+    /// Time spent waiting for samples, in milliseconds.
     pub idle_ms: u64,
+    /// Samples whose text doesn't match their weight versions.
     pub misversioned: u64,
+    /// Samples that never came.
     pub missing: u64,
-    /// Samples that are not whole, or whose score is not theirs.
+    /// Samples with too few or too many tokens, or with a wrong score.
     pub partial: u64,
-    /// Samples made more than once, as the owner counts them.
+    /// Samples generated again, as counted by the owner.
     pub regenerated: u64,
+    /// Samples beyond the limit of staleness.
     pub stale: u64,
-    /// How far each sample was behind at its delivery.
+    /// How many versions each sample was behind at its delivery.
     pub staleness: Vec<u64>,
-    /// How long each step took from its submission, in milliseconds.
+    /// The time of each step from its submission to its last sample, in milliseconds.
     pub step_ms: Vec<u64>,
+    /// Samples whose versions don't cover all of their tokens.
     pub unversioned: u64,
     pub wall_ms: u64,
 }
 
 impl Report {
-    /// The share of the time that the trainer was idle.
+    /// The fraction of the run that the trainer waited for samples.
     pub fn idle_fraction(&self) -> f64 {
         self.idle_ms as f64 / self.wall_ms.max(1) as f64
     }
 
-    /// Whether every promise about samples held.
+    /// Whether all samples came once and passed their checks.
     pub fn passed(&self) -> bool {
         let violations = self.duplicate
             + self.misversioned
@@ -44,7 +51,7 @@
         violations == 0
     }
 
-    /// A percentile of the staleness, `share` from 0 to 1.
+    /// A quantile of the staleness, `share` from 0 to 1.
     pub fn staleness_quantile(&self, share: f64) -> u64 {
         let mut sorted = self.staleness.clone();
         sorted.sort_unstable();
--- a/standins/src/trainer/run.rs
+++ b/standins/src/trainer/run.rs
@@ -1,4 +1,5 @@
-//! A trainer's loop: wait for a step, train on it while the next one is made.
+//! The trainer's loop: wait for a step's samples, submit the next step, and train
+//! while its samples are generated.
 
 use super::{
     Config,
@@ -15,7 +16,7 @@
     Ordering, //
 };
 
-/// Runs all steps; `progress` counts samples as they come.
+/// Runs all steps; counts each new sample in `progress`.
 pub async fn run(config: &Config, progress: &AtomicU64) -> Report {
     let clock = Clock::open();
     let started = clock.now();
@@ -53,21 +54,23 @@
     trainer.report
 }
 
+/// The state of a run.
 struct Trainer<'a> {
     api: Api<'a>,
     clock: Clock,
-    /// The highest owner's epoch seen; answers from older ones are refused.
+    /// The highest epoch of an owner so far; answers from older owners are dropped.
     epoch: u64,
     progress: &'a AtomicU64,
     report: Report,
+    /// The weight version that the trainer has reached.
     version: u64,
 }
 
-/// A step that is not whole after this long is given up, and counted missing.
+/// After this time a step is given up, and its remaining samples count as missing.
 const STEP_TIMEOUT_MS: u64 = 60_000;
 
 impl Trainer<'_> {
-    /// Fetches until the step is whole.
+    /// Fetches until all samples of the step have come, or the step is given up.
     async fn collect_step(&mut self, step: u64, spec: &StepSpec) {
         let mut have = Bitmap::default();
         let wanted = spec.samples();
@@ -103,6 +106,7 @@
         self.report.missing += u64::from(wanted - have.count());
     }
 
+    /// Counts and checks a delivered sample.
     fn record_sample(
         &mut self,
         spec: &StepSpec,
