--- a/standins/src/demo/command.rs
+++ b/standins/src/demo/command.rs
@@ -15,17 +15,17 @@
     process::ExitCode, //
 };
 
-/// Shows redwingpond at work in one process over real loopback sockets: a
-/// platform, three entries, both users' deployments scaled down, trainers and
-/// application calls, an engine crash and graceful stops on the way. Exits
-/// with 1 if a promise was broken.
+/// Runs redwingpond in one process over real loopback sockets: a platform,
+/// three entries, both users' deployments scaled down, trainers and application
+/// calls. Crashes an engine and stops an agent and an entry on the way. Exits
+/// with 1 if a guarantee was violated.
 #[derive(FromArgs)]
 struct DemoCommand {
-    /// only check the deployments' files and the prompts, then exit
+    /// check the deployment files and the prompts, then exit
     #[argh(switch)]
     check: bool,
 
-    /// a deployment's file; may be given again (default: both examples)
+    /// a deployment file; may be repeated (default: both examples)
     #[argh(option)]
     deployment: Vec<PathBuf>,
 
@@ -37,11 +37,11 @@
     #[argh(option, default = "String::from(\"off\")")]
     log: String,
 
-    /// the prompts, one JSON object with `prompt` a line
+    /// the file of prompts: on each line a JSON object with `prompt`
     #[argh(option, default = "PathBuf::from(\"examples/prompts.jsonl\")")]
     prompts: PathBuf,
 
-    /// the seed of all that is drawn at random (default: 1)
+    /// the seed of all random choices (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
 }
@@ -79,7 +79,7 @@
     let summary = match runtime {
         Ok(runtime) => runtime.block_on(run(&settings)),
         Err(error) => {
-            eprintln!("error: no runtime: {error}");
+            eprintln!("error: can't start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -101,6 +101,7 @@
     }
 }
 
+/// Prints an error; returns the exit code for it.
 fn fail(error: &super::DemoError) -> ExitCode {
     eprintln!("error: {error}");
     match error.is_usage() {
--- a/standins/src/demo/disruptions.rs
+++ b/standins/src/demo/disruptions.rs
@@ -1,4 +1,4 @@
-//! What happens on the way: a crash and graceful stops.
+//! The disruptions during the demo: an engine crash and graceful stops.
 
 use crate::fleet::{
     Backend,
@@ -10,18 +10,21 @@
     time::Duration, //
 };
 
-/// How long a crashed engine is down.
+/// How long the crashed engine is down.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(800);
 
-/// What the director did.
+/// The disruptions that happened.
 #[derive(Default)]
 pub(super) struct Disruptions {
+    /// Graceful stops that cut something off, or failed.
     pub(super) cut_by_stops: u64,
+    /// Each disruption with its time, as text.
     pub(super) events: Vec<String>,
 }
 
-/// Crashes an engine at a quarter of the samples, stops an agent at a half,
-/// and an entry at three fifths, each while everything goes on.
+/// Crashes an engine after a quarter of the samples, replaces an agent after a
+/// half, and stops an entry after three fifths, all under load. `progress` counts
+/// the samples delivered, `total` is their final number.
 pub(super) async fn disrupt(fleet: &mut Fleet, progress: &AtomicU64, total: u64) -> Disruptions {
     let clock = Clock::open();
     let mut disruptions = Disruptions::default();
@@ -70,6 +73,7 @@
     disruptions
 }
 
+/// Waits until `samples` samples are delivered.
 async fn wait_for_samples(progress: &AtomicU64, samples: u64) {
     while progress.load(Ordering::Relaxed) < samples {
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The demo: both users' deployments at work, with failures on the way.
+//! The demo: both users' deployments, scaled down, with a crash and graceful stops.
 
 mod command;
 mod disruptions;
--- a/standins/src/demo/run.rs
+++ b/standins/src/demo/run.rs
@@ -1,4 +1,4 @@
-//! Runs the demo's fleet, trainers and callers, and judges what came of it.
+//! Runs the demo's fleet, trainers and callers, and checks the results.
 
 use super::{
     disruptions::{Disruptions, disrupt},
@@ -31,9 +31,10 @@
 };
 use tokio::task::JoinSet;
 
-/// What the demo is run with.
+/// The demo's input files and seed.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The deployment files.
     pub plans: Vec<PathBuf>,
     pub prompts: PathBuf,
     pub seed: u64,
@@ -62,19 +63,20 @@
 }
 
 impl DemoError {
-    /// Whether the fault is in what the user gave.
+    /// Whether the input files cause the error.
     pub fn is_usage(&self) -> bool {
         !matches!(self, Self::Fleet { .. })
     }
 }
 
+/// A line of the prompts file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PromptLine {
     prompt: String,
 }
 
-/// How long application calls go on at the least and at the most.
+/// How long application calls are sent, however long the trainers run.
 const CALL_TIME: Duration = Duration::from_secs(10);
 
 /// Runs the demo.
@@ -157,6 +159,8 @@
     all.collect()
 }
 
+/// Prints the number of delivered samples every second; on a terminal, over the
+/// line printed before.
 async fn show_progress(progress: Arc<AtomicU64>, total: u64) {
     let terminal = std::io::stderr().is_terminal();
     loop {
@@ -195,7 +199,8 @@
     }
 }
 
-/// Judges calls by what services and engines ran, not by our own counters.
+/// Adds the calls' outcomes, and checks them against the runs that the stand-in
+/// services and engines recorded.
 fn check_calls(summary: &mut Summary, fleet: &Fleet, calls: &[CallResults]) {
     let mut ran: HashSet<String> = HashSet::new();
     for member in &fleet.members {
@@ -221,6 +226,7 @@
     }
 }
 
+/// Whether an engine began the chat of a failure that said "not run".
 fn engine_ran(fleet: &Fleet, refused: &Refusal) -> bool {
     let Some((prompt, seed)) = &refused.prompt else {
         return false;
@@ -231,7 +237,7 @@
     })
 }
 
-/// Checks what the demo would be run with.
+/// Checks the input files without running the demo.
 pub fn check(settings: &Settings) -> Result<(), DemoError> {
     read_prompts(&settings.prompts)?;
     read_plans(settings)?;
--- a/standins/src/demo/summary.rs
+++ b/standins/src/demo/summary.rs
@@ -1,30 +1,37 @@
-//! What the demo found, by what the stand-ins saw.
+//! The demo's summary, from what the stand-ins observed.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A trainer's staleness.
+/// The staleness of a trainer's samples, in weight versions.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Staleness {
     pub max: u64,
     pub p50: u64,
 }
 
-/// The summary, as `--json` writes it.
+/// The counts of a run, as `--json` writes them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
     pub application_answered: u64,
-    /// Calls that may have run, or that had no answer.
+    /// Calls without an answer, or whose failure didn't rule out that they ran.
     pub application_in_doubt: u64,
     pub application_sent: u64,
+    /// Answers that belong to another call or are incomplete.
     pub application_wrong: u64,
     /// Graceful stops that cut something off, or failed.
     pub cut_by_stops: u64,
+    /// Request keys that ran more than once.
     pub double_runs: u64,
+    /// The disruptions.
     pub events: Vec<String>,
+    /// The fraction of its run that each trainer waited for samples.
     pub idle_fraction: BTreeMap<String, f64>,
+    /// Failures that said that the call did not run.
     pub refused_not_run: u64,
+    /// Those of them whose call did run.
     pub refused_not_run_false: u64,
+    /// The sample counts are sums over the trainers' [`Report`](crate::trainer::Report)s.
     pub samples_asked: u64,
     pub samples_delivered: u64,
     pub samples_duplicate: u64,
@@ -37,12 +44,13 @@
     pub seed: u64,
     pub staleness: BTreeMap<String, Staleness>,
     pub steps: u64,
+    /// Examples of failed calls.
     pub troubles: Vec<String>,
     pub wall_ms: u64,
 }
 
 impl Summary {
-    /// The promises that were broken, in words.
+    /// The violated guarantees, each as a count and a text.
     pub fn violations(&self) -> Vec<String> {
         let counts = [
             (self.application_wrong, "answers were wrong or not whole"),
@@ -65,7 +73,7 @@
             .collect()
     }
 
-    /// The summary for people.
+    /// Prints the summary as text.
     pub fn print(&self) {
         println!("seed {}, {} ms", self.seed, self.wall_ms);
         for event in &self.events {
--- a/standins/src/load/case.rs
+++ b/standins/src/load/case.rs
@@ -1,4 +1,4 @@
-//! One experiment by its name.
+//! The type of a case.
 
 use super::{
     LoadError,
@@ -10,19 +10,21 @@
     pin::Pin, //
 };
 
-/// How a case is to be run.
+/// The options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunOptions {
-    /// Which policies are measured: baseline, current, or both.
+    /// Whether the baseline policy is measured.
     pub baseline: bool,
+    /// Whether the current policy is measured.
     pub current: bool,
-    /// An entry that runs as a process, and its process id.
+    /// An entry in a process of its own: its callers' address and its process id.
     pub process: Option<(SocketAddr, u32)>,
+    /// How long each part of the case lasts.
     pub seconds: u64,
     pub seed: u64,
 }
 
-/// A case's function.
+/// The function that runs a case.
 pub type Measure = fn(RunOptions) -> Pin<Box<dyn Future<Output = Result<Outcome, LoadError>>>>;
 
 /// A named experiment.
--- a/standins/src/load/cases.rs
+++ b/standins/src/load/cases.rs
@@ -1,4 +1,4 @@
-//! All cases by name.
+//! The list of all cases.
 
 use super::{
     Case,
--- a/standins/src/load/command.rs
+++ b/standins/src/load/command.rs
@@ -21,7 +21,7 @@
 };
 
 /// Measures redwingpond against stand-ins over loopback sockets. Exits with 0
-/// if the case was measured, whatever the figures, and with 1 if it was not.
+/// if the case was measured, even if it missed its aims, else with 1.
 #[derive(FromArgs)]
 struct LoadCommand {
     /// the case to run
@@ -32,11 +32,11 @@
     #[argh(switch)]
     compare: bool,
 
-    /// the callers' address of an entry that runs as a process, for `streams`
+    /// for `streams`: the callers' address of an entry in its own process
     #[argh(option)]
     entry: Option<SocketAddr>,
 
-    /// write the figures to this file as JSON
+    /// write the results to this file as JSON
     #[argh(option)]
     json: Option<PathBuf>,
 
@@ -48,7 +48,7 @@
     #[argh(option, default = "String::from(\"off\")")]
     log: String,
 
-    /// the process id of that entry
+    /// for `streams`: the process id of that entry
     #[argh(option)]
     pid: Option<u32>,
 
@@ -60,11 +60,11 @@
     #[argh(option, default = "5")]
     seconds: u64,
 
-    /// the seed of all that is drawn at random (default: 1)
+    /// the seed of all random choices (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
 
-    /// draw the case to this file as SVG
+    /// draw the results to this file as an SVG plot
     #[argh(option)]
     svg: Option<PathBuf>,
 }
@@ -94,7 +94,7 @@
         .iter()
         .find(|case| Some(case.name) == command.case.as_deref());
     let Some(case) = named else {
-        eprintln!("error: name a case with `--case`; `--list` tells which there are");
+        eprintln!("error: `--case` is missing or unknown; `--list` lists the cases");
         return ExitCode::from(USAGE);
     };
 
@@ -130,6 +130,8 @@
     }
 }
 
+/// Prints the outcome and writes the files asked for; returns whether anything was
+/// measured.
 fn report(
     outcome: &Outcome,
     json: Option<PathBuf>,
--- a/standins/src/load/faults.rs
+++ b/standins/src/load/faults.rs
@@ -1,4 +1,4 @@
-//! Cases in which something goes wrong under application calls.
+//! Cases with faults or overload under application calls.
 
 use super::{
     LoadError,
@@ -20,13 +20,13 @@
     time::Duration, //
 };
 
-/// What one policy did in a case.
+/// One policy's run of a case.
 struct Trial {
     audit: RunAudit,
     calls: Vec<CallRecord>,
 }
 
-/// Nine servers, as Tahtiraita's ledger has.
+/// Nine servers, the size of the pool behind Tahtiraita's ledger.
 const POOL: Pool = Pool {
     capacity: 8,
     queue: 256,
@@ -34,6 +34,7 @@
     service_ms: 20,
 };
 
+/// Calls of team `a` at `rate` a second, from `begin` to `end` in ms.
 fn flow(rate: f64, begin: u64, end: u64) -> Flow {
     Flow {
         begin_ms: begin,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Runs `flows` while `script` makes things go wrong.
+/// Opens a fleet and sends `flows` while `script` injects faults.
 async fn run_trial<F, Fut>(
     pool: Pool,
     policy: Policy,
@@ -65,7 +66,7 @@
     Ok(Trial { audit, calls })
 }
 
-/// Runs a case under the policies that are asked for.
+/// Runs a case under each requested policy, on a fleet of its own: baseline, current.
 async fn run_policies<F, Fut>(
     run: RunOptions,
     pool: Pool,
@@ -90,7 +91,7 @@
     Ok(trials)
 }
 
-/// A row of what `figure` finds in each trial.
+/// A row with the value of `figure` for each trial.
 fn row(
     name: &str,
     unit: &'static str,
@@ -104,7 +105,7 @@
     Row::new(name, unit, baseline, current, aim)
 }
 
-/// The promises that every case holds to.
+/// The rows of the guarantees that every case checks.
 fn guarantee_rows(trials: &[Option<Trial>; 2]) -> [Row; 2] {
     [
         row("double runs", "calls", trials, Aim::AtMost(0.0), |trial| {
@@ -120,6 +121,7 @@
     ]
 }
 
+/// The number of calls with an outcome.
 fn count(trial: &Trial, outcome: CallOutcome) -> f64 {
     trial
         .calls
@@ -128,6 +130,7 @@
         .count() as f64
 }
 
+/// The goodput of each trial over time.
 fn series(trials: &[Option<Trial>; 2]) -> Vec<Series> {
     let named = ["baseline", "current"].into_iter().zip(trials);
     let drawn = named.filter_map(|(name, trial)| {
@@ -137,6 +140,7 @@
     drawn.collect()
 }
 
+/// The outcome with `rows`, the guarantees and the plot.
 fn outcome(trials: &[Option<Trial>; 2], rows: Vec<Row>) -> Outcome {
     let mut results = rows;
     results.extend(guarantee_rows(trials));
@@ -158,7 +162,7 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// `overload`: three times the capacity for a while, then 0.7 of it.
+/// The case `overload`: three times the capacity for a while, then 0.7 of it.
 pub async fn overload(run: RunOptions) -> Result<Outcome, LoadError> {
     let pool = Pool { servers: 4, ..POOL };
     let overload_ms = run.seconds * 1_000;
@@ -207,7 +211,7 @@
     ))
 }
 
-/// `slow-server`: one of nine is ten times slower.
+/// The case `slow-server`: one of nine servers gets ten times slower.
 pub async fn slow_server(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
     let flows = [flow(POOL.rate() * 0.5, 0, end)];
@@ -233,7 +237,8 @@
     ))
 }
 
-/// `crash`: two of nine crash and return, under calls of both kinds.
+/// The case `crash`: two of nine servers crash and come back, under idempotent and
+/// non-idempotent calls.
 pub async fn crash(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = run.seconds * 1_000;
     let keyed = Flow {
@@ -270,14 +275,15 @@
     ))
 }
 
-/// `silent`: half of the links go silent.
+/// The case `silent`: half of the links go silent.
 pub async fn silent(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
     let options = Options {
         relayed: true,
         ..Options::default()
     };
-    // Time enough that the link's silence settles a call, not its deadline.
+    // The deadline is long enough that the silence timeout of the link ends an
+    // attempt first.
     let flows = [Flow {
         deadline_ms: 8_000,
         ..flow(POOL.rate() * 0.3, 0, end)
@@ -303,7 +309,8 @@
     Ok(outcome(
         &trials,
         vec![
-            // 2.5 s of silence and one beat of 0.75 s, then a second attempt.
+            // The silence timeout of 2.5 s and a heartbeat interval of 0.75 s, then
+            // a second attempt.
             row(
                 "slowest settled",
                 "ms",
@@ -318,7 +325,7 @@
     ))
 }
 
-/// `retry-storm`: the pool is out for a while at 0.8 of its load.
+/// The case `retry-storm`: the whole pool fails for a while, at 0.8 of its capacity.
 pub async fn retry_storm(run: RunOptions) -> Result<Outcome, LoadError> {
     let outage_ms = run.seconds * 1_000;
     let end = 2_000 + outage_ms + 5_000;
@@ -360,7 +367,7 @@
     ))
 }
 
-/// `noisy-team`: one team offers ten times its share.
+/// The case `noisy-team`: one team offers ten times its share.
 pub async fn noisy_team(run: RunOptions) -> Result<Outcome, LoadError> {
     let pool = Pool { servers: 4, ..POOL };
     let share = pool.rate() / 3.0;
@@ -423,7 +430,7 @@
     ))
 }
 
-/// `drain`: every agent and every entry is replaced, one after another.
+/// The case `drain`: every agent and every entry is replaced, one after another.
 pub async fn drain(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = run.seconds * 1_000 + 6_000;
     let keyed = Flow {
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: what one entry's control work costs for each linked agent.
+//! The case `fleet`: the cost of linked agents to an entry without calls.
 
 use super::{
     LoadError,
@@ -40,21 +40,23 @@
     task::JoinSet, //
 };
 
-/// The numbers of agents.
+/// The numbers of agents measured.
 const AGENT_COUNTS: [usize; 4] = [32, 100, 200, 400];
 
-/// How often each agent reports; real ones do so at most this often.
+/// How often each agent reports; real agents do so at most this often.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
+/// The key of the links, in agents and entry.
 const LINK_KEY: &str = "fleet";
 
-/// What an entry used at one size.
+/// What an entry used with one number of agents.
 struct EntryUsage {
     agents: f64,
-    /// Bytes a second received and sent over all links.
+    /// Bytes per second received and sent, see [`loopback_bytes`].
     bytes: f64,
-    /// Milliseconds of processor time a second.
+    /// Milliseconds of processor time per second.
     cpu_ms: f64,
+    /// Resident memory added, in bytes.
     memory: f64,
 }
 
@@ -68,7 +70,7 @@
         let (first, last) = (usages.first()?, usages.last()?);
         Some((figure(last) - figure(first)) / (last.agents - first.agents))
     };
-    // Two pools of 16 servers each are what one entry links to.
+    // The aims are for 32 agents: an entry links to two pools of 16 servers each.
     let (first, last) = (usages.first(), usages.last());
     Ok(Outcome {
         results: vec![
@@ -130,6 +132,7 @@
     })
 }
 
+/// Opens a platform, `agents` agents and an entry, and measures the entry for `time`.
 async fn measure_entry(agents: usize, time: Duration) -> Result<EntryUsage, LoadError> {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = Platform::open(loopback, 1, Duration::ZERO).await?;
@@ -175,8 +178,8 @@
     Ok(used)
 }
 
-/// The bytes received over the loopback interface: every byte of the links
-/// and of the platform's answers, with their TCP and IP headers, once.
+/// The bytes received over the loopback interface so far. They include the links and
+/// the platform's answers, with TCP and IP headers, each byte once.
 fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|l| l.trim().strip_prefix("lo:"));
@@ -202,7 +205,8 @@
     }
 }
 
-/// An agent that only beats and reports, each report another one.
+/// An agent that only sends heartbeats and reports. Each report differs from the one
+/// before.
 async fn agent(listener: TcpListener, number: usize) {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let hello = Hello {
--- a/standins/src/load/hops.rs
+++ b/standins/src/load/hops.rs
@@ -1,4 +1,5 @@
-//! A bare pass-through of two hops, what any path through two processes costs.
+//! A bare HTTP proxy. Two of them in a row show what any path through two processes
+//! costs.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -24,20 +25,20 @@
     sync::oneshot, //
 };
 
-/// One hop on a thread of its own; dropping it ends it.
+/// One proxy on a thread of its own; dropping it stops it.
 pub struct Hop {
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The names of the hops' threads begin so.
+/// The prefix of the hops' thread names.
 pub const THREAD_PREFIX: &str = "hop-";
 
 type Pool = Client<HttpConnector, Incoming>;
 
 impl Hop {
-    /// Passes all requests on to `target`.
+    /// Listens on a free loopback port and forwards all requests to `target`.
     pub fn open(number: u32, target: SocketAddr) -> io::Result<Self> {
         let (sender, receiver) = mpsc::sync_channel(1);
         let (stop, stopped) = oneshot::channel();
@@ -74,6 +75,7 @@
     }
 }
 
+/// Sends the listening address, then serves connections.
 async fn serve(
     target: SocketAddr,
     address_sender: &mpsc::SyncSender<SocketAddr>,
@@ -99,6 +101,7 @@
     }
 }
 
+/// Forwards one request.
 async fn forward(
     pool: Pool,
     target: SocketAddr,
--- a/standins/src/load/load_error.rs
+++ b/standins/src/load/load_error.rs
@@ -1,4 +1,4 @@
-//! Why a case could not be run.
+//! The error of a case.
 
 use crate::fleet::FleetError;
 use redwingpond::settings::SettingsError;
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! The load tool: runs experiments, called cases, against stand-ins.
 
 mod case;
 mod cases;
--- a/standins/src/load/open_loop.rs
+++ b/standins/src/load/open_loop.rs
@@ -1,4 +1,4 @@
-//! Load on a fixed schedule, so that queueing is not hidden.
+//! Open-loop load: requests on a fixed schedule, so that latencies include queueing.
 
 use crate::client::Client;
 use hdrhistogram::Histogram;
@@ -19,7 +19,7 @@
     task::JoinSet, //
 };
 
-/// Where requests go and what they carry.
+/// The address, path and body of all requests.
 #[derive(Clone, Debug)]
 pub struct Target {
     pub address: SocketAddr,
@@ -27,16 +27,16 @@
     pub path: String,
 }
 
-/// What came back.
+/// The result of a run.
 #[derive(Debug)]
 pub struct LoadResult {
     pub answered: u64,
-    /// Microseconds from the time a request was due to its whole answer.
+    /// Microseconds from the time a request was due to the end of its answer.
     pub latency: Histogram<u64>,
     pub sent: u64,
 }
 
-/// How long one request may take.
+/// The timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl LoadResult {
@@ -46,19 +46,20 @@
     }
 }
 
-/// The tasks that share the sending: one alone would be the bottleneck.
+/// The tasks that send requests; a single one would be the bottleneck.
 const SENDERS: u64 = 8;
 
-/// The requests under way at once. Latency counts from when a request was
-/// due, so those that wait for their turn are not hidden.
+/// The most requests in flight at once. Latencies count from the time a request was
+/// due and so include its wait for a permit.
 const MAX_IN_FLIGHT: usize = 256;
 
 /// Sends `rate` requests a second for `time`.
 pub async fn run(client: &Client, target: &Target, rate: u64, time: Duration) -> LoadResult {
     let clock = Clock::open();
     let total = rate * time.as_millis() as u64 / 1_000;
-    // With a connection for each request that waits, one stall becomes a storm
-    // of new connections that keeps itself going, on any path measured.
+    // Without the limit, every request that waits during a stall opens a connection
+    // of its own. On every path measured, the load of these new connections then
+    // prolongs the stall.
     let permits = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     let totals = Arc::new(Totals {
         answered: AtomicU64::new(0),
@@ -102,13 +103,14 @@
     }
 }
 
-/// What the senders' requests add up to.
+/// The answers of all senders.
 struct Totals {
     answered: AtomicU64,
     latency: Mutex<Option<Histogram<u64>>>,
 }
 
 impl Totals {
+    /// Counts an answer and its latency.
     fn record(&self, micros: u64) {
         self.answered.fetch_add(1, Ordering::Relaxed);
         let mut latency = self.latency.lock().unwrap_or_else(PoisonError::into_inner);
@@ -118,7 +120,8 @@
     }
 }
 
-/// Sends as fast as `parallel` callers get answers; returns answers a second.
+/// Sends requests from `parallel` callers, each one after another; returns the
+/// successful answers per second.
 pub async fn saturate(client: &Client, target: &Target, parallel: u32, time: Duration) -> f64 {
     let clock = Clock::open();
     let mut callers = JoinSet::new();
@@ -136,6 +139,7 @@
     answered as f64 / (clock.micros() as f64 / 1e6)
 }
 
+/// Sends a request; returns whether it was answered successfully.
 async fn send_one(client: &Client, target: &Target) -> bool {
     let body = target.body.clone();
     let headers = [("content-type", "text/plain")];
@@ -151,6 +155,6 @@
 }
 
 fn empty_histogram() -> Histogram<u64> {
-    // INVARIANT: 1 to 2 with 3 digits is within the histogram's own limits.
+    // INVARIANT: the bounds 1 to 2 with 3 significant digits are always valid.
     Histogram::new_with_bounds(1, 2, 3).unwrap_or_else(|_| std::process::abort())
 }
--- a/standins/src/load/outcome.rs
+++ b/standins/src/load/outcome.rs
@@ -1,4 +1,4 @@
-//! What a case measured.
+//! The outcome of a case.
 
 use super::{
     Row,
@@ -6,27 +6,27 @@
 };
 use serde::Serialize;
 
-/// The figures of one run of a case.
+/// The results of one run of a case.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
     pub case: String,
     pub seed: u64,
     pub wall_ms: u64,
     pub results: Vec<Row>,
-    /// What `--svg` draws.
+    /// The lines that `--svg` draws.
     #[serde(skip)]
     pub series: Vec<Series>,
 }
 
 impl Outcome {
-    /// Whether anything was measured at all.
+    /// Whether any row has a figure.
     pub fn is_measured(&self) -> bool {
         self.results
             .iter()
             .any(|row| row.current.is_some() || row.baseline.is_some())
     }
 
-    /// Prints the figures as a table.
+    /// Prints the rows as a table.
     pub fn print(&self) {
         println!("{} (seed {}, {} ms)", self.case, self.seed, self.wall_ms);
         println!(
--- a/standins/src/load/plot.rs
+++ b/standins/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Draws what a case measured.
+//! Draws the series of a case as an SVG plot.
 
 use super::LoadError;
 use plotters::{
@@ -13,11 +13,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Series {
     pub name: String,
-    /// Points in the plot's units.
+    /// The points (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws `series` to `path` under `title`.
+/// Draws `series` under `title` to the SVG file `path`.
 pub fn draw(path: &Path, title: &str, series: &[Series]) -> Result<(), LoadError> {
     let failed = |error: &dyn std::fmt::Display| LoadError::Plot {
         file: path.display().to_string(),
--- a/standins/src/load/rollout.rs
+++ b/standins/src/load/rollout.rs
@@ -1,4 +1,4 @@
-//! `rollout`: what a step costs an owner, its entry and the agents.
+//! The case `rollout`: the CPU time of a step, in all and in the entry that owns it.
 
 use super::{
     LoadError,
@@ -18,7 +18,7 @@
     time::Duration, //
 };
 
-/// Nine engines and a scorer, as a user has.
+/// Nine engines and a scorer, the size of a user's deployment.
 const PLAN: &str = "
 team: bench
 data_centres: [hall]
@@ -37,7 +37,8 @@
 trainers: {}
 ";
 
-/// Samples of the measured step: a quarter of the target's.
+/// The groups of each step, and the samples of each group: together a quarter of
+/// the samples in the target's step.
 const GROUPS: u32 = 64;
 const SAMPLES: u32 = 8;
 
@@ -78,7 +79,7 @@
         })
         .sum();
     if !report.passed() || tokens == 0 || report.delivered == 0 {
-        let what = "a step whose promises did not hold".to_owned();
+        let what = "a step whose samples failed their checks".to_owned();
         return Err(LoadError::NotMeasured { what });
     }
     let samples = report.delivered as f64;
--- a/standins/src/load/row.rs
+++ b/standins/src/load/row.rs
@@ -1,35 +1,37 @@
-//! One figure of a case.
+//! One row of a case's results.
 
 use serde::Serialize;
 
-/// What a figure is held against.
+/// The bound that a figure should meet.
 #[derive(Clone, Copy, Debug)]
 pub enum Aim {
     /// The current figure is at least this.
     AtLeast(f64),
     /// The current figure is at most this.
     AtMost(f64),
-    /// Nothing: the figure only informs.
+    /// No bound.
     None,
     /// The ratio of current to baseline is at most this.
     RatioAtMost(f64),
 }
 
-/// A figure of both policies, with its aim.
+/// A figure under both policies, with its aim.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     pub name: String,
     pub unit: &'static str,
     pub baseline: Option<f64>,
     pub current: Option<f64>,
+    /// The current figure divided by the baseline's.
     pub ratio: Option<f64>,
+    /// The aim as text.
     pub aim: String,
-    /// Worked out from the figures; absent where there is no aim.
+    /// Whether the figures meet the aim; `None` without an aim or without its figures.
     pub holds: Option<bool>,
 }
 
 impl Row {
-    /// A row whose `ratio` and `holds` follow from the figures.
+    /// A row with `ratio` and `holds` computed from the figures.
     pub fn new(
         name: impl Into<String>,
         unit: &'static str,
--- a/standins/src/load/service_load.rs
+++ b/standins/src/load/service_load.rs
@@ -1,4 +1,4 @@
-//! A fleet of plain services under calls on a fixed schedule.
+//! Calls on a fixed schedule to a fleet of plain services, and their evaluation.
 
 use super::LoadError;
 use crate::{
@@ -22,65 +22,70 @@
 };
 use tokio::task::JoinSet;
 
-/// The servers of the fleet's one pool.
+/// The fleet's only pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Pool {
+    /// Concurrent calls per server.
     pub capacity: u32,
+    /// Calls that wait at each agent.
     pub queue: u32,
     pub servers: u32,
     pub service_ms: u64,
 }
 
 impl Pool {
-    /// The calls a second that the pool can answer.
+    /// The calls per second that the pool can answer.
     pub fn rate(&self) -> f64 {
         f64::from(self.servers * self.capacity) * 1_000.0 / self.service_ms as f64
     }
 }
 
-/// One team's calls at a fixed rate for a while.
+/// Calls of one team at a fixed rate for a limited time.
 #[derive(Clone, Copy, Debug)]
 pub struct Flow {
-    /// When it begins and ends, in ms from the scene's start.
+    /// When the flow begins, from the start of [`send`].
     pub begin_ms: u64,
+    /// The deadline of each call, from its start.
     pub deadline_ms: u64,
+    /// When the flow ends, from the start of [`send`].
     pub end_ms: u64,
-    /// Each call has a key and must run at most once.
+    /// Whether each call has a request key and must run at most once.
     pub keyed: bool,
+    /// Calls per second.
     pub rate: u64,
     pub team: &'static str,
 }
 
-/// How one call ended.
+/// The outcome of one call, as its caller saw it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
     Answered,
-    /// It may have run, or there was no answer.
+    /// The call may have run, or had no answer.
     InDoubt,
     NotRun,
 }
 
-/// One call of a scene.
+/// A call that was sent.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     pub deadline_ms: u64,
-    /// When it was due, in ms from the scene's start.
+    /// When the call was due, from the start of [`send`].
     pub due_ms: u64,
     pub outcome: CallOutcome,
-    /// The id of the request, where an answer told it.
+    /// The request id, if the answer had one.
     pub request: Option<String>,
-    /// From when it was due to its answer, in ms.
+    /// The time from when the call was due until its caller had the outcome.
     pub latency_ms: f64,
     pub team: &'static str,
 }
 
-/// The teams that scenes may use.
+/// The teams in the fleet's settings.
 const TEAMS: [&str; 3] = ["a", "b", "c"];
 
-/// How long past its deadline a caller waits for the answer.
+/// How long a caller waits for the answer after the deadline.
 const ANSWER_GRACE: Duration = Duration::from_secs(4);
 
-/// Opens a fleet with one pool of services and three teams.
+/// Opens a fleet with one pool of services and the teams [`TEAMS`].
 pub async fn open(pool: Pool, policy: Policy, options: Options) -> Result<Fleet, LoadError> {
     let mut settings = String::from("  pools/pool: |\n    kind: service\n");
     for team in TEAMS {
@@ -103,7 +108,7 @@
     Ok(Fleet::open(&[plan], Options { policy, ..options }).await?)
 }
 
-/// Sends all flows; returns every call once the last has ended.
+/// Sends the calls of all flows; returns them when the last one has ended.
 pub async fn send(balancer: &Arc<Balancer>, flows: &[Flow]) -> Vec<CallRecord> {
     let calls = Arc::new(Mutex::new(Vec::new()));
     let clock = Clock::open();
@@ -150,6 +155,7 @@
     std::mem::take(&mut *calls.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
+/// Sends a call; returns its outcome and its request id.
 async fn send_call(
     client: &Client,
     entry: SocketAddr,
@@ -181,18 +187,18 @@
     }
 }
 
-/// What the services ran, beside what the callers were told.
+/// The runs of the services, compared with the answers to the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunAudit {
-    /// Runs in all.
+    /// All runs.
     pub attempts: u64,
-    /// Keys that ran twice.
+    /// Request keys that ran more than once.
     pub double_runs: u64,
-    /// Calls told "not run" that ran.
+    /// Calls that ran although their failure said "not run".
     pub false_refusals: u64,
 }
 
-/// Holds what callers were told against what the services ran.
+/// Compares the answers to the callers with the runs of the services.
 pub fn audit_runs(fleet: &Fleet, calls: &[CallRecord]) -> RunAudit {
     let mut audit = RunAudit::default();
     let mut ran = std::collections::HashSet::new();
@@ -214,9 +220,10 @@
     audit
 }
 
-/// A percentile of the times of calls, in ms; `None` without any. A call that
-/// was not answered counts with its deadline, or with its time if that was
-/// longer: else a policy that fails its slow calls would look fast.
+/// A quantile of the calls' latencies in ms, `share` from 0 to 1; `None` without
+/// calls. A call that was not answered counts with its deadline, or with the time
+/// to its failure if that was longer: otherwise a policy that fails its slow calls
+/// would look fast.
 pub fn percentile<'a>(calls: impl Iterator<Item = &'a CallRecord>, share: f64) -> Option<f64> {
     let mut times: Vec<f64> = calls
         .map(|one| match one.outcome {
@@ -231,8 +238,8 @@
     times.get(at.min(times.len().saturating_sub(1))).copied()
 }
 
-/// The calls answered within their deadline, a second, among those due
-/// between `begin` and `end`.
+/// The calls per second that were answered within their deadline, of those due from
+/// `begin` to `end` (in ms).
 pub fn goodput(calls: &[CallRecord], begin: u64, end: u64) -> f64 {
     let good = calls.iter().filter(|one| {
         (begin..end).contains(&one.due_ms)
@@ -242,7 +249,7 @@
     good.count() as f64 * 1_000.0 / (end - begin).max(1) as f64
 }
 
-/// Calls a second answered in time, by second, for a plot.
+/// The goodput in each quarter of a second, over the time in seconds, as a plot.
 pub fn timeline(name: &str, calls: &[CallRecord]) -> super::plot::Series {
     let last = calls.iter().map(|one| one.due_ms).max().unwrap_or(0);
     let points = (0..=last / 250).map(|quarter| {
--- a/standins/src/load/steady.rs
+++ b/standins/src/load/steady.rs
@@ -1,4 +1,4 @@
-//! `steady`: what the way through entry and agent costs.
+//! The case `steady`: the CPU time and the latency that entry and agent add to a call.
 
 use super::{
     LoadError,
@@ -18,7 +18,7 @@
 use redwingpond::settings::read;
 use std::time::Duration;
 
-/// One service, no wait in it.
+/// One service, which answers at once.
 const PLAN: &str = "
 team: bench
 data_centres: [hall]
@@ -35,10 +35,10 @@
 trainers: {}
 ";
 
-/// Callers that saturate a path.
+/// The concurrent callers that saturate a path.
 const CALLERS: u32 = 64;
 
-/// The body of every request.
+/// The size of every request's body.
 const BODY_BYTES: usize = 256;
 
 /// Runs the case.
@@ -140,18 +140,20 @@
     })
 }
 
-/// The rounds in which the paths take turns. Figures are the rounds' medians:
-/// on a shared machine a stall of some ms comes along every few seconds.
+/// The paths take turns for this many rounds, and the latencies are medians over the
+/// rounds: a shared machine stalls for some ms every few seconds.
 const ROUNDS: u32 = 7;
 
-/// The rounds of one path.
+/// The measurements of one path.
 #[derive(Default)]
 struct PathRounds {
+    /// The processor time of the path's threads in all rounds, in nanoseconds.
     cpu_ns: u64,
     rounds: Vec<LoadResult>,
 }
 
 impl PathRounds {
+    /// Measures one round; `threads` are the name prefixes of the path's threads.
     async fn run_round(
         &mut self,
         client: &Client,
@@ -175,12 +177,13 @@
         Ok(())
     }
 
+    /// The processor time per answered request, in microseconds.
     fn cpu_per_request(&self) -> f64 {
         let answered: u64 = self.rounds.iter().map(|one| one.answered).sum();
         self.cpu_ns as f64 / 1e3 / answered.max(1) as f64
     }
 
-    /// Latency in ms over percentile.
+    /// The latency in milliseconds by percentile.
     fn curve(&self, name: &str) -> Series {
         let points = (1..200).map(|half| f64::from(half) / 2.0);
         Series {
@@ -191,7 +194,7 @@
         }
     }
 
-    /// The median over the rounds of a percentile, in milliseconds.
+    /// The median over the rounds of a latency percentile, in milliseconds.
     fn median(&self, percentile: f64) -> f64 {
         let mut figures: Vec<f64> = self
             .rounds
--- a/standins/src/load/streams.rs
+++ b/standins/src/load/streams.rs
@@ -1,4 +1,4 @@
-//! `streams`: the memory of an entry with many open streams.
+//! The case `streams`: the memory of an entry with many open streams.
 
 use super::{
     LoadError,
@@ -17,14 +17,14 @@
     net::TcpStream, //
 };
 
-/// The streams opened.
+/// The number of open streams.
 const STREAMS: usize = 1_000;
 
-/// A call whose body has begun and does not end; `/echo` answers as it goes.
+/// A request whose body begins and never ends; `/echo` streams it back.
 const STREAM_REQUEST: &str = "POST /v1/app/tema/weighbridge/echo HTTP/1.1\r\nhost: entry\r\n\
     redwing-deadline-ms: 60000\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
 
-/// Runs the case against the entry that `--entry` and `--pid` name.
+/// Runs the case against the entry given by `--entry` and `--pid`.
 pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
     let Some((entry, pid)) = run.process else {
         let what = "an entry's memory without `--entry` and `--pid`".to_owned();
@@ -61,7 +61,7 @@
     })
 }
 
-/// Opens a stream, and sees that its answer has begun.
+/// Opens a stream and waits until its answer has begun.
 async fn open_stream(entry: SocketAddr) -> Result<TcpStream, LoadError> {
     let mut stream = TcpStream::connect(entry).await?;
     stream.write_all(STREAM_REQUEST.as_bytes()).await?;
--- a/standins/src/load/usage.rs
+++ b/standins/src/load/usage.rs
@@ -1,4 +1,4 @@
-//! What threads of this process use, by the kernel's own account.
+//! Processor time and memory, as the kernel accounts for them in `/proc`.
 
 use std::{
     collections::BTreeMap,
@@ -8,7 +8,7 @@
 /// Processor time by thread name, in nanoseconds.
 pub type CpuTimes = BTreeMap<String, u64>;
 
-/// The threads of entries and agents.
+/// Name prefixes of the threads of entries and agents.
 pub const REDWING_THREADS: [&str; 11] = [
     "admin",
     "claims",
@@ -23,7 +23,7 @@
     "work",
 ];
 
-/// The processor time of all threads so far.
+/// The processor time of this process's threads so far.
 pub fn cpu_times() -> CpuTimes {
     let mut times = CpuTimes::new();
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
@@ -40,7 +40,8 @@
     times
 }
 
-/// What the threads whose names begin with one of `names` used since `before`.
+/// The processor time since `before`, in nanoseconds, of the threads whose names
+/// begin with one of `names`.
 pub fn cpu_since(before: &CpuTimes, names: &[&str]) -> u64 {
     let after = cpu_times();
     let used = after
@@ -49,12 +50,13 @@
         .map(|(name, nanos)| nanos.saturating_sub(before.get(name).copied().unwrap_or(0)));
     used.sum()
 }
+
 /// The resident memory of this process, in bytes.
 pub fn own_memory() -> u64 {
     process_memory("self")
 }
 
-/// The resident memory of process `pid`, in bytes; 0 when there is none.
+/// The resident memory of process `pid`, in bytes; 0 if it doesn't exist.
 pub fn process_memory(pid: &str) -> u64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
