--- a/standins/src/balancer.rs
+++ b/standins/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer: callers and trainers reach any entry through it.
+//! A stand-in for the platform's load balancer in front of the entries.
 
 use std::{
     net::SocketAddr,
@@ -9,10 +9,11 @@
     },
 };
 
-/// The entries that take calls, in turn.
+/// Picks the entry for a call or trainer request, round robin.
 #[derive(Debug, Default)]
 pub struct Balancer {
     entries: RwLock<Vec<SocketAddr>>,
+    /// Counts up; taken modulo the number of entries.
     next_index: AtomicUsize,
 }
 
@@ -25,13 +26,13 @@
         }
     }
 
-    /// Adds an entry.
+    /// Adds an entry to the rotation.
     pub fn add(&self, entry: SocketAddr) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         entries.push(entry);
     }
 
-    /// The next entry in turn; none when there are none.
+    /// The entry for the next request; `None` without entries.
     pub fn next(&self) -> Option<SocketAddr> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
         let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
@@ -39,7 +40,7 @@
         Some(entries[index])
     }
 
-    /// Takes an entry out.
+    /// Stops sending requests to an entry.
     pub fn remove(&self, entry: SocketAddr) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         entries.retain(|one| *one != entry);
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! An application's stand-in: sends calls at a fixed rate and checks answers.
+//! A stand-in for an application: sends calls at a fixed rate and checks the answers.
 
 use crate::{
     balancer::Balancer,
@@ -21,57 +21,62 @@
 };
 use tokio::task::JoinSet;
 
-/// What became of all calls, as their callers saw it.
+/// The outcomes of all calls, as their caller saw them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CallResults {
+    /// Calls with a correct and complete answer.
     pub answered: u64,
-    /// Failures that said that the call may have run, or no answer at all.
+    /// Calls without an answer, or whose failure didn't rule out that they ran.
     pub in_doubt: u64,
-    /// Latencies of whole answers, in microseconds.
+    /// The time from each call's first attempt to its successful answer, right or
+    /// wrong, in microseconds.
     #[serde(skip)]
     pub latencies: Vec<u64>,
-    /// Request ids and keys of refusals that said "not run".
+    /// Failures that said that the call did not run.
     #[serde(skip)]
     pub refused: Vec<Refusal>,
     pub sent: u64,
-    /// Examples of what went wrong.
+    /// The first few failures, as text.
     pub troubles: Vec<String>,
-    /// Answers that were not the caller's own or not whole.
+    /// Successful answers that belong to another call or are incomplete.
     pub wrong: u64,
 }
 
-/// A refusal that said that the call did not run.
+/// A failure that said that the call did not run.
 #[derive(Clone, Debug)]
 pub struct Refusal {
+    /// The prompt and seed of a chat.
     pub prompt: Option<(String, u64)>,
+    /// The request id.
     pub request: String,
 }
 
-/// Where calls go.
+/// A caller's calls and where they are sent.
 #[derive(Clone)]
 pub struct Target {
     pub balancer: Arc<Balancer>,
-    /// The model that chats ask for.
+    /// The model that chats use.
     pub model: String,
+    /// The caller's name, part of every call's body.
     pub name: String,
     pub plan: CallerPlan,
     pub seed: u64,
     pub team: String,
 }
 
-/// How often a call that did not run is made again.
+/// The attempts at a call that did not run, the first one included.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// The tokens that a chat asks for at most.
+/// The `max_tokens` of a chat.
 const MAX_CHAT_TOKENS: u32 = 48;
 
-/// How long a caller waits for an answer.
+/// How long a caller waits for the answer to one attempt.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The examples of trouble that are kept.
+/// The limit of [`CallResults::troubles`].
 const MAX_TROUBLES: usize = 8;
 
-/// Sends calls on a fixed schedule for `time`, whatever the answers do.
+/// Sends calls for `time` on a fixed schedule, without waiting for answers.
 pub async fn run(target: Target, time: Duration) -> CallResults {
     let calls = Arc::new(Mutex::new(CallResults::default()));
     let client = Client::default();
@@ -95,7 +100,7 @@
     calls.clone()
 }
 
-/// One call with its repeats.
+/// Makes one call and retries it while the failures say that it did not run.
 async fn call(target: &Target, client: &Client, number: u64, calls: &Mutex<CallResults>) {
     let clock = Clock::open();
     let nonce = format!("{}/{}/{number}", target.name, target.seed);
@@ -133,6 +138,7 @@
     }
 }
 
+/// Makes one attempt at a call.
 async fn send_once(
     target: &Target,
     client: &Client,
@@ -168,7 +174,7 @@
         .await
 }
 
-/// Whether the answer is the whole answer to this very call.
+/// Whether the answer is complete and belongs to this call.
 fn is_correct(target: &Target, nonce: &str, number: u64, answer: &FullResponse) -> bool {
     let json = answer.json();
     if target.plan.work == Work::Plain {
@@ -183,7 +189,8 @@
         && json["choices"][0]["text"] == truth::text(&prompt(nonce), number, &spans)
 }
 
-/// Notes a failure; returns the wait before another try if it did not run.
+/// Records a failed attempt; returns the delay before the next one, `None` if the
+/// call may have run.
 fn record_failure(
     target: &Target,
     nonce: &str,
--- a/standins/src/client.rs
+++ b/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client for callers, trainers and admin calls.
+//! The HTTP client of the stand-ins and of the tests.
 
 use bytes::Bytes;
 use http_body_util::{
@@ -20,7 +20,7 @@
     time::Duration, //
 };
 
-/// A whole answer.
+/// A response whose body was read to its end.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
     pub body: Bytes,
@@ -29,18 +29,18 @@
 }
 
 impl FullResponse {
-    /// The value of a header, if it is text.
+    /// The value of a header, if it is present and text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The body as JSON; `Null` when it is none.
+    /// The body as JSON; `Null` when it is no JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// A pooled client; clones share the pool.
+/// An HTTP client with a connection pool, which its clones share.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
@@ -58,7 +58,7 @@
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer within `wait`.
+    /// Sends a request and reads the response to its end, within `timeout`.
     pub async fn call(
         &self,
         method: Method,
@@ -89,11 +89,12 @@
         };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => answer,
-            Err(_) => Err("no whole answer in time".to_owned()),
+            Err(_) => Err("no complete response before the timeout".to_owned()),
         }
     }
 }
 
+/// The error with its source, which names the reason.
 fn describe(error: hyper_util::client::legacy::Error) -> String {
     use std::error::Error;
     match error.source() {
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what redwingpond serves and is served by, a demo and a load tool.
+//! Stand-ins for the services around redwingpond, a demo, and load and soak tests.
 //!
-//! Each stand-in opens in-process as a handle, and as a program by
-//! `redwing-standin`. They speak published protocols over real sockets, and
-//! fail on command.
+//! A stand-in runs inside the calling process behind a handle; most also run as
+//! a program through `redwing-standin`. Stand-ins speak the published protocols
+//! over real sockets and inject faults on request.
 
 pub mod balancer;
 pub mod caller;
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,7 +1,8 @@
-//! A TCP relay whose connections can go silent on command.
+//! A TCP relay that can drop all traffic of its open connections.
 //!
-//! Something between two ends loses track of a connection: both stay open,
-//! nothing passes any more, and new connections work.
+//! It simulates a device on the network path that loses a connection's state,
+//! such as a firewall: both ends stay open, no byte arrives any more, and new
+//! connections work.
 
 use std::{
     io,
@@ -19,23 +20,26 @@
     task::JoinHandle, //
 };
 
-/// Which directions of the relay's present connections pass nothing.
+/// The directions in which the relay drops the traffic of open connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Silence {
+    /// From the target to the client.
     pub from_target: bool,
+    /// From the client to the target.
     pub to_target: bool,
 }
 
-/// A running relay.
+/// A running relay; dropping it stops accepting connections.
 pub struct Relay {
     pub address: SocketAddr,
-    /// The present connections' silence; counts up for new connections.
+    /// The generation of the last silence, and that silence. It applies to
+    /// connections of an earlier generation.
     silence: Arc<watch::Sender<(u64, Silence)>>,
     task: JoinHandle<()>,
 }
 
 impl Relay {
-    /// Relays connections to `target`.
+    /// Listens on a free loopback port and relays connections to `target`.
     pub async fn open(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
@@ -61,7 +65,7 @@
         })
     }
 
-    /// Makes all present connections silent; later ones work.
+    /// Silences all open connections; connections opened later are not affected.
     pub fn silence(&self, silence: Silence) {
         self.silence.send_modify(|state| {
             state.0 += 1;
@@ -76,6 +80,7 @@
     }
 }
 
+/// Relays one connection in both directions.
 async fn relay_connection(
     client: TcpStream,
     target: SocketAddr,
@@ -98,6 +103,8 @@
     tokio::join!(to_target, from_target);
 }
 
+/// Copies bytes in one direction until either end closes; drops them while the
+/// direction is silenced.
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -112,7 +119,8 @@
             state.0 > generation && is_silent(&state.1)
         };
         if muted {
-            // Swallowed, and the end of the connection with it.
+            // The end of the stream is dropped as well: the other end must not
+            // see the connection close.
             if read == 0 {
                 std::future::pending::<()>().await;
             }
--- a/standins/src/scorer.rs
+++ b/standins/src/scorer.rs
@@ -1,4 +1,4 @@
-//! A scoring service's stand-in: `POST /score` with `{prompt, text}`.
+//! A stand-in for a scoring service: `POST /score` with `{prompt, text}`.
 
 use crate::{
     server::{Server, read_json},
@@ -21,19 +21,20 @@
     time::Duration, //
 };
 
-/// A running stand-in.
+/// A running scorer; dropping it stops it.
 pub struct Scorer {
     pub address: SocketAddr,
     _server: Server,
 }
 
+/// The body of `POST /score`; the prompt isn't needed.
 #[derive(Deserialize)]
 struct ScoreRequest {
     text: String,
 }
 
 impl Scorer {
-    /// Opens a scorer that takes `time` for each score.
+    /// Listens at `address` and takes `time` for each score.
     pub async fn open(address: SocketAddr, time: Duration) -> io::Result<Self> {
         let server = Server::open(address, move |request| answer(request, time)).await?;
         Ok(Self {
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that can be cut and brought back on command.
+//! A small HTTP server that can be taken down and brought back.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -24,16 +24,17 @@
     task::JoinHandle, //
 };
 
-/// A running server; dropping it ends it and all its connections.
+/// A running server; dropping it stops it and closes all its connections.
 pub struct Server {
     pub address: SocketAddr,
     task: JoinHandle<()>,
+    /// Whether the server listens; false also closes its connections.
     up: Arc<watch::Sender<bool>>,
 }
 
 impl Server {
-    /// Listens at `address` and answers with `handler`; a handler's error
-    /// cuts the connection.
+    /// Listens at `address` and answers with `handler`. An error of the handler
+    /// closes the connection without an answer.
     pub async fn open<H, Fut>(address: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
@@ -50,7 +51,7 @@
         })
     }
 
-    /// As [`Server::open`], with state that all requests share.
+    /// Like [`Server::open`], with `state` passed to `answer` for each request.
     pub async fn open_shared<T, F, Fut>(
         address: SocketAddr,
         state: &Arc<T>,
@@ -65,7 +66,8 @@
         Self::open(address, move |request| answer(state.clone(), request)).await
     }
 
-    /// A switch that cuts (false) or brings back (true) the server.
+    /// The switch that takes the server down (false) and brings it back at the
+    /// same address (true).
     pub fn switch(&self) -> Arc<watch::Sender<bool>> {
         self.up.clone()
     }
@@ -78,6 +80,8 @@
     }
 }
 
+/// Accepts connections while the server is up, and listens again when it comes
+/// back.
 async fn serve<H, Fut>(
     listener: TcpListener,
     address: SocketAddr,
@@ -108,6 +112,7 @@
     }
 }
 
+/// Serves one connection until it ends or the server goes down.
 async fn serve_connection<H, Fut>(stream: TcpStream, mut up: watch::Receiver<bool>, handler: H)
 where
     H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
@@ -123,13 +128,13 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a body to its end.
 pub async fn read_body(body: Incoming) -> io::Result<Bytes> {
     let body = body.collect().await.map_err(io::Error::other)?;
     Ok(body.to_bytes())
 }
 
-/// Reads a whole JSON body.
+/// Reads a body to its end and parses it as JSON.
 pub async fn read_json<T: serde::de::DeserializeOwned>(body: Incoming) -> io::Result<T> {
     serde_json::from_slice(&read_body(body).await?).map_err(io::Error::other)
 }
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,12 +1,12 @@
-//! A plain service's stand-in, which counts what it ran.
+//! A stand-in for a plain HTTP service, which counts the calls that it ran.
 //!
 //! | request | answer |
 //! |---|---|
-//! | any method at `/echo` | the request's body, streamed back |
-//! | any method at `/work` | after the service time: `{run, key, body}` |
+//! | any method at `/echo` | streams the request's body back |
+//! | any method at `/work` | `{run, key, body}` after the service time |
 //! | `GET /bytes/N` | N bytes |
 //! | `POST /admin/faults` | sets the faults |
-//! | `GET /admin/runs` | runs by request key and by request id |
+//! | `GET /admin/runs` | the number of runs of each request key and request id |
 
 use crate::server::{
     Server,
@@ -38,24 +38,25 @@
 };
 use tokio::sync::watch;
 
-/// What goes wrong at a service on command.
+/// Faults that a service injects on request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Added to each call's time.
+    /// Added to the service time of `/work`.
     pub delay_ms: u64,
-    /// Calls answered by cutting the connection after they ran.
+    /// How many of the next calls to `/work` run but get no answer: the
+    /// connection is closed instead. A call to `/echo` uses one up as well.
     pub lose_answers: u32,
 }
 
-/// How often each key and each request ran.
+/// How often each request key and each request id ran.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Runs {
     pub keys: HashMap<String, u32>,
     pub requests: HashMap<String, u32>,
 }
 
-/// A running stand-in.
+/// A running service; dropping it stops it.
 pub struct Service {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -67,15 +68,17 @@
     state: Mutex<(Faults, Runs)>,
 }
 
+/// The answer of `/work`.
 #[derive(Serialize)]
 struct WorkResult {
     body: String,
     key: Option<String>,
+    /// How often the request key, or without one the request id, has run.
     run: u32,
 }
 
 impl Service {
-    /// Opens a service whose `/work` takes `service_time`.
+    /// Listens at `address`; `/work` takes `service_time`.
     pub async fn open(address: SocketAddr, service_time: Duration) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             service_time,
@@ -90,7 +93,7 @@
         })
     }
 
-    /// What ran so far.
+    /// The runs so far.
     pub fn runs(&self) -> Runs {
         self.inner.state().1.clone()
     }
@@ -100,7 +103,7 @@
         self.inner.state().0 = faults;
     }
 
-    /// The switch that cuts the service and brings it back.
+    /// The switch that takes the service down and brings it back.
     pub fn switch(&self) -> Arc<watch::Sender<bool>> {
         self.server.switch()
     }
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Counts a run; tells how often the key, or else the request, has run.
+    /// Counts a run; returns how often the key, or without one the request, has
+    /// run, and the faults for this call.
     fn record_run(&self, key: Option<String>, request: Option<String>) -> (u32, Faults) {
         let mut state = self.state();
         let faults = state.0;
--- a/standins/src/truth.rs
+++ b/standins/src/truth.rs
@@ -1,24 +1,26 @@
-//! What the stand-in engines produce, so that answers can be checked from outside.
+//! The expected output of the stand-in engines and scorers, to check answers against.
 //!
 //! A token's text is a function of the prompt, the seed, its index and the
-//! weight version that really made it. So a wrong version, a lost token and a
-//! doubled one each show as a wrong text.
+//! weight version that generated it. A wrong version, a lost token and a
+//! duplicate token therefore each give a wrong text.
 
 use redwingpond::base::{
     Span,
     stable_hash, //
 };
 
-/// The version of tokens made while the weights were no one version.
+/// The version in the text of tokens without one weight version: after a failed load,
+/// which leaves mixed weights, or after the model was unloaded.
 pub const MIXED_WEIGHTS: u64 = u64::MAX;
 
-/// The median length of a sample, in tokens.
+/// The median length of a generation, in tokens.
 const MEDIAN_LENGTH: f64 = 24.0;
 
-/// The exponent of the lengths' tail; a greater one makes longer stragglers.
+/// The exponent of the length distribution's tail; a greater one makes longer
+/// stragglers.
 const TAIL_EXPONENT: f64 = 0.55;
 
-/// The length in tokens that a generation has when `max` does not cut it.
+/// The length of a generation in tokens, at most `max`.
 pub fn length(prompt: &str, seed: u64, max: u32) -> u32 {
     let hash = stable_hash(&[b"length", prompt.as_bytes(), &seed.to_le_bytes()]);
     let draw = (hash >> 11) as f64 / (1_u64 << 53) as f64;
@@ -42,7 +44,7 @@
     text
 }
 
-/// The whole text of a generation whose tokens the spans name.
+/// The text of the generation whose tokens have the versions in `spans`.
 pub fn text(prompt: &str, seed: u64, spans: &[Span]) -> String {
     let tokens = spans
         .iter()
@@ -52,7 +54,7 @@
         .collect()
 }
 
-/// The score that the stand-in scorer gives.
+/// The score of the stand-in scorer for `text`, from 0 to 0.999.
 pub fn score(text: &str) -> f64 {
     (stable_hash(&[b"score", text.as_bytes()]) % 1_000) as f64 / 1_000.0
 }
