--- a/standins/src/balancer.rs
+++ b/standins/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer: callers and trainers reach any entry through it.
+//! A stand-in for the platform's load balancer in front of the entries.
 
 use std::{
     net::SocketAddr,
@@ -9,11 +9,12 @@
     },
 };
 
-/// The entries that take calls, in turn.
+/// Picks the entry for a call or trainer request, round robin.
 #[derive(Debug, Default)]
 pub struct Balancer {
     entries: RwLock<Vec<SocketAddr>>,
-    turn: AtomicUsize,
+    /// Counts up; taken modulo the number of entries.
+    next_index: AtomicUsize,
 }
 
 impl Balancer {
@@ -21,25 +22,25 @@
     pub fn new(entries: Vec<SocketAddr>) -> Self {
         Self {
             entries: RwLock::new(entries),
-            turn: AtomicUsize::new(0),
+            next_index: AtomicUsize::new(0),
         }
     }
 
-    /// Adds an entry.
+    /// Adds an entry to the rotation.
     pub fn add(&self, entry: SocketAddr) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         entries.push(entry);
     }
 
-    /// The next entry in turn; none when there are none.
+    /// The entry for the next request; `None` without entries.
     pub fn next(&self) -> Option<SocketAddr> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let at = turn.checked_rem(entries.len())?;
-        Some(entries[at])
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
+        let index = next_index.checked_rem(entries.len())?;
+        Some(entries[index])
     }
 
-    /// Takes an entry out.
+    /// Stops sending requests to an entry.
     pub fn remove(&self, entry: SocketAddr) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         entries.retain(|one| *one != entry);
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,8 +1,8 @@
-//! An application's stand-in: sends calls at a fixed rate and checks answers.
+//! A stand-in for an application: sends calls at a fixed rate and checks the answers.
 
 use crate::{
     balancer::Balancer,
-    client::{Answered, Client},
+    client::{Client, FullResponse},
     fleet::{CallKind, CallerPlan},
     truth, //
 };
@@ -21,63 +21,68 @@
 };
 use tokio::task::JoinSet;
 
-/// What became of all calls, as their callers saw it.
+/// The outcomes of all calls, as their caller saw them.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Calls {
+pub struct CallResults {
+    /// Calls with a correct and complete answer.
     pub answered: u64,
-    /// Failures that said that the call may have run, or no answer at all.
+    /// Calls without an answer, or whose failure didn't rule out that they ran.
     pub in_doubt: u64,
-    /// Latencies of whole answers, in microseconds.
+    /// The time from each call's first attempt to its successful answer, right or
+    /// wrong, in microseconds.
     #[serde(skip)]
     pub latencies: Vec<u64>,
-    /// Request ids and keys of refusals that said "not run".
+    /// Failures that said that the call did not run.
     #[serde(skip)]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<Refusal>,
     pub sent: u64,
-    /// Examples of what went wrong.
+    /// The first few failures, as text.
     pub troubles: Vec<String>,
-    /// Answers that were not the caller's own or not whole.
+    /// Successful answers that belong to another call or are incomplete.
     pub wrong: u64,
 }
 
-/// A refusal that said that the call did not run.
+/// A failure that said that the call did not run.
 #[derive(Clone, Debug)]
-pub struct Refused {
+pub struct Refusal {
+    /// The prompt and seed of a chat.
     pub prompt: Option<(String, u64)>,
+    /// The request id.
     pub request: String,
 }
 
-/// Where calls go.
+/// A caller's calls and where they are sent.
 #[derive(Clone)]
 pub struct Target {
     pub balancer: Arc<Balancer>,
-    /// The model that chats ask for.
+    /// The model that chats use.
     pub model: String,
+    /// The caller's name, part of every call's body.
     pub name: String,
     pub plan: CallerPlan,
     pub seed: u64,
     pub team: String,
 }
 
-/// How often a call that did not run is made again.
-const TRIES: u32 = 3;
+/// The attempts at a call that did not run, the first one included.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// The tokens that a chat asks for at most.
-const CHAT_TOKENS: u32 = 48;
+/// The `max_tokens` of a chat.
+const MAX_CHAT_TOKENS: u32 = 48;
 
-/// How long a caller waits for an answer.
-const WAIT: Duration = Duration::from_secs(15);
+/// How long a caller waits for the answer to one attempt.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The examples of trouble that are kept.
+/// The limit of [`CallResults::troubles`].
 const MAX_TROUBLES: usize = 8;
 
-/// Sends calls on a fixed schedule for `time`, whatever the answers do.
-pub async fn run(target: Target, time: Duration) -> Calls {
-    let calls = Arc::new(Mutex::new(Calls::default()));
+/// Sends calls for `time` on a fixed schedule, without waiting for answers.
+pub async fn run(target: Target, time: Duration) -> CallResults {
+    let calls = Arc::new(Mutex::new(CallResults::default()));
     let client = Client::default();
     let clock = Clock::open();
     let mut sent = 0;
-    let mut under_way = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let total = target.plan.rate * time.as_millis() as u64 / 1_000;
     while sent < total {
         let due = sent * 1_000_000 / target.plan.rate;
@@ -87,44 +92,44 @@
         }
         let (target, client, calls) = (target.clone(), client.clone(), calls.clone());
         let number = sent;
-        under_way.spawn(async move { call(&target, &client, number, &calls).await });
+        in_flight.spawn(async move { call(&target, &client, number, &calls).await });
         sent += 1;
     }
-    under_way.join_all().await;
+    in_flight.join_all().await;
     let calls = calls.lock().unwrap_or_else(PoisonError::into_inner);
     calls.clone()
 }
 
-/// One call with its repeats.
-async fn call(target: &Target, client: &Client, number: u64, calls: &Mutex<Calls>) {
+/// Makes one call and retries it while the failures say that it did not run.
+async fn call(target: &Target, client: &Client, number: u64, calls: &Mutex<CallResults>) {
     let clock = Clock::open();
     let nonce = format!("{}/{}/{number}", target.name, target.seed);
-    note(calls, |calls| calls.sent += 1);
-    for _ in 0..TRIES {
-        let answer = once(target, client, &nonce, number).await;
+    update(calls, |calls| calls.sent += 1);
+    for _ in 0..MAX_ATTEMPTS {
+        let answer = send_once(target, client, &nonce, number).await;
         let wait = match answer {
             Err(trouble) => {
-                note(calls, |calls| {
+                update(calls, |calls| {
                     calls.in_doubt += 1;
-                    trouble_of(calls, format!("{nonce}: {trouble}"));
+                    add_trouble(calls, format!("{nonce}: {trouble}"));
                 });
                 return;
             }
             Ok(answer) if answer.status == StatusCode::OK => {
-                let whole = is_whole(target, &nonce, number, &answer);
-                let taken = clock.micros();
-                note(calls, |calls| {
-                    calls.answered += u64::from(whole);
-                    calls.wrong += u64::from(!whole);
-                    calls.latencies.push(taken);
-                    if !whole {
+                let correct = is_correct(target, &nonce, number, &answer);
+                let latency = clock.micros();
+                update(calls, |calls| {
+                    calls.answered += u64::from(correct);
+                    calls.wrong += u64::from(!correct);
+                    calls.latencies.push(latency);
+                    if !correct {
                         let body = String::from_utf8_lossy(&answer.body).into_owned();
-                        trouble_of(calls, format!("{nonce}: wrong answer {body}"));
+                        add_trouble(calls, format!("{nonce}: wrong answer {body}"));
                     }
                 });
                 return;
             }
-            Ok(answer) => match refused(target, &nonce, number, &answer, calls) {
+            Ok(answer) => match record_failure(target, &nonce, number, &answer, calls) {
                 Some(wait) => wait,
                 None => return,
             },
@@ -133,12 +138,13 @@
     }
 }
 
-async fn once(
+/// Makes one attempt at a call.
+async fn send_once(
     target: &Target,
     client: &Client,
     nonce: &str,
     number: u64,
-) -> Result<Answered, String> {
+) -> Result<FullResponse, String> {
     let entry = target.balancer.next().ok_or("no entry")?;
     let base = format!("/v1/app/{}/{}", target.team, target.plan.class);
     let bearer = format!("Bearer {}", target.plan.key);
@@ -153,7 +159,7 @@
     let (path, body) = match target.plan.kind {
         CallKind::Chat => {
             let body = serde_json::json!({
-                "max_tokens": CHAT_TOKENS,
+                "max_tokens": MAX_CHAT_TOKENS,
                 "model": target.model,
                 "prompt": prompt(nonce),
                 "seed": number,
@@ -163,11 +169,13 @@
         CallKind::Plain => (format!("{base}/work"), nonce.to_owned()),
     };
     let post = Method::POST;
-    client.call(post, entry, &path, &headers, body, WAIT).await
+    client
+        .call(post, entry, &path, &headers, body, RESPONSE_TIMEOUT)
+        .await
 }
 
-/// Whether the answer is the whole answer to this very call.
-fn is_whole(target: &Target, nonce: &str, number: u64, answer: &Answered) -> bool {
+/// Whether the answer is complete and belongs to this call.
+fn is_correct(target: &Target, nonce: &str, number: u64, answer: &FullResponse) -> bool {
     let json = answer.json();
     if target.plan.kind == CallKind::Plain {
         return json["body"] == nonce;
@@ -176,28 +184,29 @@
     let Ok(spans) = serde_json::from_value::<Vec<Span>>(spans.clone()) else {
         return false;
     };
-    let whole = truth::length(&prompt(nonce), number, CHAT_TOKENS);
-    Span::covers(&spans, whole)
+    let length = truth::length(&prompt(nonce), number, MAX_CHAT_TOKENS);
+    Span::covers(&spans, length)
         && json["choices"][0]["text"] == truth::text(&prompt(nonce), number, &spans)
 }
 
-/// Notes a failure; returns the wait before another try if it did not run.
-fn refused(
+/// Records a failed attempt; returns the delay before the next one, `None` if the
+/// call may have run.
+fn record_failure(
     target: &Target,
     nonce: &str,
     number: u64,
-    answer: &Answered,
-    calls: &Mutex<Calls>,
+    answer: &FullResponse,
+    calls: &Mutex<CallResults>,
 ) -> Option<Duration> {
     let problem = answer.json();
     let may_have_run = problem["may_have_run"].as_bool();
-    note(calls, |calls| {
-        trouble_of(calls, format!("{nonce}: {problem}"));
+    update(calls, |calls| {
+        add_trouble(calls, format!("{nonce}: {problem}"));
         match may_have_run {
             Some(false) => {
                 let request = answer.header("redwing-request-id").unwrap_or_default();
                 let chat = target.plan.kind == CallKind::Chat;
-                calls.refused.push(Refused {
+                calls.refused.push(Refusal {
                     prompt: chat.then(|| (prompt(nonce), number)),
                     request: request.to_owned(),
                 });
@@ -216,11 +225,11 @@
     format!("Advise the sorter on bale {nonce}.")
 }
 
-fn note(calls: &Mutex<Calls>, change: impl FnOnce(&mut Calls)) {
+fn update(calls: &Mutex<CallResults>, change: impl FnOnce(&mut CallResults)) {
     change(&mut calls.lock().unwrap_or_else(PoisonError::into_inner));
 }
 
-fn trouble_of(calls: &mut Calls, trouble: String) {
+fn add_trouble(calls: &mut CallResults, trouble: String) {
     if calls.troubles.len() < MAX_TROUBLES {
         calls.troubles.push(trouble);
     }
--- a/standins/src/client.rs
+++ b/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client for callers, trainers and admin calls.
+//! The HTTP client of the stand-ins and of the tests.
 
 use bytes::Bytes;
 use http_body_util::{
@@ -20,27 +20,27 @@
     time::Duration, //
 };
 
-/// A whole answer.
+/// A response whose body was read to its end.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct FullResponse {
     pub body: Bytes,
     pub headers: HeaderMap,
     pub status: StatusCode,
 }
 
-impl Answered {
-    /// The value of a header, if it is text.
+impl FullResponse {
+    /// The value of a header, if it is present and text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The body as JSON; `Null` when it is none.
+    /// The body as JSON; `Null` when it is no JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// A pooled client; clones share the pool.
+/// An HTTP client with a connection pool, which its clones share.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
@@ -58,7 +58,7 @@
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer within `wait`.
+    /// Sends a request and reads the response to its end, within `timeout`.
     pub async fn call(
         &self,
         method: Method,
@@ -66,8 +66,8 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-        wait: Duration,
-    ) -> Result<Answered, String> {
+        timeout: Duration,
+    ) -> Result<FullResponse, String> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"));
@@ -81,19 +81,20 @@
             let answer = self.pool.request(request).await.map_err(describe)?;
             let (parts, body) = answer.into_parts();
             let body = body.collect().await.map_err(|error| error.to_string())?;
-            Ok(Answered {
+            Ok(FullResponse {
                 body: body.to_bytes(),
                 headers: parts.headers,
                 status: parts.status,
             })
         };
-        match tokio::time::timeout(wait, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => answer,
-            Err(_) => Err("no whole answer in time".to_owned()),
+            Err(_) => Err("no complete response before the timeout".to_owned()),
         }
     }
 }
 
+/// The error with its source, which names the reason.
 fn describe(error: hyper_util::client::legacy::Error) -> String {
     use std::error::Error;
     match error.source() {
--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -6,13 +6,13 @@
     time::Duration, //
 };
 
-/// How often a paused or idle engine looks again.
-const IDLE: Duration = Duration::from_millis(20);
+/// How often a paused or idle engine checks for work.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The load reports kept.
-const MAX_LOADS: usize = 512;
+/// The load reports kept for `Faults::load_lag_ms`.
+const MAX_LOAD_REPORTS: usize = 512;
 
-/// Decodes until the engine is dropped.
+/// Runs decoding steps, one for the whole batch at a time; never returns.
 pub(super) async fn run(inner: Arc<Inner>) {
     let mut due = inner.clock.micros();
     loop {
@@ -21,21 +21,22 @@
             state.admit(inner.tuning.max_batch);
             let now = inner.clock.now().0;
             let report = (now, state.running.len(), state.waiting.len());
-            state.loads.push_back(report);
-            if state.loads.len() > MAX_LOADS {
-                state.loads.pop_front();
+            state.load_reports.push_back(report);
+            if state.load_reports.len() > MAX_LOAD_REPORTS {
+                state.load_reports.pop_front();
             }
             let faults = state.faults;
             (state.running.len(), faults.slow.max(1), faults.paused)
         };
         if paused || batch == 0 {
-            let woken = inner.work.notified();
-            let _ = tokio::time::timeout(IDLE, woken).await;
+            let woken = inner.work_added.notified();
+            let _ = tokio::time::timeout(IDLE_POLL_INTERVAL, woken).await;
             due = inner.clock.micros();
             continue;
         }
 
-        // Steps keep to a schedule, so that a late timer is made up for.
+        // Each step is due a fixed time after the one before, so that a late timer
+        // doesn't slow decoding down: later steps catch up, by 20 ms at most.
         let step = inner.tuning.step_us + inner.tuning.step_each_us * batch as u64;
         due += step * slow;
         let wait = due.saturating_sub(inner.clock.micros());
@@ -46,6 +47,6 @@
         }
         let now = inner.clock.micros();
         due = due.max(now.saturating_sub(20_000));
-        inner.state().step(now);
+        inner.state().decode_step(now);
     }
 }
--- a/standins/src/load/faults.rs
+++ b/standins/src/load/faults.rs
@@ -1,13 +1,13 @@
-//! Cases in which something goes wrong under application calls.
+//! Cases with faults or overload under application calls.
 
 use super::{
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     plot::Series,
     row::Aim,
-    scene::{self, End, Flow, Judged, Pool, Sent}, //
+    service_load::{self, CallOutcome, CallRecord, Flow, Pool, RunAudit}, //
 };
 use crate::{
     fleet::{Backend, Fleet, Options},
@@ -20,33 +20,34 @@
     time::Duration, //
 };
 
-/// What one policy did in a case.
+/// One policy's run of a case.
 struct Trial {
-    judged: Judged,
-    sent: Vec<Sent>,
+    audit: RunAudit,
+    calls: Vec<CallRecord>,
 }
 
-/// Nine servers, as Tahtiraita's ledger has.
-const NINE: Pool = Pool {
+/// Nine servers, the size of the pool behind Tahtiraita's ledger.
+const POOL: Pool = Pool {
     capacity: 8,
     queue: 256,
     servers: 9,
     service_ms: 20,
 };
 
+/// Calls of team `a` at `rate` a second, from `begin` to `end` in ms.
 fn flow(rate: f64, begin: u64, end: u64) -> Flow {
     Flow {
-        begin,
-        deadline: 1_000,
-        end,
+        begin_ms: begin,
+        deadline_ms: 1_000,
+        end_ms: end,
         keyed: false,
         rate: rate as u64,
         team: "a",
     }
 }
 
-/// Runs `flows` while `script` makes things go wrong.
-async fn trial<F, Fut>(
+/// Opens a fleet and sends `flows` while `script` injects faults.
+async fn run_trial<F, Fut>(
     pool: Pool,
     policy: Policy,
     options: Options,
@@ -57,17 +58,17 @@
     F: FnOnce(Fleet) -> Fut,
     Fut: Future<Output = Fleet>,
 {
-    let fleet = scene::open(pool, policy, options).await?;
+    let fleet = service_load::open(pool, policy, options).await?;
     let balancer = fleet.balancer.clone();
-    let sending = scene::send(&balancer, flows);
-    let (sent, fleet) = tokio::join!(sending, script(fleet));
-    let judged = scene::judge(&fleet, &sent);
-    Ok(Trial { judged, sent })
+    let sending = service_load::send(&balancer, flows);
+    let (calls, fleet) = tokio::join!(sending, script(fleet));
+    let audit = service_load::audit_runs(&fleet, &calls);
+    Ok(Trial { audit, calls })
 }
 
-/// Runs a case under the policies that are asked for.
-async fn both<F, Fut>(
-    run: Run,
+/// Runs a case under each requested policy, on a fleet of its own: baseline, current.
+async fn run_policies<F, Fut>(
+    run: RunOptions,
     pool: Pool,
     options: Options,
     flows: &[Flow],
@@ -84,13 +85,13 @@
     ];
     for (at, (wanted, policy)) in wanted.into_iter().enumerate() {
         if wanted {
-            trials[at] = Some(trial(pool, policy, options, flows, &script).await?);
+            trials[at] = Some(run_trial(pool, policy, options, flows, &script).await?);
         }
     }
     Ok(trials)
 }
 
-/// A row of what `figure` finds in each trial.
+/// A row with the value of `figure` for each trial.
 fn row(
     name: &str,
     unit: &'static str,
@@ -104,38 +105,45 @@
     Row::new(name, unit, baseline, current, aim)
 }
 
-/// The promises that every case holds to.
-fn promises(trials: &[Option<Trial>; 2]) -> [Row; 2] {
+/// The rows of the guarantees that every case checks.
+fn guarantee_rows(trials: &[Option<Trial>; 2]) -> [Row; 2] {
     [
         row("double runs", "calls", trials, Aim::AtMost(0.0), |trial| {
-            Some(trial.judged.double_runs as f64)
+            Some(trial.audit.double_runs as f64)
         }),
         row(
             "false refusals",
             "calls",
             trials,
             Aim::AtMost(0.0),
-            |trial| Some(trial.judged.false_refusals as f64),
+            |trial| Some(trial.audit.false_refusals as f64),
         ),
     ]
 }
 
-fn count(trial: &Trial, end: End) -> f64 {
-    trial.sent.iter().filter(|one| one.end == end).count() as f64
+/// The number of calls with an outcome.
+fn count(trial: &Trial, outcome: CallOutcome) -> f64 {
+    trial
+        .calls
+        .iter()
+        .filter(|one| one.outcome == outcome)
+        .count() as f64
 }
 
+/// The goodput of each trial over time.
 fn series(trials: &[Option<Trial>; 2]) -> Vec<Series> {
     let named = ["baseline", "current"].into_iter().zip(trials);
     let drawn = named.filter_map(|(name, trial)| {
         let trial = trial.as_ref()?;
-        Some(scene::timeline(name, &trial.sent))
+        Some(service_load::timeline(name, &trial.calls))
     });
     drawn.collect()
 }
 
+/// The outcome with `rows`, the guarantees and the plot.
 fn outcome(trials: &[Option<Trial>; 2], rows: Vec<Row>) -> Outcome {
     let mut results = rows;
-    results.extend(promises(trials));
+    results.extend(guarantee_rows(trials));
     Outcome {
         results,
         series: series(trials),
@@ -154,11 +162,11 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// `overload`: three times the capacity for a while, then 0.7 of it.
-pub async fn overload(run: Run) -> Result<Outcome, LoadError> {
-    let pool = Pool { servers: 4, ..NINE };
-    let most = run.seconds * 1_000;
-    let (begin, end) = (1_000, 1_000 + most);
+/// The case `overload`: three times the capacity for a while, then 0.7 of it.
+pub async fn overload(run: RunOptions) -> Result<Outcome, LoadError> {
+    let pool = Pool { servers: 4, ..POOL };
+    let overload_ms = run.seconds * 1_000;
+    let (begin, end) = (1_000, 1_000 + overload_ms);
     let after = end + 6_000;
     let capacity = pool.rate();
     let flows = [
@@ -167,17 +175,17 @@
         flow(capacity * 0.7, end, after),
     ]
     .map(|flow| Flow {
-        deadline: 400,
+        deadline_ms: 400,
         ..flow
     });
-    let trials = both(run, pool, Options::default(), &flows, |fleet| async {
+    let trials = run_policies(run, pool, Options::default(), &flows, |fleet| async {
         fleet
     })
     .await?;
-    let goodput = |trial: &Trial| Some(scene::goodput(&trial.sent, begin, end) / capacity);
-    let late = |trial: &Trial| {
-        let due = trial.sent.iter().filter(|one| one.due >= end + 2_000);
-        scene::percentile(due, 0.99)
+    let goodput = |trial: &Trial| Some(service_load::goodput(&trial.calls, begin, end) / capacity);
+    let p99_after = |trial: &Trial| {
+        let due = trial.calls.iter().filter(|one| one.due_ms >= end + 2_000);
+        service_load::percentile(due, 0.99)
     };
     Ok(outcome(
         &trials,
@@ -194,24 +202,24 @@
                 "ms",
                 &trials,
                 Aim::AtMost(100.0),
-                late,
+                p99_after,
             ),
             row("refused as not run", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::NotRun))
+                Some(count(trial, CallOutcome::NotRun))
             }),
         ],
     ))
 }
 
-/// `slow-server`: one of nine is ten times slower.
-pub async fn slow_server(run: Run) -> Result<Outcome, LoadError> {
+/// The case `slow-server`: one of nine servers gets ten times slower.
+pub async fn slow_server(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
-    let flows = [flow(NINE.rate() * 0.5, 0, end)];
-    let trials = both(run, NINE, Options::default(), &flows, |fleet| async {
+    let flows = [flow(POOL.rate() * 0.5, 0, end)];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(1_000).await;
         if let Some(service) = services(&fleet).next() {
             service.set_faults(service::Faults {
-                delay_ms: NINE.service_ms * 9,
+                delay_ms: POOL.service_ms * 9,
                 ..service::Faults::default()
             });
         }
@@ -220,8 +228,8 @@
     })
     .await?;
     let p99 = |trial: &Trial| {
-        let due = trial.sent.iter().filter(|one| one.due >= 2_000);
-        scene::percentile(due, 0.99)
+        let due = trial.calls.iter().filter(|one| one.due_ms >= 2_000);
+        service_load::percentile(due, 0.99)
     };
     Ok(outcome(
         &trials,
@@ -229,15 +237,16 @@
     ))
 }
 
-/// `crash`: two of nine crash and return, under calls of both kinds.
-pub async fn crash(run: Run) -> Result<Outcome, LoadError> {
+/// The case `crash`: two of nine servers crash and come back, under idempotent and
+/// non-idempotent calls.
+pub async fn crash(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = run.seconds * 1_000;
     let keyed = Flow {
         keyed: true,
-        ..flow(NINE.rate() * 0.02, 0, end)
+        ..flow(POOL.rate() * 0.02, 0, end)
     };
-    let flows = [flow(NINE.rate() * 0.5, 0, end), keyed];
-    let trials = both(run, NINE, Options::default(), &flows, |fleet| async {
+    let flows = [flow(POOL.rate() * 0.5, 0, end), keyed];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(end / 4).await;
         for service in services(&fleet).take(2) {
             service.switch().send_replace(false);
@@ -251,34 +260,35 @@
     })
     .await?;
     let lost = |trial: &Trial| {
-        let lost = trial.sent.iter();
-        let lost = lost.filter(|one| one.end != End::Answered && one.request.is_some());
+        let lost = trial.calls.iter();
+        let lost = lost.filter(|one| one.outcome != CallOutcome::Answered && one.request.is_some());
         Some(lost.count() as f64)
     };
     Ok(outcome(
         &trials,
         vec![
             row("p99", "ms", &trials, Aim::RatioAtMost(0.5), |trial| {
-                scene::percentile(trial.sent.iter(), 0.99)
+                service_load::percentile(trial.calls.iter(), 0.99)
             }),
             row("not answered", "calls", &trials, Aim::None, lost),
         ],
     ))
 }
 
-/// `silent`: half of the links go silent.
-pub async fn silent(run: Run) -> Result<Outcome, LoadError> {
+/// The case `silent`: half of the links go silent.
+pub async fn silent(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
     let options = Options {
         relayed: true,
         ..Options::default()
     };
-    // Time enough that the link's silence settles a call, not its deadline.
+    // The deadline is long enough that the silence timeout of the link ends an
+    // attempt first.
     let flows = [Flow {
-        deadline: 8_000,
-        ..flow(NINE.rate() * 0.3, 0, end)
+        deadline_ms: 8_000,
+        ..flow(POOL.rate() * 0.3, 0, end)
     }];
-    let trials = both(run, NINE, options, &flows, |fleet| async {
+    let trials = run_policies(run, POOL, options, &flows, |fleet| async {
         sleep(1_000).await;
         for member in fleet.members.iter().step_by(2) {
             if let Some(relay) = &member.relay {
@@ -293,13 +303,14 @@
     })
     .await?;
     let slowest = |trial: &Trial| {
-        let times = trial.sent.iter().map(|one| one.taken);
+        let times = trial.calls.iter().map(|one| one.latency_ms);
         Some(times.fold(0.0, f64::max))
     };
     Ok(outcome(
         &trials,
         vec![
-            // 2.5 s of silence and one beat of 0.75 s, then a second attempt.
+            // The silence timeout of 2.5 s and a heartbeat interval of 0.75 s, then
+            // a second attempt.
             row(
                 "slowest settled",
                 "ms",
@@ -308,18 +319,18 @@
                 slowest,
             ),
             row("not answered", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::InDoubt) + count(trial, End::NotRun))
+                Some(count(trial, CallOutcome::InDoubt) + count(trial, CallOutcome::NotRun))
             }),
         ],
     ))
 }
 
-/// `retry-storm`: the pool is out for a while at 0.8 of its load.
-pub async fn retry_storm(run: Run) -> Result<Outcome, LoadError> {
-    let out = run.seconds * 1_000;
-    let end = 2_000 + out + 5_000;
-    let flows = [flow(NINE.rate() * 0.8, 0, end)];
-    let trials = both(run, NINE, Options::default(), &flows, |fleet| async {
+/// The case `retry-storm`: the whole pool fails for a while, at 0.8 of its capacity.
+pub async fn retry_storm(run: RunOptions) -> Result<Outcome, LoadError> {
+    let outage_ms = run.seconds * 1_000;
+    let end = 2_000 + outage_ms + 5_000;
+    let flows = [flow(POOL.rate() * 0.8, 0, end)];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |fleet| async {
         sleep(2_000).await;
         for service in services(&fleet) {
             service.set_faults(service::Faults {
@@ -327,19 +338,19 @@
                 lose_answers: u32::MAX,
             });
         }
-        sleep(out).await;
+        sleep(outage_ms).await;
         for service in services(&fleet) {
             service.set_faults(service::Faults::default());
         }
-        sleep(end - out - 2_000).await;
+        sleep(end - outage_ms - 2_000).await;
         fleet
     })
     .await?;
     let attempts =
-        |trial: &Trial| Some(trial.judged.attempts as f64 / trial.sent.len().max(1) as f64);
+        |trial: &Trial| Some(trial.audit.attempts as f64 / trial.calls.len().max(1) as f64);
     let recovered = |trial: &Trial| {
-        let rate = scene::goodput(&trial.sent, 2_000 + out + 3_000, end);
-        Some(rate / (NINE.rate() * 0.8))
+        let rate = service_load::goodput(&trial.calls, 2_000 + outage_ms + 3_000, end);
+        Some(rate / (POOL.rate() * 0.8))
     };
     Ok(outcome(
         &trials,
@@ -356,9 +367,9 @@
     ))
 }
 
-/// `noisy-team`: one team offers ten times its share.
-pub async fn noisy_team(run: Run) -> Result<Outcome, LoadError> {
-    let pool = Pool { servers: 4, ..NINE };
+/// The case `noisy-team`: one team offers ten times its share.
+pub async fn noisy_team(run: RunOptions) -> Result<Outcome, LoadError> {
+    let pool = Pool { servers: 4, ..POOL };
     let share = pool.rate() / 3.0;
     let (begin, end) = (3_000, 3_000 + run.seconds * 1_000);
     let quiet = |team| Flow {
@@ -367,56 +378,67 @@
     };
     let noisy = flow(share * 10.0, begin, end);
     let flows = [flow(share * 0.6, 0, begin), noisy, quiet("b"), quiet("c")];
-    let trials = both(run, pool, Options::default(), &flows, |fleet| async {
+    let trials = run_policies(run, pool, Options::default(), &flows, |fleet| async {
         fleet
     })
     .await?;
-    let others = |trial: &Trial, begin: u64, end: u64| {
-        let others = trial.sent.iter().filter(|one| one.team != "a");
-        let due = others.filter(|one| (begin..end).contains(&one.due));
-        scene::percentile(due, 0.99)
+    let others_p99 = |trial: &Trial, begin: u64, end: u64| {
+        let others = trial.calls.iter().filter(|one| one.team != "a");
+        let due = others.filter(|one| (begin..end).contains(&one.due_ms));
+        service_load::percentile(due, 0.99)
     };
-    let worse = |trial: &Trial| {
-        let quiet = others(trial, 1_000, begin)?;
-        Some(others(trial, begin + 500, end)? / quiet)
+    let p99_ratio = |trial: &Trial| {
+        let quiet = others_p99(trial, 1_000, begin)?;
+        Some(others_p99(trial, begin + 500, end)? / quiet)
     };
     let answered = |trial: &Trial| {
         let due = || {
-            let others = trial.sent.iter().filter(|one| one.team != "a");
-            others.filter(|one| one.due >= begin)
+            let others = trial.calls.iter().filter(|one| one.team != "a");
+            others.filter(|one| one.due_ms >= begin)
         };
-        let answered = due().filter(|one| one.end == End::Answered).count();
+        let answered = due()
+            .filter(|one| one.outcome == CallOutcome::Answered)
+            .count();
         Some(answered as f64 / due().count().max(1) as f64)
     };
     Ok(outcome(
         &trials,
         vec![
-            row("others' p99 / quiet", "", &trials, Aim::AtMost(1.3), worse),
+            row(
+                "others' p99 / quiet",
+                "",
+                &trials,
+                Aim::AtMost(1.3),
+                p99_ratio,
+            ),
             row("others' p50", "ms", &trials, Aim::None, |trial| {
-                let others = trial.sent.iter().filter(|one| one.team != "a");
-                scene::percentile(others.filter(|one| one.due > begin + 500), 0.5)
+                let others = trial.calls.iter().filter(|one| one.team != "a");
+                service_load::percentile(others.filter(|one| one.due_ms > begin + 500), 0.5)
             }),
             row("others' quiet p99", "ms", &trials, Aim::None, |trial| {
-                others(trial, 1_000, begin)
+                others_p99(trial, 1_000, begin)
             }),
             row("others' quiet p50", "ms", &trials, Aim::None, |trial| {
-                let others = trial.sent.iter().filter(|one| one.team != "a");
-                scene::percentile(others.filter(|one| (1_000..begin).contains(&one.due)), 0.5)
+                let others = trial.calls.iter().filter(|one| one.team != "a");
+                service_load::percentile(
+                    others.filter(|one| (1_000..begin).contains(&one.due_ms)),
+                    0.5,
+                )
             }),
             row("others answered", "", &trials, Aim::AtLeast(0.99), answered),
         ],
     ))
 }
 
-/// `drain`: every agent and every entry is replaced, one after another.
-pub async fn drain(run: Run) -> Result<Outcome, LoadError> {
+/// The case `drain`: every agent and every entry is replaced, one after another.
+pub async fn drain(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = run.seconds * 1_000 + 6_000;
     let keyed = Flow {
         keyed: true,
         ..flow(40.0, 0, end)
     };
-    let flows = [flow(NINE.rate() * 0.3, 0, end), keyed];
-    let trials = both(run, NINE, Options::default(), &flows, |mut fleet| async {
+    let flows = [flow(POOL.rate() * 0.3, 0, end), keyed];
+    let trials = run_policies(run, POOL, Options::default(), &flows, |mut fleet| async {
         sleep(500).await;
         for at in 0..fleet.members.len() {
             let (platform, options) = (&fleet.platform, fleet.options);
@@ -440,13 +462,13 @@
                 "calls",
                 &trials,
                 Aim::AtMost(0.0),
-                |trial| Some(count(trial, End::InDoubt)),
+                |trial| Some(count(trial, CallOutcome::InDoubt)),
             ),
             row("refused as not run", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::NotRun))
+                Some(count(trial, CallOutcome::NotRun))
             }),
             row("answered", "calls", &trials, Aim::None, |trial| {
-                Some(count(trial, End::Answered))
+                Some(count(trial, CallOutcome::Answered))
             }),
         ],
     ))
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -1,10 +1,10 @@
-//! `fleet`: what one entry's control work costs for each linked agent.
+//! The case `fleet`: the cost of linked agents to an entry without calls.
 
 use super::{
     LoadError,
     Outcome,
     Row,
-    Run,
+    RunOptions,
     plot::Series,
     row::Aim,
     usage, //
@@ -40,43 +40,45 @@
     task::JoinSet, //
 };
 
-/// The numbers of agents.
-const SIZES: [usize; 4] = [32, 100, 200, 400];
+/// The numbers of agents measured.
+const AGENT_COUNTS: [usize; 4] = [32, 100, 200, 400];
 
-/// How often each agent reports; real ones do so at most this often.
-const REPORT: Duration = Duration::from_secs(1);
+/// How often each agent reports; real agents do so at most this often.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-const KEY: &str = "fleet";
+/// The key of the links, in agents and entry.
+const LINK_KEY: &str = "fleet";
 
-/// What an entry used at one size.
-struct Used {
+/// What an entry used with one number of agents.
+struct EntryUsage {
     agents: f64,
-    /// Bytes a second received and sent over all links.
+    /// Bytes per second received and sent, see [`loopback_bytes`].
     bytes: f64,
-    /// Milliseconds of processor time a second.
-    cpu: f64,
+    /// Milliseconds of processor time per second.
+    cpu_ms: f64,
+    /// Resident memory added, in bytes.
     memory: f64,
 }
 
 /// Runs the case.
-pub async fn measure(run: Run) -> Result<Outcome, LoadError> {
-    let mut used = Vec::new();
-    for agents in SIZES {
-        used.push(at(agents, Duration::from_secs(run.seconds)).await?);
+pub async fn measure(run: RunOptions) -> Result<Outcome, LoadError> {
+    let mut usages = Vec::new();
+    for agents in AGENT_COUNTS {
+        usages.push(measure_entry(agents, Duration::from_secs(run.seconds)).await?);
     }
-    let slope = |figure: fn(&Used) -> f64| {
-        let (first, last) = (used.first()?, used.last()?);
+    let slope = |figure: fn(&EntryUsage) -> f64| {
+        let (first, last) = (usages.first()?, usages.last()?);
         Some((figure(last) - figure(first)) / (last.agents - first.agents))
     };
-    // Two pools of 16 servers each are what one entry links to.
-    let (first, last) = (used.first(), used.last());
+    // The aims are for 32 agents: an entry links to two pools of 16 servers each.
+    let (first, last) = (usages.first(), usages.last());
     Ok(Outcome {
         results: vec![
             Row::new(
                 "CPU for each agent",
                 "us/s",
                 None,
-                slope(|u| u.cpu * 1e3),
+                slope(|u| u.cpu_ms * 1e3),
                 Aim::None,
             ),
             Row::new(
@@ -97,14 +99,14 @@
                 "CPU of a core at 32",
                 "%",
                 None,
-                first.map(|u| u.cpu / 10.0),
+                first.map(|u| u.cpu_ms / 10.0),
                 Aim::AtMost(2.8),
             ),
             Row::new(
                 "CPU of a core at 400",
                 "%",
                 None,
-                last.map(|u| u.cpu / 10.0),
+                last.map(|u| u.cpu_ms / 10.0),
                 Aim::None,
             ),
             Row::new(
@@ -124,13 +126,14 @@
         ],
         series: vec![Series {
             name: "ms of CPU a second over linked agents".to_owned(),
-            points: used.iter().map(|u| (u.agents, u.cpu)).collect(),
+            points: usages.iter().map(|u| (u.agents, u.cpu_ms)).collect(),
         }],
         ..Outcome::default()
     })
 }
 
-async fn at(agents: usize, time: Duration) -> Result<Used, LoadError> {
+/// Opens a platform, `agents` agents and an entry, and measures the entry for `time`.
+async fn measure_entry(agents: usize, time: Duration) -> Result<EntryUsage, LoadError> {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = Platform::open(loopback, 1, Duration::ZERO).await?;
     platform.apply("pools/any", "kind: service\n");
@@ -147,8 +150,8 @@
         });
         tasks.spawn(agent(listener, number));
     }
-    let before = usage::resident();
-    let common = common(platform.address);
+    let before = usage::own_memory();
+    let common = common_settings(platform.address);
     let entry = Entry::open(EntrySettings {
         callers: loopback,
         common,
@@ -161,30 +164,30 @@
     })?;
     tokio::time::sleep(Duration::from_secs(3)).await;
 
-    let cpu = usage::now();
-    let bytes = traffic();
+    let cpu = usage::cpu_times();
+    let bytes = loopback_bytes();
     tokio::time::sleep(time).await;
     let seconds = time.as_secs_f64();
-    let used = Used {
+    let used = EntryUsage {
         agents: agents as f64,
-        bytes: (traffic() - bytes) as f64 / seconds,
-        cpu: usage::since(&cpu, &usage::PRODUCT) as f64 / 1e6 / seconds,
-        memory: usage::resident().saturating_sub(before) as f64,
+        bytes: (loopback_bytes() - bytes) as f64 / seconds,
+        cpu_ms: usage::cpu_since(&cpu, &usage::REDWING_THREADS) as f64 / 1e6 / seconds,
+        memory: usage::own_memory().saturating_sub(before) as f64,
     };
     drop(entry);
     Ok(used)
 }
 
-/// The bytes received over the loopback interface: every byte of the links
-/// and of the platform's answers, with their TCP and IP headers, once.
-fn traffic() -> u64 {
+/// The bytes received over the loopback interface so far. They include the links and
+/// the platform's answers, with TCP and IP headers, each byte once.
+fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|l| l.trim().strip_prefix("lo:"));
     let first = line.and_then(|line| line.split_whitespace().next());
     first.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn common(platform: SocketAddr) -> CommonSettings {
+fn common_settings(platform: SocketAddr) -> CommonSettings {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     CommonSettings {
         admin: loopback,
@@ -194,7 +197,7 @@
             close_delay: Millis(0),
         },
         instance: "entry".to_owned(),
-        key: KEY.to_owned(),
+        key: LINK_KEY.to_owned(),
         links: loopback,
         log: LogFormat::Text,
         log_level: "off".to_owned(),
@@ -202,13 +205,14 @@
     }
 }
 
-/// An agent that only beats and reports, each report another one.
+/// An agent that only sends heartbeats and reports. Each report differs from the one
+/// before.
 async fn agent(listener: TcpListener, number: usize) {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let hello = Hello {
         incarnation: Incarnation(1),
         instance: format!("agent-{number}"),
-        key: common(loopback).link_key(),
+        key: common_settings(loopback).link_key(),
         role: Role::Agent,
     };
     while let Ok((stream, _)) = listener.accept().await {
@@ -230,7 +234,7 @@
                 if !sender.send(FromAgent::Report(report.clone())).await {
                     return;
                 }
-                tokio::time::sleep(REPORT).await;
+                tokio::time::sleep(REPORT_INTERVAL).await;
             }
         };
         tokio::select! {
--- a/standins/src/load/hops.rs
+++ b/standins/src/load/hops.rs
@@ -1,4 +1,5 @@
-//! A bare pass-through of two hops, what any path through two processes costs.
+//! A bare HTTP proxy. Two of them in a row show what any path through two processes
+//! costs.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -24,25 +25,25 @@
     sync::oneshot, //
 };
 
-/// One hop on a thread of its own; dropping it ends it.
+/// One proxy on a thread of its own; dropping it stops it.
 pub struct Hop {
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The names of the hops' threads begin so.
-pub const THREADS: &str = "hop-";
+/// The prefix of the hops' thread names.
+pub const THREAD_PREFIX: &str = "hop-";
 
 type Pool = Client<HttpConnector, Incoming>;
 
 impl Hop {
-    /// Passes all requests on to `target`.
+    /// Listens on a free loopback port and forwards all requests to `target`.
     pub fn open(number: u32, target: SocketAddr) -> io::Result<Self> {
         let (sender, receiver) = mpsc::sync_channel(1);
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::Builder::new()
-            .name(format!("{THREADS}{number}"))
+            .name(format!("{THREAD_PREFIX}{number}"))
             .spawn(move || {
                 let runtime = tokio::runtime::Builder::new_current_thread()
                     .enable_all()
@@ -74,9 +75,13 @@
     }
 }
 
-async fn serve(target: SocketAddr, told: &mpsc::SyncSender<SocketAddr>) -> io::Result<()> {
+/// Sends the listening address, then serves connections.
+async fn serve(
+    target: SocketAddr,
+    address_sender: &mpsc::SyncSender<SocketAddr>,
+) -> io::Result<()> {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
-    let _ = told.send(listener.local_addr()?);
+    let _ = address_sender.send(listener.local_addr()?);
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let pool: Pool = Client::builder(TokioExecutor::new())
@@ -87,7 +92,7 @@
         let _ = stream.set_nodelay(true);
         let pool = pool.clone();
         tokio::spawn(async move {
-            let service = service_fn(move |request| pass(pool.clone(), target, request));
+            let service = service_fn(move |request| forward(pool.clone(), target, request));
             let builder = Builder::new(TokioExecutor::new());
             let _ = builder
                 .serve_connection(TokioIo::new(stream), service)
@@ -96,7 +101,8 @@
     }
 }
 
-async fn pass(
+/// Forwards one request.
+async fn forward(
     pool: Pool,
     target: SocketAddr,
     mut request: Request<Incoming>,
--- a/standins/src/load/plot.rs
+++ b/standins/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Draws what a case measured.
+//! Draws the series of a case as an SVG plot.
 
 use super::LoadError;
 use plotters::{
@@ -13,19 +13,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Series {
     pub name: String,
-    /// Points in the plot's units.
+    /// The points (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws `series` to `path` under `title`.
+/// Draws `series` under `title` to the SVG file `path`.
 pub fn draw(path: &Path, title: &str, series: &[Series]) -> Result<(), LoadError> {
     let failed = |error: &dyn std::fmt::Display| LoadError::Plot {
         file: path.display().to_string(),
         message: error.to_string(),
     };
     let points = || series.iter().flat_map(|one| &one.points);
-    let right = points().map(|point| point.0).fold(1.0, f64::max);
-    let top = points().map(|point| point.1).fold(1.0, f64::max);
+    let max_x = points().map(|point| point.0).fold(1.0, f64::max);
+    let max_y = points().map(|point| point.1).fold(1.0, f64::max);
 
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
     area.fill(&WHITE).map_err(|error| failed(&error))?;
@@ -34,7 +34,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..right, 0.0..top * 1.05)
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y * 1.05)
         .map_err(|error| failed(&error))?;
     chart
         .configure_mesh()
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,7 +1,8 @@
-//! A TCP relay whose connections can go silent on command.
+//! A TCP relay that can drop all traffic of its open connections.
 //!
-//! Something between two ends loses track of a connection: both stay open,
-//! nothing passes any more, and new connections work.
+//! It simulates a device on the network path that loses a connection's state,
+//! such as a firewall: both ends stay open, no byte arrives any more, and new
+//! connections work.
 
 use std::{
     io,
@@ -19,23 +20,26 @@
     task::JoinHandle, //
 };
 
-/// Which directions of the relay's present connections pass nothing.
+/// The directions in which the relay drops the traffic of open connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Silence {
+    /// From the target to the client.
     pub from_target: bool,
+    /// From the client to the target.
     pub to_target: bool,
 }
 
-/// A running relay.
+/// A running relay; dropping it stops accepting connections.
 pub struct Relay {
     pub address: SocketAddr,
-    /// The present connections' silence; counts up for new connections.
+    /// The generation of the last silence, and that silence. It applies to
+    /// connections of an earlier generation.
     silence: Arc<watch::Sender<(u64, Silence)>>,
     task: JoinHandle<()>,
 }
 
 impl Relay {
-    /// Relays connections to `target`.
+    /// Listens on a free loopback port and relays connections to `target`.
     pub async fn open(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
@@ -44,8 +48,13 @@
             let silence = silence.clone();
             async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let (era, _) = *silence.borrow();
-                    tokio::spawn(connection(stream, target, silence.subscribe(), era));
+                    let (generation, _) = *silence.borrow();
+                    tokio::spawn(relay_connection(
+                        stream,
+                        target,
+                        silence.subscribe(),
+                        generation,
+                    ));
                 }
             }
         });
@@ -56,7 +65,7 @@
         })
     }
 
-    /// Makes all present connections silent; later ones work.
+    /// Silences all open connections; connections opened later are not affected.
     pub fn silence(&self, silence: Silence) {
         self.silence.send_modify(|state| {
             state.0 += 1;
@@ -71,11 +80,12 @@
     }
 }
 
-async fn connection(
+/// Relays one connection in both directions.
+async fn relay_connection(
     client: TcpStream,
     target: SocketAddr,
     silence: watch::Receiver<(u64, Silence)>,
-    era: u64,
+    generation: u64,
 ) {
     let Ok(server) = TcpStream::connect(target).await else {
         return;
@@ -84,26 +94,33 @@
     let _ = server.set_nodelay(true);
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
-    let to = pass(client_in, server_out, silence.clone(), era, |s| s.to_target);
-    let from = pass(server_in, client_out, silence, era, |s| s.from_target);
-    tokio::join!(to, from);
+    let to_target = forward(client_in, server_out, silence.clone(), generation, |s| {
+        s.to_target
+    });
+    let from_target = forward(server_in, client_out, silence, generation, |s| {
+        s.from_target
+    });
+    tokio::join!(to_target, from_target);
 }
 
-async fn pass(
+/// Copies bytes in one direction until either end closes; drops them while the
+/// direction is silenced.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     silence: watch::Receiver<(u64, Silence)>,
-    era: u64,
-    silent: fn(&Silence) -> bool,
+    generation: u64,
+    is_silent: fn(&Silence) -> bool,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     while let Ok(read) = from.read(&mut buffer).await {
         let muted = {
             let state = silence.borrow();
-            state.0 > era && silent(&state.1)
+            state.0 > generation && is_silent(&state.1)
         };
         if muted {
-            // Swallowed, and the end of the connection with it.
+            // The end of the stream is dropped as well: the other end must not
+            // see the connection close.
             if read == 0 {
                 std::future::pending::<()>().await;
             }
--- a/standins/src/scorer.rs
+++ b/standins/src/scorer.rs
@@ -1,7 +1,7 @@
-//! A scoring service's stand-in: `POST /score` with `{prompt, text}`.
+//! A stand-in for a scoring service: `POST /score` with `{prompt, text}`.
 
 use crate::{
-    server::{Server, decoded},
+    server::{Server, read_json},
     truth, //
 };
 use hyper::{
@@ -21,19 +21,20 @@
     time::Duration, //
 };
 
-/// A running stand-in.
+/// A running scorer; dropping it stops it.
 pub struct Scorer {
     pub address: SocketAddr,
     _server: Server,
 }
 
+/// The body of `POST /score`; the prompt isn't needed.
 #[derive(Deserialize)]
-struct Judged {
+struct ScoreRequest {
     text: String,
 }
 
 impl Scorer {
-    /// Opens a scorer that takes `time` for each score.
+    /// Listens at `address` and takes `time` for each score.
     pub async fn open(address: SocketAddr, time: Duration) -> io::Result<Self> {
         let server = Server::open(address, move |request| answer(request, time)).await?;
         Ok(Self {
@@ -47,8 +48,8 @@
     if request.uri().path() != "/score" {
         return Ok(text(StatusCode::NOT_FOUND, "text/plain", "no such path\n"));
     }
-    let judged: Judged = decoded(request.into_body()).await?;
+    let score_request: ScoreRequest = read_json(request.into_body()).await?;
     tokio::time::sleep(time).await;
-    let score = truth::score(&judged.text);
+    let score = truth::score(&score_request.text);
     Ok(json(StatusCode::OK, &serde_json::json!({ "score": score })))
 }
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,17 +1,17 @@
-//! A plain service's stand-in, which counts what it ran.
+//! A stand-in for a plain HTTP service, which counts the calls that it ran.
 //!
 //! | request | answer |
 //! |---|---|
-//! | any method at `/echo` | the request's body, streamed back |
-//! | any method at `/work` | after the service time: `{run, key, body}` |
+//! | any method at `/echo` | streams the request's body back |
+//! | any method at `/work` | `{run, key, body}` after the service time |
 //! | `GET /bytes/N` | N bytes |
 //! | `POST /admin/faults` | sets the faults |
-//! | `GET /admin/runs` | runs by request key and by request id |
+//! | `GET /admin/runs` | the number of runs of each request key and request id |
 
 use crate::server::{
     Server,
-    decoded,
-    whole, //
+    read_body, //
+    read_json,
 };
 use http_body_util::BodyExt;
 use hyper::{
@@ -38,24 +38,25 @@
 };
 use tokio::sync::watch;
 
-/// What goes wrong at a service on command.
+/// Faults that a service injects on request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Added to each call's time.
+    /// Added to the service time of `/work`.
     pub delay_ms: u64,
-    /// Calls answered by cutting the connection after they ran.
+    /// How many of the next calls to `/work` run but get no answer: the
+    /// connection is closed instead. A call to `/echo` uses one up as well.
     pub lose_answers: u32,
 }
 
-/// How often each key and each request ran.
+/// How often each request key and each request id ran.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Runs {
     pub keys: HashMap<String, u32>,
     pub requests: HashMap<String, u32>,
 }
 
-/// A running stand-in.
+/// A running service; dropping it stops it.
 pub struct Service {
     pub address: SocketAddr,
     inner: Arc<Inner>,
@@ -67,15 +68,17 @@
     state: Mutex<(Faults, Runs)>,
 }
 
+/// The answer of `/work`.
 #[derive(Serialize)]
-struct Work {
+struct WorkResult {
     body: String,
     key: Option<String>,
+    /// How often the request key, or without one the request id, has run.
     run: u32,
 }
 
 impl Service {
-    /// Opens a service whose `/work` takes `service_time`.
+    /// Listens at `address`; `/work` takes `service_time`.
     pub async fn open(address: SocketAddr, service_time: Duration) -> io::Result<Self> {
         let inner = Arc::new(Inner {
             service_time,
@@ -90,7 +93,7 @@
         })
     }
 
-    /// What ran so far.
+    /// The runs so far.
     pub fn runs(&self) -> Runs {
         self.inner.state().1.clone()
     }
@@ -100,7 +103,7 @@
         self.inner.state().0 = faults;
     }
 
-    /// The switch that cuts the service and brings it back.
+    /// The switch that takes the service down and brings it back.
     pub fn switch(&self) -> Arc<watch::Sender<bool>> {
         self.server.switch()
     }
@@ -115,19 +118,19 @@
         };
         match parts.uri.path() {
             "/admin/faults" => {
-                let faults = decoded(body).await?;
+                let faults = read_json(body).await?;
                 self.state().0 = faults;
                 Ok(text(StatusCode::OK, "text/plain", "ok\n"))
             }
             "/admin/runs" => Ok(json(StatusCode::OK, &self.state().1)),
             "/echo" => {
-                self.count(header("redwing-request-key"), header("redwing-request-id"));
+                self.record_run(header("redwing-request-key"), header("redwing-request-id"));
                 Ok(Response::new(body.map_err(io::Error::other).boxed_unsync()))
             }
             "/work" => {
-                let body = whole(body).await?;
+                let body = read_body(body).await?;
                 let key = header("redwing-request-key");
-                let (run, faults) = self.count(key.clone(), header("redwing-request-id"));
+                let (run, faults) = self.record_run(key.clone(), header("redwing-request-id"));
                 let time = self.service_time + Duration::from_millis(faults.delay_ms);
                 if !time.is_zero() {
                     tokio::time::sleep(time).await;
@@ -136,7 +139,7 @@
                     return Err(io::Error::other("the answer is lost"));
                 }
                 let body = String::from_utf8_lossy(&body).into_owned();
-                Ok(json(StatusCode::OK, &Work { body, key, run }))
+                Ok(json(StatusCode::OK, &WorkResult { body, key, run }))
             }
             path => {
                 let size = path.strip_prefix("/bytes/").and_then(|n| n.parse().ok());
@@ -148,8 +151,9 @@
         }
     }
 
-    /// Counts a run; tells how often the key, or else the request, has run.
-    fn count(&self, key: Option<String>, request: Option<String>) -> (u32, Faults) {
+    /// Counts a run; returns how often the key, or without one the request, has
+    /// run, and the faults for this call.
+    fn record_run(&self, key: Option<String>, request: Option<String>) -> (u32, Faults) {
         let mut state = self.state();
         let faults = state.0;
         state.0.lose_answers = faults.lose_answers.saturating_sub(1);
--- a/standins/src/site/trainer.rs
+++ b/standins/src/site/trainer.rs
@@ -1,6 +1,6 @@
 //! Batches as a trainer submits them, and results as it reads them.
 
-use crate::client::Answered;
+use crate::client::FullResponse;
 use base64::{
     Engine as _,
     prelude::BASE64_STANDARD, //
@@ -120,7 +120,7 @@
 
 impl ResultPage {
     /// Parses a page from an answer's JSON body.
-    pub fn read(answer: &Answered) -> Self {
+    pub fn read(answer: &FullResponse) -> Self {
         let json = answer.json();
         let results = json["results"].as_array().cloned().unwrap_or_default();
         let number = |name: &str| json[name].as_u64().unwrap_or(0) as usize;
--- a/standins/src/soak/trainer.rs
+++ b/standins/src/soak/trainer.rs
@@ -1,7 +1,7 @@
 //! Batches that trainers submit, and the checks of what trainers read.
 
 use crate::{
-    client::{Answered, Client},
+    client::{Client, FullResponse},
     site::{Batch, ItemResult, ResultPage}, //
 };
 use hyper::Method;
@@ -90,7 +90,7 @@
     }
 
     /// Compares a page with the results read before, and adds its new results.
-    fn check(&mut self, answer: &Answered, from: usize) {
+    fn check(&mut self, answer: &FullResponse, from: usize) {
         let id = &self.batch.id;
         match (answer.status.as_u16(), self.accepted) {
             (200, _) if self.refused => self
--- a/standins/src/trainer/api.rs
+++ b/standins/src/trainer/api.rs
@@ -1,12 +1,12 @@
-//! A trainer's requests to the entries.
+//! The trainer's requests to entries and to the weight store.
 
 use super::{
     Config,
     check::Sample, //
 };
 use crate::client::{
-    Answered,
     Client, //
+    FullResponse,
 };
 use hyper::{
     Method,
@@ -19,7 +19,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// A group as it is delivered.
+/// The delivered samples of a group.
 #[derive(Debug, Deserialize)]
 pub(super) struct Group {
     pub(super) group: u32,
@@ -37,24 +37,24 @@
 
 /// How a fetch went.
 pub(super) enum Fetch {
-    /// To be asked again after a while.
-    Again,
-    Got(Fetched),
-    /// The owner doesn't know the step: it is to be submitted again.
+    /// The fetch failed: repeat it after a delay.
+    Retry,
+    Received(Fetched),
+    /// The owner doesn't know the step: submit it again.
     Unknown,
 }
 
-/// A trainer's connection to the service.
+/// The client of one trainer.
 pub(super) struct Api<'a> {
     client: Client,
     config: &'a Config,
 }
 
-/// How long a fetch is held by the owner.
-const HOLD_MS: u64 = 1_000;
+/// How long the owner may hold a fetch open until there are new samples.
+const FETCH_WAIT_MS: u64 = 1_000;
 
-/// How long any request may take.
-const WAIT: Duration = Duration::from_secs(10);
+/// The timeout of every request. It exceeds [`FETCH_WAIT_MS`].
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl<'a> Api<'a> {
     pub(super) fn new(config: &'a Config) -> Self {
@@ -64,71 +64,75 @@
         }
     }
 
+    /// Fetches the samples of a step that are not in `have`.
     pub(super) async fn fetch(&self, step: u64, have: &Bitmap, version: u64, epoch: u64) -> Fetch {
         let body = serde_json::json!({
             "epoch": epoch,
             "have": have.to_string(),
-            "wait_ms": HOLD_MS,
+            "wait_ms": FETCH_WAIT_MS,
             "weight_version": version,
         });
         let path = format!("steps/{step}/fetch");
         match self.post(&path, body.to_string()).await {
             Some(answer) if answer.status == StatusCode::OK => {
                 match serde_json::from_slice(&answer.body) {
-                    Ok(fetched) => Fetch::Got(fetched),
-                    Err(_) => Fetch::Again,
+                    Ok(fetched) => Fetch::Received(fetched),
+                    Err(_) => Fetch::Retry,
                 }
             }
             Some(answer) if answer.status == StatusCode::NOT_FOUND => Fetch::Unknown,
-            Some(_) | None => Fetch::Again,
+            Some(_) | None => Fetch::Retry,
         }
     }
 
-    /// Publishes weights and tells that the trainer is at them.
+    /// Publishes weights and reports their version as the trainer's own. Repeats
+    /// both until they succeed.
     pub(super) async fn publish(&self, version: u64) {
         let path = format!("/weights/{}/{version}", self.config.model);
         let platform = self.config.platform;
         loop {
             let put = self
                 .client
-                .call(Method::PUT, platform, &path, &[], "", WAIT);
+                .call(Method::PUT, platform, &path, &[], "", REQUEST_TIMEOUT);
             if put.await.is_ok() {
                 break;
             }
-            pause().await;
+            wait_before_retry().await;
         }
         let body = serde_json::json!({ "model": self.config.model, "weight_version": version });
-        self.insist("version", &body.to_string()).await;
+        self.post_until_accepted("version", &body.to_string()).await;
     }
 
+    /// Submits a step, until it is accepted.
     pub(super) async fn submit(&self, step: u64, spec: &StepSpec) {
         let body = serde_json::to_string(spec).unwrap_or_default();
-        self.insist(&format!("steps/{step}"), &body).await;
+        self.post_until_accepted(&format!("steps/{step}"), &body)
+            .await;
     }
 
-    /// Repeats a request until it is accepted; repeats are harmless.
-    async fn insist(&self, path: &str, body: &str) {
+    /// Repeats a request until it is accepted. A repeat has no further effect.
+    async fn post_until_accepted(&self, path: &str, body: &str) {
         loop {
             let answer = self.post(path, body.to_owned()).await;
             if answer.is_some_and(|answer| answer.status == StatusCode::OK) {
                 return;
             }
-            pause().await;
+            wait_before_retry().await;
         }
     }
 
-    async fn post(&self, path: &str, body: String) -> Option<Answered> {
+    async fn post(&self, path: &str, body: String) -> Option<FullResponse> {
         let entry = self.config.balancer.next()?;
         let (team, name) = (&self.config.team, &self.config.name);
         let path = format!("/v1/teams/{team}/trainers/{name}/{path}");
         let call = self
             .client
-            .call(Method::POST, entry, &path, &[], body, WAIT);
+            .call(Method::POST, entry, &path, &[], body, REQUEST_TIMEOUT);
         call.await.ok()
     }
 }
 
-/// The wait before a request is made again.
-pub(super) async fn pause() {
+/// Waits before a request is repeated.
+pub(super) async fn wait_before_retry() {
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
--- a/standins/tests/integration/stage.rs
+++ b/standins/tests/integration/stage.rs
@@ -4,7 +4,7 @@
 use hyper::Method;
 use redwing_standins::{
     balancer::Balancer,
-    client::{Answered, Client},
+    client::{Client, FullResponse},
     engine,
     fleet::{Backend, Fleet, Options, Plan},
     platform,
@@ -26,9 +26,9 @@
 /// The state of one scenario.
 pub struct Stage {
     /// The answers so far, by the id that the scenario gave the call.
-    answers: BTreeMap<String, Result<Answered, String>>,
+    answers: BTreeMap<String, Result<FullResponse, String>>,
     /// The calls in progress, by id.
-    calls: HashMap<String, JoinHandle<Result<Answered, String>>>,
+    calls: HashMap<String, JoinHandle<Result<FullResponse, String>>>,
     client: Client,
     /// The entries' addresses for callers, in the order of their start.
     entries: Vec<SocketAddr>,
@@ -202,7 +202,7 @@
     }
 
     /// Keeps an answer for `explain` and describes it.
-    fn record(&mut self, id: String, answer: Result<Answered, String>) -> String {
+    fn record(&mut self, id: String, answer: Result<FullResponse, String>) -> String {
         let output = describe(&answer);
         self.answers.insert(id, answer);
         output
@@ -390,10 +390,10 @@
             prompts: vec!["Judge.".into()],
             samples: number(case, "samples", 4) as u32,
             seed: 1,
-            staleness: number(case, "staleness", 1),
+            max_staleness: number(case, "staleness", 1),
             steps: number(case, "steps", 2),
             team: "plant".into(),
-            train: Duration::from_millis(50),
+            train_time: Duration::from_millis(50),
         };
         let progress = Arc::new(AtomicU64::new(0));
         let report = self.runtime.block_on(trainer::run(&config, &progress));
@@ -401,7 +401,7 @@
             "{} of {} delivered, every promise held: {}",
             report.delivered,
             report.asked,
-            report.holds()
+            report.passed()
         )
     }
 }
@@ -426,7 +426,7 @@
 ";
 
 /// Describes an answer without the parts that differ from run to run.
-fn describe(answer: &Result<Answered, String>) -> String {
+fn describe(answer: &Result<FullResponse, String>) -> String {
     let Ok(answer) = answer else {
         return "no whole answer".into();
     };
