--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -302,8 +302,8 @@
             .partition(|(at, _)| *at <= now);
         self.deferred = deferred;
         self.schedule_restarts(now);
-        for (_, what) in due {
-            match what {
+        for (_, action) in due {
+            match action {
                 Deferred::RestartEngine(number) => {
                     let engine = &self.engines[number];
                     engine.restart(&engine.id, "m0");
@@ -477,8 +477,8 @@
 
     /// Ends all faults and reads every accepted batch until its results are complete.
     async fn finish(&mut self) -> io::Result<()> {
-        for (_, what) in std::mem::take(&mut self.deferred) {
-            match what {
+        for (_, action) in std::mem::take(&mut self.deferred) {
+            match action {
                 Deferred::EndFault(fault) => self.end_fault(fault),
                 deferred => self.deferred.push((Millis(0), deferred)),
             }
--- a/standins/tests/integration/crashes.rs
+++ b/standins/tests/integration/crashes.rs
@@ -182,11 +182,11 @@
             ];
             let gateway = site.gateways[round % 2].callers;
             let (path, body) = ("/safe/x", "fatal");
-            let calls = site
+            let call = site
                 .client
                 .call(Method::POST, gateway, path, &headers, body, test.within);
             // The client may give up before there is an answer.
-            let _ = calls.await;
+            let _ = call.await;
             ids.push(id);
             sleep(2 * RESTART_DELAY).await;
             restart_plain(&site, &mut incarnations);
