--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -31,7 +31,7 @@
 /// Faults that a test injects into an engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineFaults {
-    /// Each run is cut off in the middle of the event that follows this many whole ones.
+    /// `n`: each run is cut off in the middle of the n-th event that it sends.
     pub cut_after: Option<u64>,
     /// A cut run ends its response normally instead of breaking the connection; only the
     /// incomplete last event shows the cut.
@@ -207,6 +207,7 @@
         }
     }
 
+    /// The engine's report: its model, its start, and the number of orders accepted.
     fn report(&self) -> Answer {
         let now = self.clock.now();
         let state = self.state();
@@ -222,6 +223,7 @@
         text(StatusCode::OK, "application/json", body.to_string())
     }
 
+    /// Applies an order at once and answers it, unless orders are delayed.
     async fn receive_order(self: Arc<Self>, body: &[u8]) -> io::Result<Answer> {
         let wire: serde_json::Value = serde_json::from_slice(body).map_err(io::Error::other)?;
         let delay = self.state().faults.order_delay;
@@ -236,6 +238,8 @@
         Ok(text(code, "text/plain", ""))
     }
 
+    /// Starts to load the ordered version, unless another load is in progress or the number
+    /// of accepted orders isn't the expected one.
     fn apply_order(&self, wire: &serde_json::Value) -> StatusCode {
         let now = self.clock.now();
         let mut state = self.state();
@@ -332,7 +336,8 @@
 struct RunStream {
     /// The start of the incarnation that executes the run.
     started_at: Millis,
-    /// The event in the middle of which the response is cut off.
+    /// The event after the one that is cut off in the middle; once the first part of that one
+    /// has been sent, its own number.
     cut_at: Option<u64>,
     engine: Arc<Inner>,
     /// The total number of events.
@@ -347,6 +352,7 @@
 }
 
 impl RunStream {
+    /// Sends the next event, or the part of it up to the cut; `None` ends the response.
     async fn next_frame(mut self) -> Option<(io::Result<Frame<Bytes>>, Self)> {
         if self.next >= self.events {
             return None;
--- a/standins/src/site/plain.rs
+++ b/standins/src/site/plain.rs
@@ -205,6 +205,7 @@
         });
     }
 
+    /// Takes the server down (false) or up (true).
     fn set_online(&self, up: bool) {
         if let Some(switch) = self.switch.get() {
             switch.send_replace(up);
@@ -265,6 +266,7 @@
     }
 }
 
+/// Locks a mutex, also after a panic in another holder.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -216,6 +216,7 @@
         }
     }
 
+    /// Executes a transaction request as the faults at its arrival demand.
     async fn transact(self: Arc<Self>, body: &[u8], faults: StoreFaults) -> io::Result<Answer> {
         let wire: WireTransaction = serde_json::from_slice(body).map_err(io::Error::other)?;
         let count = self.writes.fetch_add(1, Ordering::Relaxed) + 1;
@@ -234,6 +235,7 @@
         }
     }
 
+    /// Applies a transaction; answers 412 with the expected rows if one of them has changed.
     fn apply(&self, wire: &WireTransaction) -> Answer {
         let expected: Vec<(RowKey, u64)> = wire
             .expected_rev
@@ -256,6 +258,7 @@
         answer
     }
 
+    /// Answers with the changes of a table after a revision; waits up to `max_wait` for one.
     async fn feed(&self, table: &str, after: u64, max_wait: Millis) -> Answer {
         let deadline = self.clock.now() + max_wait;
         let mut changed = self.changed.subscribe();
@@ -279,6 +282,7 @@
         }
     }
 
+    /// An answer with rows, as JSON.
     fn listing(&self, status: StatusCode, rows: &Rows, found: &[Change], more: bool) -> Answer {
         let records: Vec<serde_json::Value> = found.iter().map(record).collect();
         let now = self.clock.now().0;
@@ -288,11 +292,13 @@
         text(status, "application/json", body.to_string())
     }
 
+    /// Wakes held feed requests.
     fn notify_feeds(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 }
 
+/// A row or its removal, as JSON.
 fn record(change: &Change) -> serde_json::Value {
     let (table, part, key) = &change.key;
     let mut record = serde_json::json!(
@@ -305,6 +311,7 @@
     record
 }
 
+/// An empty JSON answer with a status.
 fn status(code: u16) -> Answer {
     let status = StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     text(status, "application/json", "{}")
--- a/standins/src/site/test_site.rs
+++ b/standins/src/site/test_site.rs
@@ -89,7 +89,7 @@
         Ok(site)
     }
 
-    /// Starts a site without a configuration, and doesn't wait for it.
+    /// Starts a site without a configuration; its gateways aren't ready until they get one.
     pub async fn open_unconfigured(options: SiteOptions) -> io::Result<Self> {
         let store = Store::open().await?;
         let mut engines = Vec::new();
@@ -265,6 +265,7 @@
         Some(answer.status.as_u16())
     }
 
+    /// Waits until all gateways report ready.
     async fn wait_ready(&self) -> io::Result<()> {
         let deadline = self.clock.now() + READY_TIMEOUT;
         while self.clock.now() < deadline {
@@ -301,6 +302,7 @@
         }
     }
 
+    /// The settings that gateways and runners have in common.
     fn common(&self, instance: &str) -> SiteCommon {
         SiteCommon {
             data_centre: "north".to_owned(),
@@ -315,6 +317,7 @@
     }
 }
 
+/// The loopback address with a port that the system chooses.
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/standins/tests/integration/relay.rs
+++ b/standins/tests/integration/relay.rs
@@ -18,7 +18,7 @@
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-/// Starts a site and waits until its instances have found their parents.
+/// Starts a site and waits for its instances to find their parents.
 async fn open(gateways: usize, engines: usize) -> TestSite {
     let options = SiteOptions {
         engines,
@@ -26,7 +26,7 @@
         ..SiteOptions::default()
     };
     let site = TestSite::open(options).await.unwrap();
-    // Until every instance has found its parent.
+    // By then every instance has found its parent.
     sleep(1_500).await;
     site
 }
--- a/standins/tests/integration/site.rs
+++ b/standins/tests/integration/site.rs
@@ -374,7 +374,7 @@
     check_whole(&batch, &site.read_results(&batch, 6, Millis(2_200)).await);
     let resumed = site.engines.iter().flat_map(Engine::runs);
     let resumed = resumed.filter(|run| run.after.is_some_and(|after| after > 5));
-    assert!(resumed.count() >= 6, "runs that go on");
+    assert!(resumed.count() >= 6, "resumed runs");
 
     site.name_version(2);
     sleep(1_500).await;
