--- a/src/gateway/buffered.rs
+++ b/src/gateway/buffered.rs
@@ -9,9 +9,9 @@
 use hyper::StatusCode;
 
 /// Runs `call`, which arrived at `arrived`, and returns the response to its caller.
-pub(super) async fn answer(caller: &Dispatcher, call: &Call, arrived: Millis) -> Answer {
-    let end = caller.run(call).await;
-    let taken = caller.clock().now().since(arrived).0;
+pub(super) async fn answer(dispatcher: &Dispatcher, call: &Call, arrived: Millis) -> Answer {
+    let end = dispatcher.run(call).await;
+    let taken = dispatcher.clock().now().since(arrived).0;
     let (id, route) = (&call.id, &call.route.name);
     match end {
         CallOutcome::Answered { answer, .. } => {
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -32,7 +32,7 @@
 /// Answers all requests that arrive at the callers' listener.
 pub(super) struct Frontend {
     pub(super) batches: Batches,
-    pub(super) caller: Arc<Dispatcher>,
+    pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) clock: Clock,
     pub(super) access: AccessControl,
 }
@@ -156,9 +156,9 @@
             workspace,
         };
         match call.route.kind {
-            RouteKind::Stream { .. } => streams::answer(&self.caller, call).await,
+            RouteKind::Stream { .. } => streams::answer(&self.dispatcher, call).await,
             RouteKind::Batch | RouteKind::Safe | RouteKind::Unsafe => {
-                buffered::answer(&self.caller, &call, arrived).await
+                buffered::answer(&self.dispatcher, &call, arrived).await
             }
         }
     }
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -82,7 +82,7 @@
             let windows = usage.windows();
             Counter::open(&common.instance, clock, store.clone(), windows)
         });
-        let caller = Dispatcher::new(
+        let dispatcher = Dispatcher::new(
             site.clone(),
             crashes.clone(),
             &common.data_centre,
@@ -96,7 +96,7 @@
                 site: site.clone(),
                 store: store.clone(),
             },
-            caller,
+            dispatcher,
             clock,
             access: AccessControl { site: site.clone() },
         });
--- a/src/gateway/streams.rs
+++ b/src/gateway/streams.rs
@@ -21,10 +21,10 @@
 
 /// Runs `call`, and returns a response that streams the backend server's body until the
 /// call's deadline.
-pub(super) async fn answer(caller: &Arc<Dispatcher>, call: Call) -> Answer {
+pub(super) async fn answer(dispatcher: &Arc<Dispatcher>, call: Call) -> Answer {
     let deadline = call.deadline;
-    let (opened, watched) = match caller.open_stream(&call).await {
-        StreamOutcome::Opened(opened, watched) => (opened, watched),
+    let (opened, attempt) = match dispatcher.open_stream(&call).await {
+        StreamOutcome::Opened(opened, attempt) => (opened, attempt),
         StreamOutcome::Lost { reason } => {
             tracing::warn!(call = call.id, reason, "stream lost: the call may have run");
             return reply::status(StatusCode::BAD_GATEWAY, "the answer is lost");
@@ -45,27 +45,27 @@
         "stream opened"
     );
 
-    let clock = caller.clock();
+    let clock = dispatcher.clock();
     let id = call.id;
-    let frames = stream::unfold(Some((opened.body, watched)), move |open| {
+    let frames = stream::unfold(Some((opened.body, attempt)), move |open| {
         let id = id.clone();
         async move {
-            let (mut body, watched) = open?;
-            let left = deadline.since(clock.now());
-            match body.next(left).await {
+            let (mut body, attempt) = open?;
+            let time_left = deadline.since(clock.now());
+            match body.next(time_left).await {
                 Ok(Some(bytes)) => {
                     let frame = Frame::<Bytes>::data(bytes);
-                    Some((Ok(frame), Some((body, watched))))
+                    Some((Ok(frame), Some((body, attempt))))
                 }
                 Ok(None) => {
-                    watched.complete();
+                    attempt.complete();
                     None
                 }
                 Err(error) => {
                     // The error closes the caller's connection, so that the caller
                     // does not take a partial body for a complete one.
                     tracing::warn!(call = id, %error, "stream from backend server broke off");
-                    watched.fail(&error).await;
+                    attempt.fail(&error).await;
                     Some((Err(std::io::Error::other(error)), None))
                 }
             }
