--- a/src/entry/directory_update.rs
+++ b/src/entry/directory_update.rs
@@ -46,12 +46,12 @@
             Self::Part { changed, gone } => {
                 let replaced: BTreeSet<&str> = changed
                     .iter()
-                    .map(|one| one.name.as_str())
+                    .map(|instance| instance.name.as_str())
                     .chain(gone.iter().map(String::as_str))
                     .collect();
                 let kept = before
                     .iter()
-                    .filter(|one| !replaced.contains(one.name.as_str()));
+                    .filter(|instance| !replaced.contains(instance.name.as_str()));
                 let mut list: Vec<Instance> = kept.cloned().collect();
                 list.extend(changed);
                 list.sort_by(|a, b| a.name.cmp(&b.name));
@@ -63,16 +63,21 @@
 
     /// The change that makes `after` of `before`.
     pub(super) fn between(before: &[Instance], after: &[Instance]) -> Self {
-        let old: BTreeMap<&str, &Instance> =
-            before.iter().map(|one| (one.name.as_str(), one)).collect();
-        let new: BTreeSet<&str> = after.iter().map(|one| one.name.as_str()).collect();
+        let old: BTreeMap<&str, &Instance> = before
+            .iter()
+            .map(|instance| (instance.name.as_str(), instance))
+            .collect();
+        let new: BTreeSet<&str> = after
+            .iter()
+            .map(|instance| instance.name.as_str())
+            .collect();
         let changed = after
             .iter()
-            .filter(|one| old.get(one.name.as_str()) != Some(one));
+            .filter(|instance| old.get(instance.name.as_str()) != Some(instance));
         let gone = before
             .iter()
-            .filter(|one| !new.contains(one.name.as_str()))
-            .map(|one| one.name.clone());
+            .filter(|instance| !new.contains(instance.name.as_str()))
+            .map(|instance| instance.name.clone());
         Self::Part {
             changed: changed.cloned().collect(),
             gone: gone.collect(),
