--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -22,7 +22,8 @@
 const AGENT_GRACE: Millis = Millis(150);
 
 impl Traffic {
-    /// Takes a message from an agent that belongs to an attempt in progress.
+    /// Takes an agent's message about an attempt in progress: passes it on to the caller,
+    /// or ends the attempt.
     pub(super) fn on_call_message(&mut self, key: AttemptKey, call: CallKey, message: FromAgent) {
         let delivered = match message {
             FromAgent::Credit { bytes, .. } => self.reply_to(call, Reply::Credit(bytes)),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Ends an attempt that gave no whole answer; the call is retried or fails.
+    /// Ends an attempt that has failed; its call is retried or fails.
     pub(super) fn fail_attempt(&mut self, key: AttemptKey, failure: Failure) {
         let now = self.context.clock.now();
         let Some(attempt) = self.end_attempt(key) else {
--- a/src/entry/trainer_api.rs
+++ b/src/entry/trainer_api.rs
@@ -35,8 +35,8 @@
     epoch: u64,
     /// The samples that the trainer has, as a bitmap in hexadecimal.
     have: String,
-    #[serde(default)]
     /// How long the answer may wait for a complete group.
+    #[serde(default)]
     wait_ms: u64,
     weight_version: WeightVersion,
 }
