--- a/src/duty/supervisor.rs
+++ b/src/duty/supervisor.rs
@@ -117,10 +117,7 @@
             SupervisorMessage::Entered(name, phase) => state.duty_entered(name, phase),
             SupervisorMessage::Stop => {
                 if state.health.borrow().phase == Phase::Draining {
-                    tracing::error!(
-                        bound = self.drain_timeout.0,
-                        "graceful stop timed out; forcing the stop"
-                    );
+                    tracing::error!(bound = self.drain_timeout.0, "graceful stop forced");
                 }
                 state.enter(Phase::Stopped);
             }
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -63,6 +63,7 @@
         let listed = PlatformClient::open(platform)
             .instances(&mut EntityTag::default())
             .await?;
+        // Only agents have a pool.
         let entries = listed
             .unwrap_or_default()
             .into_iter()
