--- a/standins/tests/integration/bad_input.rs
+++ b/standins/tests/integration/bad_input.rs
@@ -67,7 +67,7 @@
 /// An entry receives malformed requests. The answers must name the mistake, and later valid
 /// calls must succeed.
 #[test]
-fn bad_requests_get_a_4xx() {
+fn bad_requests_are_rejected() {
     struct Test {
         request: String,
         /// A part of the expected answer.
@@ -172,7 +172,7 @@
 /// Clients open many connections and send nothing or half a request. Calls of other clients
 /// must still be served.
 #[test]
-fn half_sent_requests_block_nobody() {
+fn half_sent_requests_block_no_other_calls() {
     Runtime::new().unwrap().block_on(async {
         let fleet = open().await;
         let entry = fleet.balancer.next().unwrap();
@@ -196,7 +196,7 @@
 /// version, a huge frame length, a valid hello with a wrong key, or a message without a hello.
 /// The entries' links must stay up.
 #[test]
-fn foreign_link_connections_are_refused() {
+fn foreign_link_connections_disturb_no_calls() {
     Runtime::new().unwrap().block_on(async {
         let fleet = open().await;
         let links = fleet.members[0].agent.as_ref().unwrap().links;
