--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -108,9 +108,9 @@
     if echoed.is_none_or(|echoed| echoed.as_bytes() != id.as_bytes()) {
         return failed("foreign-answer", false, Verdict::MayHaveRun);
     }
-    let sealed = platform::signature(&answer.headers).is_some();
+    let is_signed = platform::signature(&answer.headers).is_some();
     let encoded = answer.headers.contains_key(hyper::header::CONTENT_ENCODING);
-    if !sealed || encoded {
+    if !is_signed || encoded {
         return failed("unsealed-answer", true, Verdict::MayHaveRun);
     }
     AttemptOutcome::Answered(answer)
--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -7,7 +7,7 @@
     attempt::{AttemptOutcome, classify},
     crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE},
     dispatcher::{
-        MAX_REFUSALS, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt,
+        MAX_ATTEMPTS_NOT_RUN, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt,
     }, //
 };
 use crate::{
@@ -36,7 +36,7 @@
     /// Attempts that may have run.
     may_have_run: u32,
     /// Attempts that did not run.
-    refusals: u32,
+    not_run: u32,
     /// The claimed trial of a call that is in quarantine.
     trial: Option<view::Attempt>,
     /// The server of each attempt; a server that was tried twice is there twice.
@@ -53,7 +53,7 @@
             hedged: false,
             last_reason: "no-server",
             may_have_run: 0,
-            refusals: 0,
+            not_run: 0,
             trial: None,
             tried: Vec::new(),
         }
@@ -114,7 +114,7 @@
     fn record_failure(&mut self, reason: &'static str, verdict: Verdict) {
         self.last_reason = reason;
         match verdict {
-            Verdict::NotRun => self.refusals += 1,
+            Verdict::NotRun => self.not_run += 1,
             Verdict::MayHaveRun | Verdict::Ran => self.may_have_run += 1,
         }
     }
@@ -135,13 +135,13 @@
         }
         let repeatable = self.is_idempotent() || self.may_have_run == 0;
         let allowed = repeatable
-            && self.refusals < MAX_REFUSALS
+            && self.not_run < MAX_ATTEMPTS_NOT_RUN
             && self.may_have_run + self.in_flight() < self.call.route.max_attempts;
         if !allowed {
             return None;
         }
         let server = self.dispatcher.choose_server(self.call, &self.tried)?;
-        if self.tried.contains(&server.incarnation) && self.refusals > 0 {
+        if self.tried.contains(&server.incarnation) && self.not_run > 0 {
             return None;
         }
         self.tried.push(server.incarnation.clone());
@@ -151,16 +151,16 @@
 
     /// The number of attempts in flight.
     fn in_flight(&self) -> u32 {
-        self.tried.len() as u32 - self.may_have_run - self.refusals
+        self.tried.len() as u32 - self.may_have_run - self.not_run
     }
 
     /// How long to wait for the only attempt in flight before hedging it with another;
     /// `None` if the call is not to be hedged.
     fn hedge_delay(&self, in_flight: usize) -> Option<Millis> {
         // A request that may have crashed a server isn't sent to two at once.
-        let harmless = self.dispatcher.crashes.crash_count(self.call.fingerprint) == 0;
-        let wanted = in_flight == 1 && self.is_idempotent() && !self.hedged && harmless;
-        if !wanted || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
+        let crashed_no_server = self.dispatcher.crashes.crash_count(self.call.fingerprint) == 0;
+        let may_hedge = in_flight == 1 && self.is_idempotent() && !self.hedged && crashed_no_server;
+        if !may_hedge || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
             return None;
         }
         let service = self.call.route.service_of(&self.call.id)?;
--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -74,7 +74,7 @@
 
 /// How many attempts of a call may fail without running before it is given up, as all
 /// servers are probably full. Such attempts don't count towards the route's limit.
-pub(super) const MAX_REFUSALS: u32 = 3;
+pub(super) const MAX_ATTEMPTS_NOT_RUN: u32 = 3;
 
 /// How much one success adds to the retry budget that hedged attempts are paid from.
 /// Retries after a failure are limited by the route instead.
@@ -139,7 +139,7 @@
         let mut tried = Vec::new();
         let mut reason = "no-server";
         let trial = self.claim_trial(call).await;
-        for _ in 0..=MAX_REFUSALS {
+        for _ in 0..=MAX_ATTEMPTS_NOT_RUN {
             // The caller reopens its stream each time a server crashes, so a request that
             // crashes servers has to be stopped here.
             if self.is_barred(call, trial.is_some() && tried.is_empty()) {
--- a/src/view/crash_row.rs
+++ b/src/view/crash_row.rs
@@ -52,8 +52,8 @@
     pub(super) fn parse(key: &str) -> Option<Self> {
         let mut parts = key.splitn(3, '/');
         let request = Fingerprint::parse(parts.next()?)?;
-        let born = Millis(parts.next()?.parse().ok()?);
-        let incarnation = ServerIncarnation::new(parts.next()?, born);
+        let started_at = Millis(parts.next()?.parse().ok()?);
+        let incarnation = ServerIncarnation::new(parts.next()?, started_at);
         Some(Self {
             incarnation,
             request,
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -156,12 +156,12 @@
     /// Since when changes haven't arrived, or the store hasn't answered this process directly;
     /// `None` if neither is the case.
     pub fn store_unreachable_since(&self) -> Option<Millis> {
-        let away = self.directory().outage_start();
+        let feed_lost_since = self.directory().outage_start();
         let unreachable_since = *self
             .unreachable_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        away.into_iter().chain(unreachable_since).min()
+        feed_lost_since.into_iter().chain(unreachable_since).min()
     }
 
     /// Records whether the store answers this process directly.
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -151,12 +151,12 @@
             };
             invalid.0.remove(&key);
             let mut directory = site.directory();
-            let (life, draining) = (&server.incarnation, server.draining);
+            let (incarnation, draining) = (&server.incarnation, server.draining);
             let before = directory.get(&key);
-            if before
-                .is_none_or(|before| (&before.incarnation, before.draining) != (life, draining))
-            {
-                let (service, born) = (&server.service, life.started_at.0);
+            if before.is_none_or(|before| {
+                (&before.incarnation, before.draining) != (incarnation, draining)
+            }) {
+                let (service, born) = (&server.service, incarnation.started_at.0);
                 tracing::info!(server = key, service, born, draining, "server announced");
             }
             directory.put(server);
