--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -45,7 +45,7 @@
     Gone,
     /// The process answered.
     Alive,
-    /// The attempt shows nothing either way.
+    /// The attempt doesn't show whether the process has ended.
     Unknown,
 }
 
@@ -80,9 +80,6 @@
         }
     };
 
-    // A late response to an earlier request can arrive in place of the response to
-    // this one. The echoed id tells them apart; without the check a caller would get
-    // the response to someone else's request.
     let echoed = answer.headers.get(platform::ATTEMPT_ID);
     if is_refusal(answer.status, &answer.headers) {
         if matches!(answer.status.as_u16(), 429 | 503) {
@@ -105,6 +102,9 @@
             verdict: Verdict::NotRun,
         };
     }
+    // A late response to an earlier request can arrive in place of the response to
+    // this one. The echoed id tells them apart; without the check a caller would get
+    // the response to someone else's request.
     if echoed.is_none_or(|echoed| echoed.as_bytes() != id.as_bytes()) {
         return failed("foreign-answer", false, Verdict::MayHaveRun);
     }
--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -33,11 +33,11 @@
     hedged: bool,
     /// Why the last attempt failed, or why there was none.
     last_reason: &'static str,
-    /// Attempts that may have run.
+    /// Attempts that ran or may have run.
     may_have_run: u32,
     /// Attempts that did not run.
     not_run: u32,
-    /// The claimed trial of a call that is in quarantine.
+    /// The claimed trial, if the request is in quarantine.
     trial: Option<view::Attempt>,
     /// The server of each attempt; a server that was tried twice is there twice.
     tried: Vec<ServerIncarnation>,
@@ -154,8 +154,8 @@
         self.tried.len() as u32 - self.may_have_run - self.not_run
     }
 
-    /// How long to wait for the only attempt in flight before hedging it with another;
-    /// `None` if the call is not to be hedged.
+    /// How long to wait for the only attempt in flight before sending a hedged attempt;
+    /// `None` if none is allowed.
     fn hedge_delay(&self, in_flight: usize) -> Option<Millis> {
         // A request that may have crashed a server isn't sent to two at once.
         let crashed_no_server = self.dispatcher.crashes.crash_count(self.call.fingerprint) == 0;
@@ -190,7 +190,8 @@
         !answer.status.is_server_error() || !self.is_idempotent()
     }
 
-    /// The call's outcome once no further attempt is allowed.
+    /// The call's outcome once no further attempt is allowed or possible. Releases the trial if
+    /// it did not run.
     fn finish(&self, last_answer: Option<FullResponse>) -> CallOutcome {
         if let Some(trial) = self.trial.filter(|_| self.may_have_run == 0) {
             self.dispatcher.crashes.release_attempt(trial);
@@ -222,9 +223,9 @@
     }
 }
 
-/// Whether the server answered that it failed. Other server errors don't count: a server
-/// also answers that the deadline has passed, which happens when earlier attempts used up
-/// the time, and a batch item was once given up because of that.
+/// Whether the answer has status 500, which counts as a failure. Other server
+/// errors don't count: a server answers with one of them when the deadline has passed because
+/// earlier attempts used up the time, and a batch item was once given up because of that.
 fn is_failure(answer: &FullResponse) -> bool {
     answer.status == StatusCode::INTERNAL_SERVER_ERROR
 }
--- a/src/calls/crash_check.rs
+++ b/src/calls/crash_check.rs
@@ -15,8 +15,9 @@
 use std::sync::Arc;
 use tokio::runtime::Handle;
 
-/// The delay before checking whether a server has ended under an abandoned request. Longer
-/// than calls usually run, and shorter than a server's restart, which takes at least 1 s.
+/// The delay before the first check whether a server has ended while it ran an abandoned
+/// request. Longer than calls usually run, and shorter than a server's restart, which takes
+/// at least 1 s.
 const FIRST_CHECK_DELAY: Millis = Millis(500);
 
 /// The delay between the first check and the second and last one. By then the announcement
@@ -27,15 +28,15 @@
 /// centres. The call waits for it before its next attempt.
 const CHECK_TIMEOUT: Millis = Millis(100);
 
-/// The reason for refusing a call that is in quarantine.
+/// The reason for refusing a call whose request is in quarantine.
 pub(super) const QUARANTINE_REASON: &str = "quarantine";
 
-/// The retry delay for a call in quarantine: long, as a person has to look at it first.
+/// The retry delay for a request in quarantine: long, as a person has to look at it first.
 pub(super) const RETRY_AFTER_QUARANTINE: Millis = Millis(60_000);
 
 impl Dispatcher {
-    /// Claims the trial of `call`, if the call is in quarantine, a trial is due and no other
-    /// instance has claimed it.
+    /// Claims the trial of `call`'s request, if the request is in quarantine, a trial is due
+    /// and no other instance has claimed it.
     pub(super) async fn claim_trial(&self, call: &Call) -> Option<Attempt> {
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
@@ -55,9 +56,10 @@
         }
     }
 
-    /// Checks later whether `server` has ended, unless it is known by then what became of
-    /// `request`, whose answer nothing waits for any more. Without this, a crash is not
-    /// counted against a request whose caller disconnected before the server ended.
+    /// Schedules two checks whether `server` has ended while it ran `request`, whose answer
+    /// nothing waits for any more. A check is skipped if the server can't be running the
+    /// request by then. Without the checks, a crash is not counted against a request whose
+    /// caller disconnected before the server ended.
     pub(super) fn check_later(&self, server: &Arc<Server>, request: Fingerprint) {
         let (Some(dispatcher), Ok(runtime)) = (self.weak_self.upgrade(), Handle::try_current())
         else {
@@ -78,7 +80,7 @@
                     .check_status(&server, ServerStatus::ConnectionLost, was_in_service)
                     .await;
             }
-            // A server that restarted before the first check looked alive to it.
+            // The first check takes a server that has already restarted for alive.
             tokio::time::sleep(SECOND_CHECK_DELAY.as_duration()).await;
             if is_pending() && dispatcher.is_replaced(&server) {
                 dispatcher.record_crash(&server, was_in_service);
@@ -129,7 +131,7 @@
         known.is_some_and(|known| known.incarnation == server.incarnation && !known.draining)
     }
 
-    /// Whether another incarnation is announced for the same service at the server's address.
+    /// Whether another incarnation of the same service is announced at the server's address.
     fn is_replaced(&self, server: &Server) -> bool {
         let current = self.site.server_at(server.address, &server.service);
         current.is_some_and(|current| current.incarnation != server.incarnation)
--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -40,7 +40,7 @@
     /// The data centre of this process.
     data_centre: String,
     pub(crate) crashes: Arc<Crashes>,
-    /// For crash checks that run on after their call.
+    /// This dispatcher itself, for crash checks that outlive their call.
     pub(super) weak_self: Weak<Self>,
     pub(super) site: Arc<Site>,
     state: Mutex<State>,
@@ -48,10 +48,10 @@
     usage: Option<Arc<Counter>>,
 }
 
-/// What calls have shown so far of servers and services.
+/// What this process has observed of servers and services, and the servers' HTTP clients.
 pub(super) struct State {
     pub(super) servers: ServerRecords,
-    /// Pays for hedged attempts.
+    /// The retry budget that hedged attempts are paid from.
     pub(super) budget: RetryBudget,
     peers: HashMap<SocketAddr, Peer>,
     /// Each service's typical latency.
@@ -73,7 +73,8 @@
 }
 
 /// How many attempts of a call may fail without running before it is given up, as all
-/// servers are probably full. Such attempts don't count towards the route's limit.
+/// servers are probably full; a stream is given up after one more. Such attempts don't count
+/// towards the route's limit.
 pub(super) const MAX_ATTEMPTS_NOT_RUN: u32 = 3;
 
 /// How much one success adds to the retry budget that hedged attempts are paid from.
@@ -232,7 +233,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chooses the server for the next attempt of `call`; `tried` are those it was sent to.
+    /// Chooses the server for the next attempt of `call`; `tried` are the servers of the
+    /// earlier attempts.
     pub(super) fn choose_server(
         &self,
         call: &Call,
--- a/src/calls/server_records.rs
+++ b/src/calls/server_records.rs
@@ -54,7 +54,7 @@
 /// How long a server's load report is used; calls last tens of milliseconds.
 const REPORT_MAX_AGE: Millis = Millis(300);
 
-/// A cleanup drops the records of servers that got no call for this long.
+/// A cleanup drops the records of servers that were sent no call for this long.
 const RECORD_MAX_IDLE: Millis = Millis(60_000);
 
 /// How long after a request was abandoned (its caller disconnected, or its deadline
@@ -224,7 +224,8 @@
 
     /// Records that `server` did not answer `request`; true if the server may still be running
     /// it. A request that did not run can't have crashed the server, nor can one that was sent
-    /// after the server was found to have ended: it may have met the process shutting down.
+    /// after the server was found to have ended, as it may only have reached the process while
+    /// that shut down. Such requests are no longer pending.
     pub(super) fn record_loss(
         &mut self,
         server: &ServerIncarnation,
@@ -274,8 +275,8 @@
     /// Records that `server` has ended; returns the recently abandoned requests that it may
     /// have been running.
     ///
-    /// Requests that still await an answer are left out: each attempt finds out itself what
-    /// became of it, and some are still connecting and never reached the server.
+    /// Requests that still await an answer stay pending and are not returned: the attempt of
+    /// each records its own outcome, and some are still connecting and never reached the server.
     pub(super) fn end_incarnation(
         &mut self,
         server: &ServerIncarnation,
