--- a/src/engine/client.rs
+++ b/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the model engine that an agent serves requests from.
+//! HTTP client of the model engine that runs an agent's generations.
 
 use super::{
     Completion,
--- a/src/engine/stream.rs
+++ b/src/engine/stream.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads one event's data: keeps its finish reason and returns its text, if it has any.
+    /// Parses one event's data: stores its finish reason and returns its text, if it has them.
     fn parse_chunk(&mut self, data: &str) -> Result<Option<String>, Failure> {
         let chunk: Chunk = serde_json::from_str(data)
             .map_err(|_| protocol_failure("an event is not understood"))?;
--- a/src/net/idle_connection.rs
+++ b/src/net/idle_connection.rs
@@ -13,8 +13,8 @@
     pub(super) usable_until: Millis,
 }
 
-/// How long an idle connection is reused if the peer announces no keep-alive timeout. Steps
-/// begin every 4 s, so this is three steps; with 4 s each step opened new connections.
+/// How long an idle connection is reused if the peer announces no keep-alive timeout. Training
+/// steps begin every 4 s, so this is three steps; with 4 s each step opened new connections.
 pub(super) const DEFAULT_KEEP_ALIVE: Millis = Millis(12_000);
 
 /// How long a connection may have been idle to carry a request that must run at most once.
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -191,8 +191,8 @@
     }
 
     /// Whether the peer refuses new connections, as nothing listens at its address any more;
-    /// false if that can't be found out within `timeout`. A connection that stays open goes
-    /// into the pool.
+    /// false if no attempt to connect shows that within `timeout`. A connection that stays open
+    /// goes into the pool.
     ///
     /// An ending process closes its connections and its listener one after the other. A
     /// connection opened in between fails or is closed at once; then another is tried.
@@ -270,8 +270,9 @@
         })
     }
 
-    /// Sends `request` over an idle connection, or over another one if that turns out to be
-    /// closed before any byte of the request was written.
+    /// Sends `request` over an idle connection, or over a new one if there is none. An idle
+    /// connection that turns out to be closed before any byte of the request was written is
+    /// skipped.
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -306,7 +307,7 @@
         Ok(self.streaming_response(sender, answer))
     }
 
-    /// The response whose body goes on arriving over the connection of `sender`.
+    /// Converts `answer`, whose body is still to be read over the connection of `sender`.
     fn streaming_response(
         &self,
         sender: SendRequest<Full<Bytes>>,
--- a/src/net/reachability.rs
+++ b/src/net/reachability.rs
@@ -70,8 +70,8 @@
         self.state.borrow().recoveries
     }
 
-    /// Waits until the peer has recovered more than `recoveries` times. A call that began when
-    /// there were `recoveries` may be waiting on a dead connection then.
+    /// Waits until the peer has recovered again since [`Self::recoveries`] returned
+    /// `recoveries`. A call that began before the recovery may be waiting on a dead connection.
     pub async fn wait_recovery_after(&self, recoveries: u64) {
         self.wait_for(|state| state.recoveries > recoveries).await;
     }
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -12,8 +12,8 @@
 ///
 /// Announcements expire while the store is unreachable, and live servers renew them within
 /// about two seconds of its recovery. Until then a server whose announcement has expired
-/// stays in use. Without this grace period, one outage of the store would take every server
-/// from every caller.
+/// stays in use. Without this grace period, one outage of the store would leave all callers
+/// without servers.
 #[derive(Debug, Default)]
 pub struct Directory {
     /// The sequence number of the incarnation announced last.
@@ -121,9 +121,9 @@
         self.servers.get(id).map(|entry| &entry.server)
     }
 
-    /// The server of `service` at `address`. If several are announced there, one that accepts
-    /// requests goes before one that is draining, and then the incarnation announced last: a
-    /// crashed server stays announced for some seconds beside its next incarnation, which
+    /// The server of `service` at `address`. Of several, those whose announcement has not
+    /// lapsed come first, then those that accept requests, then the incarnation announced last:
+    /// a crashed server stays announced for some seconds beside its next incarnation, which
     /// refuses requests addressed to the crashed one. Entries of other services at the
     /// address are ignored, as another writer's entry must not hide the server.
     pub fn server_at(&self, address: SocketAddr, service: &str) -> Option<&Arc<Server>> {
--- a/src/store/store_error.rs
+++ b/src/store/store_error.rs
@@ -10,7 +10,8 @@
     /// The store is known to be unreachable, so nothing was sent.
     #[snafu(display("the store is unreachable"))]
     Unreachable,
-    /// The store no longer has the requested changes: the table must be listed again.
+    /// The store, or the parent asked in its place, no longer has the requested changes: the
+    /// table must be listed again.
     #[snafu(display("the store no longer has the requested changes"))]
     HistoryLost,
     /// The store answered that it did not execute the call.
--- a/src/store/table_view.rs
+++ b/src/store/table_view.rs
@@ -54,8 +54,8 @@
         self.retained = Some(Retained::default());
     }
 
-    /// Records that all rows up to `revision` were listed since rows are retained.
-    /// Removals before that revision are unknown.
+    /// Records that all rows up to `revision` were listed since [`TableView::retain_rows`] was
+    /// called. Removals before that revision are unknown.
     pub fn set_complete(&mut self, revision: u64) {
         if let Some(retained) = &mut self.retained {
             retained.forgotten = retained.forgotten.max(revision);
@@ -145,7 +145,7 @@
         let name = (part, key);
         let known = self.rows.get(&name).copied();
         if let Some(seen) = known.filter(|seen| seen.revision >= revision) {
-            // The row may have been seen before rows were retained.
+            // If the row was seen before rows were retained, its value is still missing.
             if let Some(retained) = self.retained.as_mut().filter(|_| seen.revision == revision) {
                 retained.put(&name, known, revision, value);
             }
