--- a/src/view/confirm.rs
+++ b/src/view/confirm.rs
@@ -9,7 +9,8 @@
 use std::sync::Arc;
 
 /// How often the store is asked. A feed without changes is no confirmation, as it may have
-/// lost its history. Some calls may fail before the configuration is too old.
+/// lost its history. The interval is short enough that some calls may fail before the
+/// configuration is too old.
 const CONFIRM_INTERVAL: Millis = Millis(1_000);
 
 /// The delay after a failed call, and while no valid configuration has been found.
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -57,7 +57,7 @@
     Unknown,
 }
 
-/// A claimed attempt of a request. All instances together may make one at a time.
+/// The claim of this instance to attempt a request, which one instance at a time may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     request: Fingerprint,
@@ -92,11 +92,11 @@
 /// instances know a crash.
 const CHANGES_HOLD: Millis = Millis(1_500);
 
-/// The delay collects the changes of one crash into one batch.
+/// The delay after a batch of changes, so that the changes of one crash arrive together.
 const BATCH_DELAY: Millis = Millis(10);
 
 /// How long a trial stays claimed if its holder doesn't release it: the run time of a
-/// long item. A trial that was interrupted for another reason is free after this.
+/// long item. A trial that ended without an answer or a crash can be claimed again then.
 const TRIAL_TIMEOUT: Millis = Millis(10_000);
 
 /// How long after the start calls wait for the listing of crashes, which usually takes
@@ -179,15 +179,15 @@
         }
     }
 
-    /// Whether and how `request` may run.
+    /// How `request` may run, by the crashes of servers that ran it.
     pub fn quarantine_state(&self, request: Fingerprint) -> QuarantineState {
         let now = self.store.now();
         self.quarantine().state(request, now)
     }
 
-    /// Claims the attempt of `request`, of which all instances may make one at a time, and
-    /// reads the crashes of earlier attempts. A claim that its holder doesn't release is
-    /// free after `timeout`.
+    /// Claims the right to attempt `request`, which one instance at a time may hold, and reads
+    /// the crashes of earlier attempts from the store. A claim that its holder doesn't release
+    /// expires after `timeout`.
     pub async fn claim_attempt(&self, request: Fingerprint, timeout: Millis) -> ClaimResult {
         if self.store.is_unreachable() {
             return ClaimResult::Unknown;
@@ -222,7 +222,7 @@
             });
             match free {
                 Some(free) => expected = free,
-                // The claim was released meanwhile.
+                // The holder released the claim after the first try.
                 None if rows.is_empty() => expected = 0,
                 None => return ClaimResult::Elsewhere,
             }
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -66,7 +66,7 @@
         self.config.borrow().clone()
     }
 
-    /// Puts `config` in force unless it is older than the current one.
+    /// Puts `config` in force if it is newer than the current one.
     pub(super) fn apply_config(&self, config: Config) {
         self.config.send_if_modified(|current| {
             let in_force = current.as_ref().map(|config| config.version);
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -28,7 +28,8 @@
 /// How often servers whose announcements lapsed in an outage are checked for removal.
 const LAPSE_CHECK_INTERVAL: Millis = Millis(200);
 
-/// Short, as the operators' table changes rarely and must take effect within seconds.
+/// The delay after a batch of changes of the operators' table. It is short, as that table
+/// changes rarely and its changes must take effect within seconds.
 const OPERATOR_BATCH_DELAY: Millis = Millis(5);
 
 /// The longest delay after a failed call for the operators' table. Hundreds of processes
@@ -41,8 +42,8 @@
 /// it accepts requests for 2 s.
 const SERVERS_HOLD: Millis = Millis(1_000);
 
-/// The delay collects the announcements of a release, or of a step's new weights, into
-/// few batches.
+/// The delay after a batch of changes of servers, so that the announcements of a release, or
+/// of a step's new weights, arrive in few batches.
 const SERVERS_BATCH_DELAY: Millis = Millis(100);
 
 /// Applies the changes of the operators' and the servers' tables to `site`, until the
