--- a/src/relay/follower.rs
+++ b/src/relay/follower.rs
@@ -18,7 +18,7 @@
 pub enum FollowEvent {
     /// Rows changed. `listed` is true for the result of a listing, which may be empty.
     Changes { changes: Vec<Change>, listed: bool },
-    /// Changes no longer arrive, from the store or a parent.
+    /// Changes arrive neither from the store nor from a parent.
     Disconnected,
     /// Changes arrive again.
     Reconnected,
@@ -94,9 +94,9 @@
 
 /// The outcome of a request to the parent.
 enum PollOutcome {
-    /// The parent doesn't have the requested changes.
+    /// The parent doesn't have all the requested changes.
     Forgotten,
-    /// This process left the parent, or had left it.
+    /// The instance asked is no longer the parent of this process.
     Left,
     Page(Page),
 }
@@ -146,6 +146,8 @@
         }
     }
 
+    /// Waits for changes after the revision `after`, at the parent or else at the store;
+    /// returns the revision after which to poll next.
     async fn poll_changes(&mut self, after: u64) -> Result<u64, StoreError> {
         let mut hold = self.options.hold;
         if let Some(parent) = self.relay.parent() {
@@ -161,14 +163,15 @@
             {
                 PollOutcome::Page(page) => return Ok(self.apply_page(page, after).await),
                 PollOutcome::Forgotten => return Err(StoreError::HistoryLost),
-                // The request took time in vain, so the store must answer at once.
+                // The request to the parent has already taken time, so the store must answer
+                // at once.
                 PollOutcome::Left => hold = Millis(0),
             }
         }
         let table = self.options.table;
         let listing = tokio::select! {
             listing = self.relay.store.changes(table, after, hold) => listing?,
-            // The parent that was found is polled instead.
+            // The next poll goes to the new parent.
             () = self.relay.parent_found() => return Ok(after),
         };
         let revision = listing.revision.max(after);
@@ -195,6 +198,9 @@
         revision
     }
 
+    /// Asks `parent` for the changes after the revision `after`, or for all rows if 0. Leaves
+    /// the parent if it doesn't answer, its data is too old, or it can't serve this process at
+    /// present; the caller then asks the store.
     async fn poll_parent(
         &self,
         parent: &Parent,
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -71,7 +71,7 @@
 /// Why a child left its parent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum LeaveReason {
-    /// The parent has as many other children as it may have.
+    /// The parent no longer counts this process as a child and has no room for another.
     Full,
     /// The parent doesn't get changes itself.
     Lost,
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -18,7 +18,7 @@
 /// How often a root checks that it still holds its slot.
 const ROOT_CHECK_INTERVAL: Millis = Millis(5_000);
 
-/// The delay after a join that waited in vain for a peer to get changes.
+/// The delay after a join at a peer that got no changes within the join's hold.
 const DISCONNECTED_RETRY_DELAY: Millis = Millis(20);
 
 /// How often a child that holds a root slot checks whether the store answers it again.
@@ -35,7 +35,7 @@
 /// How long a peer may take to answer a join, beyond the hold of the request.
 const JOIN_TIMEOUT_MARGIN: Millis = Millis(400);
 
-/// The hold of a join at a peer that doesn't get changes itself at present.
+/// How long a peer that gets no changes itself at present may hold a join until it gets some.
 const DISCONNECTED_JOIN_HOLD: Millis = Millis(500);
 
 /// How many levels below a root a join descends.
@@ -110,9 +110,9 @@
             return Millis(0);
         }
         match self.join_any_parent(slots).await {
-            // While the store is down, roots may wait for each other to get changes. If
-            // they became each other's children once it is back, they would form a cycle
-            // and get no changes for a while.
+            // While the store is down, holders of root slots may try to join each other. If
+            // they became each other's children once the store is back, they would form a
+            // cycle and get no changes for a while.
             JoinOutcome::Joined(_)
                 if slots.is_held_by(self.identity.address) && slots.read(self).await.is_ok() =>
             {
@@ -123,7 +123,7 @@
                 self.become_child(parent, slots);
                 return Millis(0);
             }
-            // The join already waited for the peer.
+            // The peer held the join already, so the delay is short.
             JoinOutcome::Disconnected => return DISCONNECTED_RETRY_DELAY,
             JoinOutcome::Declined => {}
         }
@@ -152,7 +152,8 @@
 
     fn become_child(&self, parent: Parent, slots: &RootSlots) {
         tracing::info!(feeder = %parent.address, "joined a parent");
-        // Others learn from the holder of a root slot that the store is back.
+        // Only holders of root slots probe the store often: once it is back, the other
+        // children get changes from them.
         match slots.is_held_by(self.identity.address) {
             true => self.store.reset_probe_interval(),
             false => {
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -34,9 +34,9 @@
 /// The answer to a [`RelayRequest`].
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum Reply {
-    /// The receiver doesn't have the requested changes, or not yet.
+    /// The receiver no longer has all the requested changes, or doesn't have them yet.
     Forgotten,
-    /// The receiver has as many children as it may have. Their addresses follow, as they
+    /// The receiver has as many children as it may have. The addresses are theirs, as they
     /// may take more children.
     Full(Vec<SocketAddr>),
     /// The sender is now a child of the receiver.
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -64,6 +64,8 @@
         }
     }
 
+    /// Replies to a relay request. Each request, not only a join, makes its sender a child of
+    /// this instance if there is room.
     async fn reply(&self, request: RelayRequest) -> Reply {
         let RelayRequest {
             at,
