--- a/src/usage/clocks.rs
+++ b/src/usage/clocks.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The gateways with a recent clock reading, except that of `gateway`.
+    /// The instance names of the gateways with a recent clock reading, without `gateway`'s.
     pub(super) async fn live_gateways(
         &self,
         gateway: &GatewayIncarnation,
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -30,8 +30,8 @@
     pub(super) windows: Windows,
 }
 
-/// The delay after a first request, so that more are written with it. It is short, as a
-/// gateway that is killed loses the counts it has not written.
+/// The delay between a counted request and its write, so that one write covers several
+/// requests. It is short, as a gateway that is killed loses the counts it has not written.
 const BATCH_DELAY: Millis = Millis(50);
 
 /// The minimum time between two writes of a busy gateway.
@@ -75,7 +75,8 @@
         self.request_counted.notify_one();
     }
 
-    /// Closes windows and writes their counts to the store, until the program ends.
+    /// Closes windows, writes their counts to the store and keeps the clock synchronised, until
+    /// the program ends.
     pub async fn run(self: Arc<Self>) {
         tokio::spawn(self.clone().sync_clock());
         loop {
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// The fencing token for a send that starts now; `None` if the lease is not held, or too
-    /// short for a send.
+    /// The fencing token for a send that starts now; `None` if the lease is not held, or ends
+    /// too soon for a send.
     ///
     /// A send must end before the lease does. A holder that was frozen or partitioned finds
     /// its lease expired here, so that it doesn't send at the same time as its successor.
@@ -233,7 +233,8 @@
     }
 
     /// Stores the final report of `window`, if it may be summed up: all gateways have closed
-    /// it, or the wait for them is over. Returns the report with its row's revision.
+    /// it, or the wait for them is over. Returns the stored report, which an earlier holder of
+    /// the lease may have written, with its row's revision.
     async fn finalise(
         &self,
         window: u64,
@@ -346,7 +347,7 @@
     }
 
     /// Removes the oldest report, and the counts up to its window, if the report was sent and
-    /// is more than [`MAX_KEPT_WINDOWS`] windows old.
+    /// its window is more than [`MAX_KEPT_WINDOWS`] before the last one.
     async fn prune(&self, reports: &mut WindowReports) -> Result<(), StoreError> {
         let Some((last, _)) = reports.0.last_key_value() else {
             return Ok(());
