--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -38,7 +38,7 @@
     /// Attempts that did not run.
     not_run: u32,
     /// The claimed trial, if the request is in quarantine.
-    trial: Option<view::Attempt>,
+    trial: Option<view::ClaimedAttempt>,
     /// The server of each attempt; a server that was tried twice is there twice.
     tried: Vec<ServerIncarnation>,
 }
--- a/src/calls/crash_check.rs
+++ b/src/calls/crash_check.rs
@@ -10,7 +10,7 @@
     base::{Fingerprint, Millis},
     policy::quarantine::QuarantineState,
     routing::Server,
-    view::Attempt, //
+    view::ClaimedAttempt, //
 };
 use std::sync::Arc;
 use tokio::runtime::Handle;
@@ -37,7 +37,7 @@
 impl Dispatcher {
     /// Claims the trial of `call`'s request, if the request is in quarantine, a trial is due
     /// and no other instance has claimed it.
-    pub(super) async fn claim_trial(&self, call: &Call) -> Option<Attempt> {
+    pub(super) async fn claim_trial(&self, call: &Call) -> Option<ClaimedAttempt> {
         let request = call.fingerprint;
         self.crashes.wait_listed().await;
         match self.crashes.quarantine_state(request) {
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -14,7 +14,7 @@
     net::CallError,
     policy::quarantine::QuarantineState,
     routing::ServerIncarnation,
-    view::{Attempt, ClaimResult}, //
+    view::{ClaimResult, ClaimedAttempt}, //
 };
 use std::sync::{
     MutexGuard,
@@ -89,7 +89,7 @@
 pub(super) struct Admission<'a> {
     /// `None` for an item that no engine has crashed under, or while the store is
     /// unreachable.
-    pub(super) attempt: Option<Attempt>,
+    pub(super) attempt: Option<ClaimedAttempt>,
     pub(super) guard: RunGuard<'a>,
 }
 
@@ -99,7 +99,7 @@
     Retry,
     /// This runner may start; without an attempt if none is needed or the store is
     /// unreachable.
-    Granted(Option<Attempt>),
+    Granted(Option<ClaimedAttempt>),
     /// Another runner has the attempt, or the item is in quarantine.
     Denied,
 }
@@ -125,7 +125,7 @@
 pub(super) struct BrokenRun {
     /// When the connection broke.
     at: Millis,
-    attempt: Option<Attempt>,
+    attempt: Option<ClaimedAttempt>,
     incarnation: ServerIncarnation,
     request: Fingerprint,
 }
@@ -360,7 +360,7 @@
 
     /// Releases the attempt of an item whose run is over or did not start. Otherwise the
     /// next run of the item would have to wait until the attempt expires.
-    pub(super) fn release_attempt(&self, attempt: Option<Attempt>) {
+    pub(super) fn release_attempt(&self, attempt: Option<ClaimedAttempt>) {
         if let Some(attempt) = attempt {
             self.crashes.release_attempt(attempt);
         }
@@ -373,7 +373,7 @@
         incarnation: &ServerIncarnation,
         task: &Task,
         run: &RunEnd,
-        admitted: (Option<Attempt>, Option<RunGuard<'_>>),
+        admitted: (Option<ClaimedAttempt>, Option<RunGuard<'_>>),
     ) -> AfterRun {
         let request = task.fingerprint;
         let (attempt, guard) = admitted;
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -52,14 +52,14 @@
     /// Another instance has claimed the attempt.
     Elsewhere,
     /// This instance has claimed the attempt.
-    Here(Attempt),
+    Here(ClaimedAttempt),
     /// The store didn't answer.
     Unknown,
 }
 
 /// The claim of this instance to attempt a request, which one instance at a time may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt {
+pub struct ClaimedAttempt {
     request: Fingerprint,
     /// The revision of the claim's row; a later claim replaces the row.
     revision: u64,
@@ -74,7 +74,7 @@
     /// Write the row of a crash if it `counts`; remove the row if not.
     Crash { counts: bool, key: Key },
     /// Release an attempt. The crashes it caused were queued before.
-    Release(Attempt),
+    Release(ClaimedAttempt),
 }
 
 /// How many changes may be queued for the store. A server's crash concerns some ten
@@ -208,7 +208,7 @@
                     self.refresh(request).await;
                     let ended = self.crash_count(request);
                     tracing::info!(%request, ended, "attempt claimed");
-                    return ClaimResult::Here(Attempt { request, revision });
+                    return ClaimResult::Here(ClaimedAttempt { request, revision });
                 }
                 Ok(Outcome::Conflict { rows }) => rows,
                 Err(error) => {
@@ -232,7 +232,7 @@
 
     /// Claims the trial of `request`, which is in quarantine. `None` if another instance has
     /// claimed it, the store didn't answer, or the trial is no longer due.
-    pub async fn claim_trial(&self, request: Fingerprint) -> Option<Attempt> {
+    pub async fn claim_trial(&self, request: Fingerprint) -> Option<ClaimedAttempt> {
         let ClaimResult::Here(attempt) = self.claim_attempt(request, TRIAL_TIMEOUT).await else {
             return None;
         };
@@ -307,7 +307,7 @@
 
     /// Releases an attempt that is over. The release is written after its crashes, so that
     /// the next holder reads them.
-    pub fn release_attempt(&self, attempt: Attempt) {
+    pub fn release_attempt(&self, attempt: ClaimedAttempt) {
         self.queue(Write::Release(attempt));
     }
 
@@ -444,7 +444,7 @@
 
 /// Removes the row of a claimed attempt, unless another instance has claimed it meanwhile.
 /// There is no retry: the claim times out.
-async fn remove_attempt(store: &Store, attempt: Attempt) {
+async fn remove_attempt(store: &Store, attempt: ClaimedAttempt) {
     let key = attempt_key(attempt.request);
     let transaction = Transaction {
         expect: vec![(key.clone(), attempt.revision)],
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -9,7 +9,7 @@
 
 pub use self::{
     confirm::confirm_config,
-    crashes::{Attempt, ClaimResult, CrashWrites, Crashes, sync_crashes},
+    crashes::{ClaimResult, ClaimedAttempt, CrashWrites, Crashes, sync_crashes},
     reach::watch_store,
     site::Site, //
     sync::sync_site,
