--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -358,7 +358,7 @@
         metrics::counter!("redwing_connections_opened_total").increment(1);
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%address, %error, "connection ended");
+                tracing::debug!(%address, %error, "connection to peer failed");
             }
         });
         Ok(sender)
--- a/src/relay/table.rs
+++ b/src/relay/table.rs
@@ -117,7 +117,7 @@
     }
 
     /// Waits at most `hold` for a change after the revision `after`, for a newer
-    /// confirmation from the store, or for the loss of the feed.
+    /// confirmation from the store, or until changes no longer arrive.
     ///
     /// If confirmations didn't end the wait, each level of the tree would add its hold to
     /// the age of the pages, until children take them for stale.
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -53,11 +53,12 @@
     Elsewhere,
     /// This instance has claimed the attempt.
     Here(ClaimedAttempt),
-    /// The store didn't answer.
+    /// The store is unreachable or the call to it failed, so the holder is not known.
     Unknown,
 }
 
-/// The claim of this instance to attempt a request, which one instance at a time may hold.
+/// An attempt of a request that this instance has claimed. One instance at a time may hold the
+/// claim.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimedAttempt {
     request: Fingerprint,
@@ -71,7 +72,7 @@
 /// A queued change to the tables of crashes and attempts.
 #[derive(Debug)]
 enum Write {
-    /// Write the row of a crash if it `counts`; remove the row if not.
+    /// Write the row of a crash if it `counts` against its request; remove the row if not.
     Crash { counts: bool, key: Key },
     /// Release an attempt. The crashes it caused were queued before.
     Release(ClaimedAttempt),
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! A program's view of its site: configuration, servers, named versions, crashes.
+//! A program's view of its site: the configuration, the servers, the weight versions that
+//! trainers named, and the crashes.
 
 mod confirm;
 mod crash_row;
