--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -7,7 +7,7 @@
     attempt::{AttemptOutcome, classify},
     crash_check::{QUARANTINE_REASON, RETRY_AFTER_QUARANTINE},
     dispatcher::{
-        MAX_REFUSALS, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt,
+        MAX_ATTEMPTS_NOT_RUN, RETRY_AFTER_FULL, RETRY_AFTER_NO_SERVER, STALE_REASON, SentAttempt,
     }, //
 };
 use crate::{
@@ -33,12 +33,12 @@
     hedged: bool,
     /// Why the last attempt failed, or why there was none.
     last_reason: &'static str,
-    /// Attempts that may have run.
+    /// Attempts that ran or may have run.
     may_have_run: u32,
     /// Attempts that did not run.
-    refusals: u32,
-    /// The claimed trial of a call that is in quarantine.
-    trial: Option<view::Attempt>,
+    not_run: u32,
+    /// The claimed trial, if the request is in quarantine.
+    trial: Option<view::ClaimedAttempt>,
     /// The server of each attempt; a server that was tried twice is there twice.
     tried: Vec<ServerIncarnation>,
 }
@@ -53,7 +53,7 @@
             hedged: false,
             last_reason: "no-server",
             may_have_run: 0,
-            refusals: 0,
+            not_run: 0,
             trial: None,
             tried: Vec::new(),
         }
@@ -114,7 +114,7 @@
     fn record_failure(&mut self, reason: &'static str, verdict: Verdict) {
         self.last_reason = reason;
         match verdict {
-            Verdict::NotRun => self.refusals += 1,
+            Verdict::NotRun => self.not_run += 1,
             Verdict::MayHaveRun | Verdict::Ran => self.may_have_run += 1,
         }
     }
@@ -135,13 +135,13 @@
         }
         let repeatable = self.is_idempotent() || self.may_have_run == 0;
         let allowed = repeatable
-            && self.refusals < MAX_REFUSALS
+            && self.not_run < MAX_ATTEMPTS_NOT_RUN
             && self.may_have_run + self.in_flight() < self.call.route.max_attempts;
         if !allowed {
             return None;
         }
         let server = self.dispatcher.choose_server(self.call, &self.tried)?;
-        if self.tried.contains(&server.incarnation) && self.refusals > 0 {
+        if self.tried.contains(&server.incarnation) && self.not_run > 0 {
             return None;
         }
         self.tried.push(server.incarnation.clone());
@@ -151,16 +151,16 @@
 
     /// The number of attempts in flight.
     fn in_flight(&self) -> u32 {
-        self.tried.len() as u32 - self.may_have_run - self.refusals
+        self.tried.len() as u32 - self.may_have_run - self.not_run
     }
 
-    /// How long to wait for the only attempt in flight before hedging it with another;
-    /// `None` if the call is not to be hedged.
+    /// How long to wait for the only attempt in flight before sending a hedged attempt;
+    /// `None` if none is allowed.
     fn hedge_delay(&self, in_flight: usize) -> Option<Millis> {
         // A request that may have crashed a server isn't sent to two at once.
-        let harmless = self.dispatcher.crashes.crash_count(self.call.fingerprint) == 0;
-        let wanted = in_flight == 1 && self.is_idempotent() && !self.hedged && harmless;
-        if !wanted || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
+        let crashed_no_server = self.dispatcher.crashes.crash_count(self.call.fingerprint) == 0;
+        let may_hedge = in_flight == 1 && self.is_idempotent() && !self.hedged && crashed_no_server;
+        if !may_hedge || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
             return None;
         }
         let service = self.call.route.service_of(&self.call.id)?;
@@ -190,7 +190,8 @@
         !answer.status.is_server_error() || !self.is_idempotent()
     }
 
-    /// The call's outcome once no further attempt is allowed.
+    /// The call's outcome once no further attempt is allowed or possible. Releases the trial if
+    /// it did not run.
     fn finish(&self, last_answer: Option<FullResponse>) -> CallOutcome {
         if let Some(trial) = self.trial.filter(|_| self.may_have_run == 0) {
             self.dispatcher.crashes.release_attempt(trial);
@@ -222,9 +223,9 @@
     }
 }
 
-/// Whether the server answered that it failed. Other server errors don't count: a server
-/// also answers that the deadline has passed, which happens when earlier attempts used up
-/// the time, and a batch item was once given up because of that.
+/// Whether the answer has status 500, which counts as a failure. Other server
+/// errors don't count: a server answers with one of them when the deadline has passed because
+/// earlier attempts used up the time, and a batch item was once given up because of that.
 fn is_failure(answer: &FullResponse) -> bool {
     answer.status == StatusCode::INTERNAL_SERVER_ERROR
 }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -52,14 +52,15 @@
     /// Another instance has claimed the attempt.
     Elsewhere,
     /// This instance has claimed the attempt.
-    Here(Attempt),
-    /// The store didn't answer.
+    Here(ClaimedAttempt),
+    /// The store is unreachable or the call to it failed, so the holder is not known.
     Unknown,
 }
 
-/// A claimed attempt of a request. All instances together may make one at a time.
+/// An attempt of a request that this instance has claimed. One instance at a time may hold the
+/// claim.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt {
+pub struct ClaimedAttempt {
     request: Fingerprint,
     /// The revision of the claim's row; a later claim replaces the row.
     revision: u64,
@@ -71,10 +72,10 @@
 /// A queued change to the tables of crashes and attempts.
 #[derive(Debug)]
 enum Write {
-    /// Write the row of a crash if it `counts`; remove the row if not.
+    /// Write the row of a crash if it `counts` against its request; remove the row if not.
     Crash { counts: bool, key: Key },
     /// Release an attempt. The crashes it caused were queued before.
-    Release(Attempt),
+    Release(ClaimedAttempt),
 }
 
 /// How many changes may be queued for the store. A server's crash concerns some ten
@@ -92,11 +93,11 @@
 /// instances know a crash.
 const CHANGES_HOLD: Millis = Millis(1_500);
 
-/// The delay collects the changes of one crash into one batch.
+/// The delay after a batch of changes, so that the changes of one crash arrive together.
 const BATCH_DELAY: Millis = Millis(10);
 
 /// How long a trial stays claimed if its holder doesn't release it: the run time of a
-/// long item. A trial that was interrupted for another reason is free after this.
+/// long item. A trial that ended without an answer or a crash can be claimed again then.
 const TRIAL_TIMEOUT: Millis = Millis(10_000);
 
 /// How long after the start calls wait for the listing of crashes, which usually takes
@@ -179,15 +180,15 @@
         }
     }
 
-    /// Whether and how `request` may run.
+    /// How `request` may run, by the crashes of servers that ran it.
     pub fn quarantine_state(&self, request: Fingerprint) -> QuarantineState {
         let now = self.store.now();
         self.quarantine().state(request, now)
     }
 
-    /// Claims the attempt of `request`, of which all instances may make one at a time, and
-    /// reads the crashes of earlier attempts. A claim that its holder doesn't release is
-    /// free after `timeout`.
+    /// Claims the right to attempt `request`, which one instance at a time may hold, and reads
+    /// the crashes of earlier attempts from the store. A claim that its holder doesn't release
+    /// expires after `timeout`.
     pub async fn claim_attempt(&self, request: Fingerprint, timeout: Millis) -> ClaimResult {
         if self.store.is_unreachable() {
             return ClaimResult::Unknown;
@@ -208,7 +209,7 @@
                     self.refresh(request).await;
                     let ended = self.crash_count(request);
                     tracing::info!(%request, ended, "attempt claimed");
-                    return ClaimResult::Here(Attempt { request, revision });
+                    return ClaimResult::Here(ClaimedAttempt { request, revision });
                 }
                 Ok(Outcome::Conflict { rows }) => rows,
                 Err(error) => {
@@ -222,7 +223,7 @@
             });
             match free {
                 Some(free) => expected = free,
-                // The claim was released meanwhile.
+                // The holder released the claim after the first try.
                 None if rows.is_empty() => expected = 0,
                 None => return ClaimResult::Elsewhere,
             }
@@ -232,7 +233,7 @@
 
     /// Claims the trial of `request`, which is in quarantine. `None` if another instance has
     /// claimed it, the store didn't answer, or the trial is no longer due.
-    pub async fn claim_trial(&self, request: Fingerprint) -> Option<Attempt> {
+    pub async fn claim_trial(&self, request: Fingerprint) -> Option<ClaimedAttempt> {
         let ClaimResult::Here(attempt) = self.claim_attempt(request, TRIAL_TIMEOUT).await else {
             return None;
         };
@@ -307,7 +308,7 @@
 
     /// Releases an attempt that is over. The release is written after its crashes, so that
     /// the next holder reads them.
-    pub fn release_attempt(&self, attempt: Attempt) {
+    pub fn release_attempt(&self, attempt: ClaimedAttempt) {
         self.queue(Write::Release(attempt));
     }
 
@@ -444,7 +445,7 @@
 
 /// Removes the row of a claimed attempt, unless another instance has claimed it meanwhile.
 /// There is no retry: the claim times out.
-async fn remove_attempt(store: &Store, attempt: Attempt) {
+async fn remove_attempt(store: &Store, attempt: ClaimedAttempt) {
     let key = attempt_key(attempt.request);
     let transaction = Transaction {
         expect: vec![(key.clone(), attempt.revision)],
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! A program's view of its site: configuration, servers, named versions, crashes.
+//! A program's view of its site: the configuration, the servers, the weight versions that
+//! trainers named, and the crashes.
 
 mod confirm;
 mod crash_row;
@@ -9,7 +10,7 @@
 
 pub use self::{
     confirm::confirm_config,
-    crashes::{Attempt, ClaimResult, CrashWrites, Crashes, sync_crashes},
+    crashes::{ClaimResult, ClaimedAttempt, CrashWrites, Crashes, sync_crashes},
     reach::watch_store,
     site::Site, //
     sync::sync_site,
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -66,7 +66,7 @@
         self.config.borrow().clone()
     }
 
-    /// Puts `config` in force unless it is older than the current one.
+    /// Puts `config` in force if it is newer than the current one.
     pub(super) fn apply_config(&self, config: Config) {
         self.config.send_if_modified(|current| {
             let in_force = current.as_ref().map(|config| config.version);
@@ -156,12 +156,12 @@
     /// Since when changes haven't arrived, or the store hasn't answered this process directly;
     /// `None` if neither is the case.
     pub fn store_unreachable_since(&self) -> Option<Millis> {
-        let away = self.directory().outage_start();
+        let feed_lost_since = self.directory().outage_start();
         let unreachable_since = *self
             .unreachable_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        away.into_iter().chain(unreachable_since).min()
+        feed_lost_since.into_iter().chain(unreachable_since).min()
     }
 
     /// Records whether the store answers this process directly.
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -28,7 +28,8 @@
 /// How often servers whose announcements lapsed in an outage are checked for removal.
 const LAPSE_CHECK_INTERVAL: Millis = Millis(200);
 
-/// Short, as the operators' table changes rarely and must take effect within seconds.
+/// The delay after a batch of changes of the operators' table. It is short, as that table
+/// changes rarely and its changes must take effect within seconds.
 const OPERATOR_BATCH_DELAY: Millis = Millis(5);
 
 /// The longest delay after a failed call for the operators' table. Hundreds of processes
@@ -41,8 +42,8 @@
 /// it accepts requests for 2 s.
 const SERVERS_HOLD: Millis = Millis(1_000);
 
-/// The delay collects the announcements of a release, or of a step's new weights, into
-/// few batches.
+/// The delay after a batch of changes of servers, so that the announcements of a release, or
+/// of a step's new weights, arrive in few batches.
 const SERVERS_BATCH_DELAY: Millis = Millis(100);
 
 /// Applies the changes of the operators' and the servers' tables to `site`, until the
@@ -151,12 +152,12 @@
             };
             invalid.0.remove(&key);
             let mut directory = site.directory();
-            let (life, draining) = (&server.incarnation, server.draining);
+            let (incarnation, draining) = (&server.incarnation, server.draining);
             let before = directory.get(&key);
-            if before
-                .is_none_or(|before| (&before.incarnation, before.draining) != (life, draining))
-            {
-                let (service, born) = (&server.service, life.started_at.0);
+            if before.is_none_or(|before| {
+                (&before.incarnation, before.draining) != (incarnation, draining)
+            }) {
+                let (service, born) = (&server.service, incarnation.started_at.0);
                 tracing::info!(server = key, service, born, draining, "server announced");
             }
             directory.put(server);
