--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -48,8 +48,8 @@
 /// The transactions that store `submission`, accepted at `now` by the store's clock.
 pub fn accept_transactions(submission: &Submission, now: Millis) -> AcceptTransactions {
     let part = batch_part(&submission.id);
-    let (head, items) = Head::of(submission, now);
-    let mut rows: Vec<(Key, Bytes)> = items
+    let (head, item_chunks) = Head::of(submission, now);
+    let mut rows: Vec<(Key, Bytes)> = item_chunks
         .iter()
         .enumerate()
         .map(|(index, chunk)| chunk_row(&part, index as u16, chunk))
--- a/src/duty/signals.rs
+++ b/src/duty/signals.rs
@@ -9,8 +9,8 @@
 /// Waits until the program of `handle` has stopped; returns false if it failed.
 ///
 /// The first SIGTERM or SIGINT begins a graceful stop, a second one forces it. SIGHUP calls
-/// `reload`; without a handler, SIGHUP would end the program.
-pub async fn wait_for_stop(handle: ProgramHandle, reload: impl Fn()) -> bool {
+/// `on_hangup`; without a handler, SIGHUP would end the program.
+pub async fn wait_for_stop(handle: ProgramHandle, on_hangup: impl Fn()) -> bool {
     let (Ok(mut term), Ok(mut interrupt), Ok(mut hangup)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -26,7 +26,7 @@
             _ = term.recv() => {}
             _ = interrupt.recv() => {}
             _ = hangup.recv() => {
-                reload();
+                on_hangup();
                 continue;
             }
             _ = health.wait_for(|health| health.phase == super::Phase::Stopped) => break,
--- a/src/duty/thread.rs
+++ b/src/duty/thread.rs
@@ -107,12 +107,12 @@
     let thread = std::thread::Builder::new()
         .name(name.to_owned())
         .spawn(move || {
-            let ended = supervisor.clone();
+            let supervisor_at_end = supervisor.clone();
             let run = AssertUnwindSafe(|| run(name, supervisor, main));
             if catch_unwind(run).is_err() {
                 tracing::error!(duty = name, "duty panicked");
             }
-            let _ = ended.cast(SupervisorMessage::Ended(name));
+            let _ = supervisor_at_end.cast(SupervisorMessage::Ended(name));
         })
         .context(ThreadSnafu { name })?;
     Ok(Duty { name, thread })
--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -22,7 +22,7 @@
 
 /// The `Retry-After` of a refusal before the first configuration was read: once the
 /// store is reachable it answers within milliseconds.
-const CONFIG_RETRY_AFTER: Millis = Millis(300);
+const RETRY_AFTER_NO_CONFIG: Millis = Millis(300);
 
 /// How long a request waits for the store to confirm the configuration.
 const CONFIRM_TIMEOUT: Millis = Millis(400);
@@ -69,7 +69,7 @@
     pub(super) fn answer(self) -> Answer {
         match self {
             Self::Denied(denial) => denied(denial),
-            Self::NoConfig => reply::refusal(CONFIG_RETRY_AFTER, "no configuration yet"),
+            Self::NoConfig => reply::refusal(RETRY_AFTER_NO_CONFIG, "no configuration yet"),
             Self::NoRoute => reply::status(StatusCode::NOT_FOUND, "no route"),
             Self::Stale => reply::refusal(STALE_RETRY_AFTER, "the configuration is not confirmed"),
         }
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -56,7 +56,7 @@
 const MAX_SUBMIT_ATTEMPTS: u32 = 3;
 
 /// The `Retry-After` of a refusal because of the store.
-const CALLER_RETRY_AFTER: Millis = Millis(400);
+const RETRY_AFTER_STORE_FAILED: Millis = Millis(400);
 
 /// How long a submission may take, if its own deadline is not earlier.
 const SUBMIT_TIMEOUT: Millis = Millis(4_000);
@@ -143,7 +143,10 @@
                 .await
             {
                 tracing::warn!(batch = id, %error, "batch refused: its items were not stored");
-                return reply::refusal(CALLER_RETRY_AFTER, "the store did not take the batch");
+                return reply::refusal(
+                    RETRY_AFTER_STORE_FAILED,
+                    "the store did not take the batch",
+                );
             }
         }
         let mut in_doubt = false;
@@ -166,7 +169,7 @@
             }
             Err(error) => {
                 tracing::warn!(batch = id, step, model, %error, "batch refused: its head was not stored");
-                reply::refusal(CALLER_RETRY_AFTER, "the store did not take the batch")
+                reply::refusal(RETRY_AFTER_STORE_FAILED, "the store did not take the batch")
             }
         }
     }
@@ -263,7 +266,7 @@
             Some(item) => reply::bytes(item.body),
             None => {
                 tracing::error!(batch = id, item, "item is missing from its chunk");
-                reply::refusal(CALLER_RETRY_AFTER, "the item can't be read")
+                reply::refusal(RETRY_AFTER_STORE_FAILED, "the item can't be read")
             }
         }
     }
@@ -280,7 +283,7 @@
             };
             let value = row.value.unwrap_or_default();
             let Some(mut log) = decode::<Log>("log", &value) else {
-                return reply::refusal(CALLER_RETRY_AFTER, "the batch can't be read");
+                return reply::refusal(RETRY_AFTER_STORE_FAILED, "the batch can't be read");
             };
             if log.ended {
                 return reply::status(StatusCode::OK, "ended");
@@ -374,7 +377,7 @@
 /// The response to a call about batch `id` that failed because of the store.
 pub(super) fn store_failed(id: &str, error: &StoreError) -> Answer {
     tracing::warn!(batch = id, %error, "request refused: the call to the store failed");
-    reply::refusal(CALLER_RETRY_AFTER, "the store can't be asked")
+    reply::refusal(RETRY_AFTER_STORE_FAILED, "the store can't be asked")
 }
 
 /// The response to a call about a batch that does not exist.
--- a/src/gateway/buffered.rs
+++ b/src/gateway/buffered.rs
@@ -10,10 +10,10 @@
 
 /// Runs `call`, which arrived at `arrived`, and returns the response to its caller.
 pub(super) async fn answer(dispatcher: &Dispatcher, call: &Call, arrived: Millis) -> Answer {
-    let end = dispatcher.run(call).await;
+    let outcome = dispatcher.run(call).await;
     let taken = dispatcher.clock().now().since(arrived).0;
     let (id, route) = (&call.id, &call.route.name);
-    match end {
+    match outcome {
         CallOutcome::Answered { answer, .. } => {
             let status = answer.status.as_u16();
             tracing::info!(call = id, route, status, taken, "call answered");
--- a/src/operator/explain.rs
+++ b/src/operator/explain.rs
@@ -44,7 +44,7 @@
 }
 
 /// The timeout for one entry, including the answers of its agents.
-const TIMEOUT: Millis = Millis(2_000);
+const ENTRY_TIMEOUT: Millis = Millis(2_000);
 
 impl ExplainCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
@@ -77,7 +77,7 @@
     entry: SocketAddr,
     request: RequestId,
 ) -> Result<Option<Explanation>, OperatorError> {
-    let client = JsonClient::open(entry, TIMEOUT);
+    let client = JsonClient::open(entry, ENTRY_TIMEOUT);
     let path = format!("/v1/explain/{request}");
     match client.call(Method::GET, &path, Vec::new()).await {
         Ok((StatusCode::OK, body)) => serde_json::from_slice(&body)
@@ -105,8 +105,8 @@
     println!("request {request}");
     println!("  {verdict}: {}", explanation.why);
     println!("  {delivered}");
-    let accounts = explanation.entry.iter().map(|one| ("entry", one));
-    let accounts = accounts.chain(explanation.agents.iter().map(|one| ("agent", one)));
+    let accounts = explanation.entry.iter().map(|account| ("entry", account));
+    let accounts = accounts.chain(explanation.agents.iter().map(|account| ("agent", account)));
     for (program, account) in accounts {
         println!("{program}'s account ({}/{}):", account.team, account.class);
         print_events(account);
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 
 /// The timeout for the answer of one entry.
-const TIMEOUT: Millis = Millis(2_000);
+const ENTRY_TIMEOUT: Millis = Millis(2_000);
 
 /// Show the backend servers as each entry sees them.
 #[derive(FromArgs)]
@@ -40,7 +40,7 @@
 impl StatusCommand {
     pub(super) async fn run(self) -> Result<(), OperatorError> {
         for entry in entry_addresses(self.entry, self.platform).await? {
-            let client = JsonClient::open(entry, TIMEOUT);
+            let client = JsonClient::open(entry, ENTRY_TIMEOUT);
             let (_, body) = client.call(Method::GET, "/v1/fleet", Vec::new()).await?;
             let fleet: Value =
                 serde_json::from_slice(&body).context(AnswerSnafu { address: entry })?;
@@ -66,8 +66,8 @@
         let entries = listed
             .unwrap_or_default()
             .into_iter()
-            .filter(|one| one.pool.is_none());
-        all.extend(entries.map(|one| one.admin));
+            .filter(|instance| instance.pool.is_none());
+        all.extend(entries.map(|instance| instance.admin));
     }
     ensure!(!all.is_empty(), NoEntriesSnafu);
     Ok(all)
--- a/src/operator/operator_error.rs
+++ b/src/operator/operator_error.rs
@@ -47,7 +47,7 @@
     #[snafu(display("{source}"), context(false))]
     Settings { source: SettingsError },
     #[snafu(display("{source}"), context(false))]
-    Store { source: PlatformError },
+    Platform { source: PlatformError },
     #[snafu(display(
         "no process that was asked knows request `{id}`; it may have run, and that can't be told from here"
     ))]
--- a/src/operator/program.rs
+++ b/src/operator/program.rs
@@ -25,7 +25,7 @@
     /// Checks the settings file again, without applying it. The settings in the file (addresses,
     /// data centre, the store) are fixed until the process ends; those that may change while it
     /// runs come from the store.
-    fn reload<S>(&self, load: &impl Fn(&Path) -> Result<S, SettingsError>) {
+    fn recheck_settings<S>(&self, load: &impl Fn(&Path) -> Result<S, SettingsError>) {
         match load(self.file) {
             Ok(_) => tracing::info!("settings checked; changes apply at the next start"),
             Err(error) => tracing::error!(%error, "settings file invalid; running settings kept"),
@@ -62,7 +62,7 @@
             }
         };
         let code = block_on(async {
-            match wait_for_stop(handle, || self.reload(&load)).await {
+            match wait_for_stop(handle, || self.recheck_settings(&load)).await {
                 true => ExitCode::SUCCESS,
                 false => ExitCode::FAILURE,
             }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -54,7 +54,7 @@
         set_workspace,
         signature, //
     },
-    server_entry::{EntryError, read_server},
+    server_entry::{AnnouncementError, read_server},
     store::{MAX_READ_ROWS, Store},
     usage::UsageReport, //
 };
--- a/src/platform/server_entry.rs
+++ b/src/platform/server_entry.rs
@@ -57,9 +57,9 @@
 ///
 /// # Errors
 ///
-/// [`EntryError`] for an entry that is incomplete or has a field of another type. Other
+/// [`AnnouncementError`] for an entry that is incomplete or has a field of another type. Other
 /// programs may write to the same table: such an entry must not be taken for a server.
-pub fn read_server(id: &str, value: &[u8]) -> Result<Server, EntryError> {
+pub fn read_server(id: &str, value: &[u8]) -> Result<Server, AnnouncementError> {
     let wire: WireServer = serde_json::from_slice(value).context(DecodeSnafu)?;
     ensure!(wire.address.port() > 0, PortSnafu);
     Ok(Server {
@@ -75,7 +75,7 @@
 
 /// Why an entry is not a server's announcement.
 #[derive(Debug, Snafu)]
-pub enum EntryError {
+pub enum AnnouncementError {
     #[snafu(display("invalid announcement: {source}"))]
     Decode { source: serde_json::Error },
     #[snafu(display("the server's address has port 0"))]
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -278,14 +278,14 @@
             .map_err(|error| StoreError::InvalidMessage {
                 message: error.to_string(),
             })?;
-        let returns = self.reach.recoveries();
+        let recoveries = self.reach.recoveries();
         let result = tokio::select! {
                    answer = self.peer.call(request, within) => {
                        let result = classify_answer(answer);
                        self.record_result(&result);
                        result
                    }
-                   () = self.reach.wait_recovery_after(returns) => {
+                   () = self.reach.wait_recovery_after(recoveries) => {
                        let address = self.peer.address();
                        let source = CallError::Timeout {
         address, timeout: within };
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -94,8 +94,8 @@
 
     /// Waits until the store is reachable, at most for `within`.
     pub(super) async fn wait_reachable(&self, within: Millis) -> Result<(), StoreError> {
-        let back = tokio::time::timeout(within.as_duration(), self.reach.wait_reachable());
-        back.await.map_err(|_| StoreError::Unreachable)
+        let recovered = tokio::time::timeout(within.as_duration(), self.reach.wait_reachable());
+        recovered.await.map_err(|_| StoreError::Unreachable)
     }
 
     /// Sends probes over new connections until the store answers one. The connections from
--- a/src/settings/team_settings.rs
+++ b/src/settings/team_settings.rs
@@ -100,9 +100,9 @@
         classes: section.texts("classes"),
         key: section.text("key", None),
     };
-    let hex = caller.key.bytes().all(|b| b.is_ascii_hexdigit());
-    let hash = caller.key.len() == 64 && hex;
-    if !caller.key.is_empty() && !hash {
+    let is_hex = caller.key.bytes().all(|b| b.is_ascii_hexdigit());
+    let is_hash = caller.key.len() == 64 && is_hex;
+    if !caller.key.is_empty() && !is_hash {
         let expected = "the 64 hexadecimal digits that `redwing key hash` prints";
         section.reject("key", expected, "something else");
     }
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -4,8 +4,8 @@
 use crate::{
     base::Millis,
     platform::{
+        AnnouncementError,
         CONFIG_KEY,
-        EntryError,
         NAMED_VERSION_PREFIX,
         OPERATOR_TABLE,
         SERVERS_TABLE,
@@ -114,7 +114,7 @@
 struct InvalidEntries(HashSet<String>);
 
 impl InvalidEntries {
-    fn record(&mut self, key: &str, error: &EntryError) {
+    fn record(&mut self, key: &str, error: &AnnouncementError) {
         metrics::counter!("redwing_entries_left_out_total").increment(1);
         if self.0.insert(key.to_owned()) {
             tracing::warn!(server = key, %error, "invalid server entry ignored");
