--- a/src/base/cause.rs
+++ b/src/base/cause.rs
@@ -9,22 +9,31 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
+    /// The backend server accepted the connection, but failed or stalled before a whole answer.
     BackendBroken,
+    /// The connection to the backend server could not be opened, or it failed.
     BackendUnreachable,
     BadRequest,
     Cancelled,
     DeadlinePassed,
     Draining,
+    /// An earlier request with the same key was started already.
     Duplicate,
     Forbidden,
+    /// The link between the entry and the agent closed before the outcome was known.
     LinkLost,
+    /// No backend server can take the request.
     NoServer,
     NotFound,
     Overloaded,
+    /// The sender's lease or fencing token has been superseded by a newer one.
     StaleFence,
+    /// The platform's table gave no usable answer.
     StoreDown,
     TooLarge,
+    /// Any cause without a variant of its own.
     Unknown,
+    /// The engine's weight version is in doubt, or the engine has not loaded the model.
     VersionUncertain,
 }
 
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -30,7 +30,7 @@
     weight_version::WeightVersion, //
 };
 
-/// A fencing number: a newer order or lease holder always has a higher one than an older.
+/// A fencing token: each new holder of a lease has a higher one than the holders before it.
 pub type Fence = u64;
 
 /// Hashes `parts` to 64 bits. The result is the same in every process and every release.
--- a/src/batch/claim.rs
+++ b/src/batch/claim.rs
@@ -9,9 +9,10 @@
 /// runners from doing the same work. Only the log decides whose result is listed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// The runner's instance; empty for a released claim.
+    /// The instance of the runner that holds the claim; empty for a released claim.
     pub holder: String,
-    /// A second runner that runs the same bundle because it is a straggler.
+    /// The instance of a second runner that runs the same bundle, because the holder's run
+    /// is a straggler.
     pub second: Option<String>,
     /// The holder's incarnation: a claim from before the holder's restart is void.
     pub token: u64,
--- a/src/batch/head.rs
+++ b/src/batch/head.rs
@@ -112,9 +112,9 @@
         order
     }
 
-    /// Whether all groups that the trainer waits for precede the group of `bundle`. The
-    /// trainer would accept any groups, but it submits those left over from an earlier
-    /// step first, and these must be finished.
+    /// Whether the trainer can do without `bundle`, because its group is not among the
+    /// first [`Head::needed`] ones. The trainer accepts any `needed` groups, but those left
+    /// over from an earlier step, which must be finished, come first in its submission.
     pub fn is_surplus(&self, bundle: &Bundle) -> bool {
         self.needed > 0 && bundle.group >= self.needed
     }
--- a/src/batch/item.rs
+++ b/src/batch/item.rs
@@ -6,7 +6,7 @@
     Serialize, //
 };
 
-/// The request to the scorer of an item's generated text.
+/// The request that has an item's generated text scored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Scorer {
     pub body: Bytes,
--- a/src/batch/layout.rs
+++ b/src/batch/layout.rs
@@ -33,7 +33,7 @@
     part.starts_with(HEARTBEAT_PART_PREFIX)
 }
 
-/// The part of the batch stored as `id`.
+/// The part, in each table, with the rows of the batch stored as `id`.
 pub fn batch_part(id: &str) -> String {
     format!("batch-{id}")
 }
--- a/src/batch/page.rs
+++ b/src/batch/page.rs
@@ -7,7 +7,7 @@
 use crate::store::Listing;
 use bytes::Bytes;
 
-/// Consecutive results, starting at the position that was asked for.
+/// Consecutive results, starting at the requested position.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
     pub samples: Vec<Sample>,
@@ -17,7 +17,7 @@
 const FULL_PAGE_BYTES: usize = 700 * 1024;
 
 /// Reads the results in `listing`, whose first row belongs to the result at position
-/// `first`. The page ends before a result that is damaged or of which pieces are missing.
+/// `first`. The page ends when it is full, and before a damaged or incomplete result.
 pub fn read_page(first: usize, listing: &Listing) -> Page {
     let mut page = Page::default();
     let mut bytes = 0;
--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -91,7 +91,7 @@
 /// Returns the new log and the transaction that writes it, which is conditional on the
 /// log's row still having `revision`.
 ///
-/// The caller leaves out items that are listed already.
+/// The caller must leave out items that `log` lists already.
 pub fn append_transaction(
     id: &str,
     log: &Log,
--- a/src/duty/admin.rs
+++ b/src/duty/admin.rs
@@ -35,8 +35,8 @@
     ready: impl Fn() -> bool + Send + Sync + 'static,
     route: AdminRoute,
 ) {
-    // Operators are served until the end of a stop, so that they can watch it: this duty must
-    // not hold the stop up.
+    // Operators are served until the end of a stop, so that they can watch it. This duty counts
+    // as drained from its start, so that the stop doesn't wait for it.
     context.mark_drained();
     let ready = Arc::new(ready);
     let serving = server.serve(&context, Millis(u64::MAX / 4), move |request| {
--- a/src/duty/http_server.rs
+++ b/src/duty/http_server.rs
@@ -85,8 +85,8 @@
     }
 
     /// Accepts connections until `close_delay` after the program began to drain, so that a
-    /// load balancer that has not noticed yet still gets responses. Then finishes the open
-    /// requests.
+    /// load balancer that has not noticed the drain yet still gets responses. Then finishes
+    /// the open requests. Returns at once when the program is stopped.
     pub async fn serve<H, Fut>(self, context: &Context, close_delay: Millis, handler: H)
     where
         H: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
--- a/src/duty/signals.rs
+++ b/src/duty/signals.rs
@@ -1,4 +1,5 @@
-//! Stops and reloads a program on signals of the operating system.
+//! Reacts to the signals of the operating system: stops the program on SIGTERM or SIGINT, and
+//! calls a handler on SIGHUP.
 
 use super::ProgramHandle;
 use tokio::signal::unix::{
@@ -9,7 +10,7 @@
 /// Waits until the program of `handle` has stopped; returns false if it failed.
 ///
 /// The first SIGTERM or SIGINT begins a graceful stop, a second one forces it. SIGHUP calls
-/// `on_hangup`; without a handler, SIGHUP would end the program.
+/// `on_hangup`; with the system's default action, it would end the program.
 pub async fn wait_for_stop(handle: ProgramHandle, on_hangup: impl Fn()) -> bool {
     let (Ok(mut term), Ok(mut interrupt), Ok(mut hangup)) = (
         signal(SignalKind::terminate()),
--- a/src/duty/supervisor.rs
+++ b/src/duty/supervisor.rs
@@ -26,7 +26,7 @@
 /// A message to the supervisor.
 #[derive(Debug)]
 pub enum SupervisorMessage {
-    /// The duty has started and takes control messages at this address.
+    /// The duty has started; its control actor receives messages at this address.
     Started(&'static str, ActorRef<ControlMessage>),
     /// Begin a graceful stop.
     Drain,
@@ -34,7 +34,8 @@
     Entered(&'static str, Phase),
     /// The duty has finished its work and takes no new work.
     Drained(&'static str),
-    /// A duty's thread is about to start.
+    /// A duty's thread is about to start. Counted before the thread exists, so that the
+    /// supervisor doesn't end while the duty starts.
     Starting,
     /// The duty's thread has ended.
     Ended(&'static str),
@@ -53,7 +54,7 @@
     drained: Vec<&'static str>,
     /// Duties that have confirmed the current phase.
     entered: Vec<&'static str>,
-    /// Duties that take control messages.
+    /// The control actors of the started duties.
     duties: Vec<(&'static str, ActorRef<ControlMessage>)>,
     /// The number of duties whose threads were started and have not ended.
     running: usize,
@@ -136,8 +137,8 @@
         if self.health.borrow().phase == Phase::Stopped {
             return;
         }
-        // Without the duty, its callers would wait forever. So the program stops, /healthz
-        // fails, and the platform replaces the instance.
+        // Requests that need the duty would wait forever. So the program stops, /healthz fails,
+        // and the platform replaces the instance.
         tracing::error!(duty = name, "duty ended unexpectedly; stopping the program");
         self.health.send_modify(|health| health.failed += 1);
         self.enter(Phase::Stopped);
--- a/src/duty/thread.rs
+++ b/src/duty/thread.rs
@@ -118,6 +118,8 @@
     Ok(Duty { name, thread })
 }
 
+/// Runs `main` on the current thread, in a new runtime beside the actor that receives the
+/// duty's control messages.
 fn run<F, Fut>(name: &'static str, supervisor: ActorRef<SupervisorMessage>, main: F)
 where
     F: FnOnce(Context) -> Fut,
--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -27,7 +27,7 @@
 /// How long a request waits for the store to confirm the configuration.
 const CONFIRM_TIMEOUT: Millis = Millis(400);
 
-/// Decides on requests by the configuration in force.
+/// Authenticates requests and finds their routes, by the configuration in force.
 pub(super) struct AccessControl {
     pub(super) site: Arc<Site>,
 }
@@ -107,11 +107,12 @@
         }
     }
 
-    /// Evaluates a request by the configuration in force. Has the store confirm that the
-    /// configuration is the newest, and evaluates the request again, in two cases:
+    /// Evaluates a request by the configuration in force. If the settings limit the
+    /// configuration's age, two results are not final. Then the store has to confirm that
+    /// the configuration is the newest, and the request is evaluated again:
     ///
-    /// - The request would be admitted by a key, but the configuration is too old: the
-    ///   key may have been removed.
+    /// - The request would be admitted by a key, but the configuration was confirmed too
+    ///   long ago: the key may have been removed.
     /// - The request would be refused: a gateway that has just started, resumed or
     ///   returned from a partition may not know a new key or route yet.
     ///
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -34,40 +34,42 @@
 /// Answers calls about batches by reading and writing the store.
 pub(super) struct Batches {
     pub(super) clock: Clock,
-    /// Heads that were read recently, by stored name. A head never changes.
+    /// Cached heads of batches, by stored name. A head never changes.
     pub(super) cached_heads: Mutex<HashMap<String, Arc<Head>>>,
     pub(super) site: Arc<Site>,
     pub(super) store: Store,
 }
 
-/// The maximum number of heads in memory; the head of 100 items takes about 4 KB.
+/// The maximum number of cached heads; beyond it, the head of the batch that was accepted
+/// first is evicted. The head of 100 items takes about 4 KB.
 const MAX_CACHED_HEADS: usize = 256;
 
 /// How often the store is polled for results that a trainer waits for. A trainer that
 /// runs two steps at a time has less than half a second to spare on each. One call
-/// costs the store 4 ms, and it serves 2,000 calls a second.
+/// costs the store 4 ms, and the store serves 2,000 calls a second.
 const RESULTS_POLL_INTERVAL: Millis = Millis(50);
 
 /// The delay before a failed call to the store is repeated.
 const STORE_RETRY_DELAY: Millis = Millis(40);
 
-/// The maximum number of attempts at a write of a submission that the store refuses.
-/// After that the trainer is refused, and its next attempt goes to another gateway.
+/// The maximum number of attempts at a write of a submission, as long as none of them can
+/// have taken effect. Then the trainer is refused, and its next attempt goes to another
+/// gateway.
 const MAX_SUBMIT_ATTEMPTS: u32 = 3;
 
-/// The `Retry-After` of a refusal because of the store.
+/// The `Retry-After` of a refusal because the store failed or holds a damaged value.
 const RETRY_AFTER_STORE_FAILED: Millis = Millis(400);
 
 /// How long a submission may take, if its own deadline is not earlier.
 const SUBMIT_TIMEOUT: Millis = Millis(4_000);
 
-/// The same during an outage: another gateway may still reach the store.
+/// [`SUBMIT_TIMEOUT`] during an outage: another gateway may still reach the store.
 const SUBMIT_TIMEOUT_IN_OUTAGE: Millis = Millis(800);
 
-/// How long reads, and the end of a batch, are tried while the store fails.
+/// How long reads, and the end of a batch, are retried while the store fails.
 const STORE_TIMEOUT: Millis = Millis(1_800);
 
-/// The same during an outage.
+/// [`STORE_TIMEOUT`] during an outage.
 const STORE_TIMEOUT_IN_OUTAGE: Millis = Millis(400);
 
 /// How long the store must have been unreachable for the shorter timeouts to apply.
@@ -128,6 +130,7 @@
         let items = submission.items.len();
         let writes = accept_transactions(&submission, self.store.now());
         drop(submission);
+        // The store's timeout is shorter only during an outage.
         let limit = match self.store_timeout() < STORE_TIMEOUT {
             true => SUBMIT_TIMEOUT_IN_OUTAGE,
             false => SUBMIT_TIMEOUT,
@@ -158,6 +161,8 @@
                 tracing::info!(batch = id, step, model, items, revision, "batch accepted");
                 reply::status(StatusCode::ACCEPTED, "accepted")
             }
+            // An earlier submission stored the head, or an earlier attempt of this one whose
+            // answer was lost.
             Ok(Outcome::Conflict { .. }) => {
                 tracing::info!(batch = id, step, model, "batch was accepted before");
                 reply::status(StatusCode::ACCEPTED, "accepted before")
@@ -174,10 +179,11 @@
         }
     }
 
-    /// Repeats a write until its outcome is known or `deadline` is near. Sets `in_doubt`
-    /// when a failed attempt may have taken effect, or may still do so. All writes here
-    /// are safe to repeat: they write the same rows again, or are conditional on a row
-    /// that they change.
+    /// Repeats a write until the store answers with its outcome. Gives up when `deadline`
+    /// is near, or after [`MAX_SUBMIT_ATTEMPTS`] attempts if none can have taken effect.
+    /// Sets `in_doubt` when a failed attempt may have taken effect, or may still do so.
+    /// The writes of a submission are safe to repeat: they write the same rows again, or
+    /// are conditional on a row that they change.
     async fn write_with_retries(
         &self,
         transaction: &Transaction,
@@ -309,8 +315,8 @@
         }
     }
 
-    /// Reads a batch's head, from memory if it is there; `None` when the batch does not
-    /// exist.
+    /// Reads a batch's head from the cache or else from the store; `None` when the batch
+    /// does not exist or its head is damaged.
     async fn read_head(&self, id: &str) -> Result<Option<Arc<Head>>, StoreError> {
         let known = self.cached_heads().get(id).cloned();
         if known.is_some() {
@@ -340,8 +346,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long a read is tried. A gateway that has not reached the store for a while
-    /// refuses soon, as another gateway may reach it.
+    /// How long a read is retried. A gateway that has not reached the store for a while
+    /// refuses early, as another gateway may reach it.
     fn store_timeout(&self) -> Millis {
         let now = self.clock.now();
         let unreachable_since = self.site.store_unreachable_since();
@@ -351,7 +357,7 @@
         }
     }
 
-    /// Repeats a read that fails until [`Self::store_timeout`] is over.
+    /// Repeats a failing read until it succeeds or [`Self::store_timeout`] has passed.
     async fn with_retries<T, F>(&self, read: impl Fn() -> F) -> Result<T, StoreError>
     where
         F: Future<Output = Result<T, StoreError>>,
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -63,6 +63,7 @@
         let listed = PlatformClient::open(platform)
             .instances(&mut EntityTag::default())
             .await?;
+        // An instance without a pool is an entry; the others are agents.
         let entries = listed
             .unwrap_or_default()
             .into_iter()
--- a/src/operator/operator_error.rs
+++ b/src/operator/operator_error.rs
@@ -55,7 +55,7 @@
 }
 
 impl OperatorError {
-    /// Whether the command line or a file that the operator gave is at fault.
+    /// Whether the error lies in the command line or in a file that the operator gave.
     pub fn is_usage(&self) -> bool {
         matches!(
             self,
--- a/src/operator/program.rs
+++ b/src/operator/program.rs
@@ -1,4 +1,4 @@
-//! The start, run and stop that all long-running programs share.
+//! Starts and runs a long-running program until it has stopped.
 
 use super::{
     USAGE_EXIT_CODE,
@@ -13,7 +13,7 @@
     process::ExitCode, //
 };
 
-/// A program, as its command line describes it.
+/// The command line options that all long-running programs have.
 pub(super) struct Program<'a> {
     /// Whether to only check the settings.
     pub(super) check: bool,
@@ -53,6 +53,7 @@
         }
 
         let log = open_log(&settings);
+        // The first call begins the recording of metrics.
         render_metrics();
         let handle = match open(settings) {
             Ok(handle) => handle,
--- a/src/operator/step_times.rs
+++ b/src/operator/step_times.rs
@@ -75,8 +75,8 @@
     runs: HashMap<String, Vec<WholeRun>>,
 }
 
-/// The breakdown of one step's time, along the last result that its trainer received. All times
-/// are in s.
+/// The breakdown of one step's time along its critical path: the item whose result was the last
+/// to be listed before the trainer ended the step. All times are in s.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepTime {
     /// When the batch was accepted, counted from the first step in the logs.
@@ -89,12 +89,12 @@
     /// From the first event to the end of the run that ended whole.
     pub generating: f64,
     pub item: String,
-    /// From the end of that run until its result is in the store: scoring and append.
+    /// From the end of that run until its result is listed in the store: scoring and append.
     pub listing: f64,
     pub model: String,
     /// The average time between two events of that run, in ms.
     pub ms_per_event: f64,
-    /// From the result in the store until the trainer ends the step.
+    /// From the listing of the result until the trainer ends the step.
     pub reading: f64,
     pub server: String,
     pub step: u64,
--- a/src/platform/batch_calls.rs
+++ b/src/platform/batch_calls.rs
@@ -114,6 +114,7 @@
         items,
         least_version: wire.min_version,
         model: wire.model,
+        // No batch has more groups than fit into 16 bits: a larger target means all of them.
         needed: u16::try_from(wire.group_target).unwrap_or(0),
         path: path.to_owned(),
         priority: None,
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -94,9 +94,9 @@
 /// An order to load a weight version.
 #[derive(Clone, Debug)]
 pub struct VersionOrder<'a> {
-    /// The fencing token of the instance that orders; it never decreases.
+    /// The sender's fencing token; it never decreases.
     pub fence: u64,
-    /// The instance that orders.
+    /// The instance that sends the order.
     pub holder: &'a str,
     /// Whether running requests finish under their version before the weights change.
     pub finish_runs: bool,
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -232,8 +232,8 @@
 }
 
 /// Sets a header whose name and value come from a trainer. An invalid header is logged
-/// and left out. So is one that only this program may set: with it a trainer could act
-/// for another workspace.
+/// and left out. So is a header that is not forwarded: with some of those, a trainer could
+/// act for another workspace.
 pub fn set_header(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::try_from(name);
     let value = HeaderValue::try_from(value);
--- a/src/platform/server_entry.rs
+++ b/src/platform/server_entry.rs
@@ -12,8 +12,8 @@
 };
 use std::net::SocketAddr;
 
-/// A server's announcement. Servers always write all fields but those with a default: an
-/// entry without one of them comes from another writer.
+/// A server's announcement. Servers write all fields but those with a default: a row
+/// that lacks one of them comes from another writer.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireServer {
@@ -57,8 +57,8 @@
 ///
 /// # Errors
 ///
-/// [`AnnouncementError`] for an entry that is incomplete or has a field of another type. Other
-/// programs may write to the same table: such an entry must not be taken for a server.
+/// [`AnnouncementError`] for a row that is incomplete or has a field of another type. Other
+/// programs may write to the same table: such a row must not be taken for a server.
 pub fn read_server(id: &str, value: &[u8]) -> Result<Server, AnnouncementError> {
     let wire: WireServer = serde_json::from_slice(value).context(DecodeSnafu)?;
     ensure!(wire.address.port() > 0, PortSnafu);
@@ -73,7 +73,7 @@
     })
 }
 
-/// Why an entry is not a server's announcement.
+/// Why a row is not a server's announcement.
 #[derive(Debug, Snafu)]
 pub enum AnnouncementError {
     #[snafu(display("invalid announcement: {source}"))]
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Reads the rows of `part` from the key `from` on, at most `limit` and as many as one
-    /// answer contains.
+    /// Reads the rows of `part` from the key `from` on: at most `limit`, and no more than the
+    /// store returns in one answer.
     ///
     /// # Errors
     ///
@@ -148,7 +148,8 @@
         Ok(listing.rows.into_iter().find(|row| row.key == key.key))
     }
 
-    /// Checks that the store answers this process; waits a while for an unreachable one.
+    /// Checks that the store answers this process. While the store is unreachable, waits for
+    /// it up to the timeout of a call.
     ///
     /// # Errors
     ///
@@ -157,8 +158,8 @@
         self.rows(PROBE_TABLE, "", "", 1).await.map(|_| ())
     }
 
-    /// Reads all rows of `part` in as many calls as needed. The listing has the revision
-    /// of the first call, so that following the changes after it misses none.
+    /// Reads all rows of `part` in as many calls as needed. The listing has the revision of
+    /// the first answer: a reader that follows the changes after that revision misses none.
     ///
     /// # Errors
     ///
@@ -280,18 +281,17 @@
             })?;
         let recoveries = self.reach.recoveries();
         let result = tokio::select! {
-                   answer = self.peer.call(request, within) => {
-                       let result = classify_answer(answer);
-                       self.record_result(&result);
-                       result
-                   }
-                   () = self.reach.wait_recovery_after(recoveries) => {
-                       let address = self.peer.address();
-                       let source = CallError::Timeout {
-        address, timeout: within };
-                       Err(StoreError::Unknown { source })
-                   }
-               };
+            answer = self.peer.call(request, within) => {
+                let result = classify_answer(answer);
+                self.record_result(&result);
+                result
+            }
+            () = self.reach.wait_recovery_after(recoveries) => {
+                let address = self.peer.address();
+                let source = CallError::Timeout { address, timeout: within };
+                Err(StoreError::Unknown { source })
+            }
+        };
         let outcome = match &result {
             Ok(_) => "done",
             Err(StoreError::Unknown { .. }) => "unknown",
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -40,7 +40,7 @@
 pub(super) struct ProbeSchedule {
     /// Notified to send a probe at once.
     wake: Notify,
-    /// The time between two probes, in ms; 0 for the default, [`PROBE_INTERVAL`].
+    /// The time between two probes, in ms; 0 for [`PROBE_INTERVAL`].
     interval_ms: AtomicU64,
 }
 
@@ -98,8 +98,9 @@
         recovered.await.map_err(|_| StoreError::Unreachable)
     }
 
-    /// Sends probes over new connections until the store answers one. The connections from
-    /// before the outage are dropped then.
+    /// Sends probes until the store is reachable again, without waiting for earlier probes.
+    /// Each uses a new connection; once one is answered, the connections from before the
+    /// outage are dropped.
     async fn probe(self) {
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
--- a/src/settings/agent_settings.rs
+++ b/src/settings/agent_settings.rs
@@ -27,7 +27,7 @@
     pub address: SocketAddr,
     /// The maximum number of requests that the backend server runs at once.
     pub capacity: u32,
-    /// Whether the backend server itself refuses orders with an outdated fencing number.
+    /// Whether the backend server itself refuses orders with an outdated fencing token.
     pub checks_fence: bool,
     pub kind: BackendKind,
     pub pool: String,
@@ -53,8 +53,8 @@
     pub fn read(reader: &Reader<'_>) -> Self {
         let common = CommonSettings::read(reader);
         let listen = reader.section("listen");
-        // `CommonSettings` reads these keys with a reader of its own. Reading them here too marks them
-        // as known, so that `finish` reports only unknown keys.
+        // `CommonSettings` reads these keys with a reader of its own. Reading them here too marks
+        // them as known, so that `finish` reports only unknown keys.
         listen.text("admin", Some("-"));
         listen.text("links", Some("-"));
         listen.finish();
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -22,7 +22,7 @@
     mapping: Option<&'a MarkedMappingNode>,
     /// The path of the mapping inside the document.
     path: String,
-    /// The keys that were asked for; any other key of the mapping is unknown.
+    /// The keys that were read, present or not; any other key of the mapping is unknown.
     read_keys: RefCell<BTreeSet<String>>,
 }
 
@@ -32,7 +32,7 @@
         Self::from_node(Some(root), String::new(), faults)
     }
 
-    /// The value that `words` lists for the word at `key`.
+    /// The value that `words` assigns to the word at `key`; `default` if the key is absent.
     pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> Option<T> {
         let Some(node) = self.get(key) else {
             if default.is_none() {
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    /// Ends reading and records a fault for each key that was not asked for.
+    /// Ends reading and records a fault for each key of the mapping that was not read.
     pub fn finish(&self) {
         let Some(mapping) = self.mapping else {
             return;
@@ -103,7 +103,8 @@
         keys.map(|name| name.as_str().to_owned()).collect()
     }
 
-    /// The number at `key`, which must be within `range`; `default` if the key is absent.
+    /// The number at `key`; `default` if the key is absent. A number outside of `range` is a
+    /// fault and reads as the start of `range`.
     pub fn number(
         &self,
         key: &str,
@@ -187,7 +188,7 @@
         self.push_fault(key, span, expected, "nothing".into());
     }
 
-    /// The value at `key`, which counts as asked for from now on.
+    /// The value at `key`. Marks `key` as known.
     fn get(&self, key: &str) -> Option<&'a Node> {
         self.read_keys.borrow_mut().insert(key.to_owned());
         self.mapping?.get_node(key)
--- a/src/settings/team_settings.rs
+++ b/src/settings/team_settings.rs
@@ -52,7 +52,7 @@
     pub rollout: Option<RolloutSettings>,
 }
 
-/// The hash of a caller's key, as it stands in the settings.
+/// The hash of a caller's key, in the form in which the settings contain it.
 pub fn key_hash(key: &str) -> String {
     let hash = blake3::derive_key("redwingpond caller key v1", key.as_bytes());
     blake3::Hash::from_bytes(hash).to_string()
@@ -103,7 +103,7 @@
     let is_hex = caller.key.bytes().all(|b| b.is_ascii_hexdigit());
     let is_hash = caller.key.len() == 64 && is_hex;
     if !caller.key.is_empty() && !is_hash {
-        let expected = "the 64 hexadecimal digits that `redwing key hash` prints";
+        let expected = "the 64 hexadecimal digits that `redwing key-hash` prints";
         section.reject("key", expected, "something else");
     }
     for name in &caller.classes {
