--- a/src/duty/http_server.rs
+++ b/src/duty/http_server.rs
@@ -95,7 +95,7 @@
         let listener = match TcpListener::from_std(self.listener) {
             Ok(listener) => listener,
             Err(error) => {
-                tracing::error!(%error, "can't use the listener");
+                tracing::error!(%error, "can't register the listener with the runtime");
                 return;
             }
         };
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -239,7 +239,7 @@
     let value = HeaderValue::try_from(value);
     match (name, value) {
         (Ok(name), _) if NOT_FORWARDED_REQUEST_HEADERS.contains(&name.as_str()) => {
-            tracing::warn!(%name, "trainer's header ignored: only this program may set it");
+            tracing::warn!(%name, "trainer's header ignored: it is not forwarded");
         }
         (Ok(name), Ok(value)) => {
             headers.insert(name, value);
