--- a/src/batch/writes.rs
+++ b/src/batch/writes.rs
@@ -48,8 +48,8 @@
 /// The transactions that store `submission`, accepted at `now` by the store's clock.
 pub fn accept_transactions(submission: &Submission, now: Millis) -> AcceptTransactions {
     let part = batch_part(&submission.id);
-    let (head, items) = Head::of(submission, now);
-    let mut rows: Vec<(Key, Bytes)> = items
+    let (head, item_chunks) = Head::of(submission, now);
+    let mut rows: Vec<(Key, Bytes)> = item_chunks
         .iter()
         .enumerate()
         .map(|(index, chunk)| chunk_row(&part, index as u16, chunk))
@@ -91,7 +91,7 @@
 /// Returns the new log and the transaction that writes it, which is conditional on the
 /// log's row still having `revision`.
 ///
-/// The caller leaves out items that are listed already.
+/// The caller must leave out items that `log` lists already.
 pub fn append_transaction(
     id: &str,
     log: &Log,
--- a/src/duty/thread.rs
+++ b/src/duty/thread.rs
@@ -107,17 +107,19 @@
     let thread = std::thread::Builder::new()
         .name(name.to_owned())
         .spawn(move || {
-            let ended = supervisor.clone();
+            let supervisor_at_end = supervisor.clone();
             let run = AssertUnwindSafe(|| run(name, supervisor, main));
             if catch_unwind(run).is_err() {
                 tracing::error!(duty = name, "duty panicked");
             }
-            let _ = ended.cast(SupervisorMessage::Ended(name));
+            let _ = supervisor_at_end.cast(SupervisorMessage::Ended(name));
         })
         .context(ThreadSnafu { name })?;
     Ok(Duty { name, thread })
 }
 
+/// Runs `main` on the current thread, in a new runtime beside the actor that receives the
+/// duty's control messages.
 fn run<F, Fut>(name: &'static str, supervisor: ActorRef<SupervisorMessage>, main: F)
 where
     F: FnOnce(Context) -> Fut,
--- a/src/operator/operator_error.rs
+++ b/src/operator/operator_error.rs
@@ -47,7 +47,7 @@
     #[snafu(display("{source}"), context(false))]
     Settings { source: SettingsError },
     #[snafu(display("{source}"), context(false))]
-    Store { source: PlatformError },
+    Platform { source: PlatformError },
     #[snafu(display(
         "no process that was asked knows request `{id}`; it may have run, and that can't be told from here"
     ))]
@@ -55,7 +55,7 @@
 }
 
 impl OperatorError {
-    /// Whether the command line or a file that the operator gave is at fault.
+    /// Whether the error lies in the command line or in a file that the operator gave.
     pub fn is_usage(&self) -> bool {
         matches!(
             self,
--- a/src/operator/program.rs
+++ b/src/operator/program.rs
@@ -1,4 +1,4 @@
-//! The start, run and stop that all long-running programs share.
+//! Starts and runs a long-running program until it has stopped.
 
 use super::{
     USAGE_EXIT_CODE,
@@ -13,7 +13,7 @@
     process::ExitCode, //
 };
 
-/// A program, as its command line describes it.
+/// The command line options that all long-running programs have.
 pub(super) struct Program<'a> {
     /// Whether to only check the settings.
     pub(super) check: bool,
@@ -25,7 +25,7 @@
     /// Checks the settings file again, without applying it. The settings in the file (addresses,
     /// data centre, the store) are fixed until the process ends; those that may change while it
     /// runs come from the store.
-    fn reload<S>(&self, load: &impl Fn(&Path) -> Result<S, SettingsError>) {
+    fn recheck_settings<S>(&self, load: &impl Fn(&Path) -> Result<S, SettingsError>) {
         match load(self.file) {
             Ok(_) => tracing::info!("settings checked; changes apply at the next start"),
             Err(error) => tracing::error!(%error, "settings file invalid; running settings kept"),
@@ -53,6 +53,7 @@
         }
 
         let log = open_log(&settings);
+        // The first call begins the recording of metrics.
         render_metrics();
         let handle = match open(settings) {
             Ok(handle) => handle,
@@ -62,7 +63,7 @@
             }
         };
         let code = block_on(async {
-            match wait_for_stop(handle, || self.reload(&load)).await {
+            match wait_for_stop(handle, || self.recheck_settings(&load)).await {
                 true => ExitCode::SUCCESS,
                 false => ExitCode::FAILURE,
             }
--- a/src/platform/store_probe.rs
+++ b/src/platform/store_probe.rs
@@ -40,7 +40,7 @@
 pub(super) struct ProbeSchedule {
     /// Notified to send a probe at once.
     wake: Notify,
-    /// The time between two probes, in ms; 0 for the default, [`PROBE_INTERVAL`].
+    /// The time between two probes, in ms; 0 for [`PROBE_INTERVAL`].
     interval_ms: AtomicU64,
 }
 
@@ -94,12 +94,13 @@
 
     /// Waits until the store is reachable, at most for `within`.
     pub(super) async fn wait_reachable(&self, within: Millis) -> Result<(), StoreError> {
-        let back = tokio::time::timeout(within.as_duration(), self.reach.wait_reachable());
-        back.await.map_err(|_| StoreError::Unreachable)
+        let recovered = tokio::time::timeout(within.as_duration(), self.reach.wait_reachable());
+        recovered.await.map_err(|_| StoreError::Unreachable)
     }
 
-    /// Sends probes over new connections until the store answers one. The connections from
-    /// before the outage are dropped then.
+    /// Sends probes until the store is reachable again, without waiting for earlier probes.
+    /// Each uses a new connection; once one is answered, the connections from before the
+    /// outage are dropped.
     async fn probe(self) {
         let mut probes = FuturesUnordered::new();
         probes.push(self.probe_once());
