--- a/src/agent/accounts.rs
+++ b/src/agent/accounts.rs
@@ -20,7 +20,7 @@
 }
 
 /// The queries that may wait; further ones are answered as an unknown path.
-pub(super) const MAX_WAITING_QUERIES: usize = 16;
+pub(super) const MAX_QUEUED_QUERIES: usize = 16;
 
 /// The answer of `/v1/account/ID`.
 #[derive(Serialize)]
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -31,7 +31,7 @@
 
 /// The events that may wait for the work duty. When the queue is full, the links stop
 /// reading, which their entries see as back-pressure.
-const MAX_WAITING_EVENTS: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 impl Agent {
     /// Starts an agent with its duties `door` (accepts links), `work` and `admin`.
@@ -48,8 +48,8 @@
             role: Role::Agent,
         };
         let usable = Arc::new(AtomicBool::new(false));
-        let (event_sender, events) = mpsc::channel::<WorkEvent>(MAX_WAITING_EVENTS);
-        let (query_sender, queries) = mpsc::channel(accounts::MAX_WAITING_QUERIES);
+        let (event_sender, events) = mpsc::channel::<WorkEvent>(MAX_QUEUED_EVENTS);
+        let (query_sender, queries) = mpsc::channel(accounts::MAX_QUEUED_QUERIES);
         tracing::info!(
             instance = settings.common.instance,
             backend = %settings.backend.address,
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -95,7 +95,7 @@
 
 /// The ends of jobs that may wait for the work duty; a full queue delays only the tasks of
 /// jobs that have ended.
-const MAX_WAITING_ENDS: usize = 256;
+const MAX_QUEUED_ENDS: usize = 256;
 
 /// Runs the work duty until the program stops. Keeps `usable` up to date for the readiness
 /// check.
@@ -106,7 +106,7 @@
     mut queries: mpsc::Receiver<Query>,
     usable: Arc<AtomicBool>,
 ) {
-    let (job_ends, mut ended_jobs) = mpsc::channel(MAX_WAITING_ENDS);
+    let (job_ends, mut ended_jobs) = mpsc::channel(MAX_QUEUED_ENDS);
     let mut worker = Worker::new(context.clone(), settings, job_ends);
     if let Some(engine_access) = worker.engine_access.clone() {
         tokio::task::spawn_local(async move { engine_access.poll_state().await });
--- a/src/entry/entry_handle.rs
+++ b/src/entry/entry_handle.rs
@@ -105,7 +105,7 @@
         );
 
         let supervisor = handle.supervisor().clone();
-        let leave = common.drain.close_delay;
+        let close_delay = common.drain.close_delay;
         let traffic = traffic::TrafficInputs {
             commands,
             directory: directory.clone(),
@@ -136,7 +136,7 @@
         };
         handle.add(rollout.spawn(&supervisor, directory.clone(), view)?);
         handle.add(duty::spawn("front", &supervisor, move |context| {
-            front::run(context, callers, leave, app, trainers, delivered)
+            front::run(context, callers, close_delay, app, trainers, delivered)
         })?);
         let health = handle.health();
         handle.add(duty::spawn("admin", &supervisor, move |context| {
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -32,14 +32,14 @@
 pub(super) async fn run(
     context: Context,
     server: HttpServer,
-    leave: Millis,
+    close_delay: Millis,
     app: AppApi,
     trainers: TrainerApi,
     delivered: mpsc::Receiver<RequestId>,
 ) {
     tokio::spawn(report_deliveries(delivered, app.traffic.clone()));
     server
-        .serve(&context, leave, move |request| {
+        .serve(&context, close_delay, move |request| {
             let (app, trainers) = (app.clone(), trainers.clone());
             async move { route(app, trainers, request).await }
         })
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -95,7 +95,7 @@
 }
 
 /// The messages that may wait to be written to one link.
-const MAX_WAITING_MESSAGES: usize = 4_096;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 
 /// The free space that the buffer has at least before each read, in bytes.
 const MIN_READ_SPACE: usize = 8 * 1024;
@@ -117,7 +117,7 @@
     Out: Serialize,
 {
     let (reader, writer) = connection.stream.into_split();
-    let (out, queue) = mpsc::channel(MAX_WAITING_MESSAGES);
+    let (out, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let clock = Clock::open();
     let last_received = AtomicU64::new(clock.now().0);
     let up = LinkEvent::Up {
