--- a/src/agent/accounts.rs
+++ b/src/agent/accounts.rs
@@ -19,7 +19,7 @@
     Report(oneshot::Sender<Report>),
 }
 
-/// The queries that may wait; further ones are answered as an unknown path.
+/// The most queries that may wait; further ones are answered as an unknown path.
 pub(super) const MAX_QUEUED_QUERIES: usize = 16;
 
 /// The answer of `/v1/account/ID`.
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -29,7 +29,7 @@
     pub links: SocketAddr,
 }
 
-/// The events that may wait for the work duty. When the queue is full, the links stop
+/// The most events that may wait for the work duty. When the queue is full, the links stop
 /// reading, which their entries see as back-pressure.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
--- a/src/agent/job.rs
+++ b/src/agent/job.rs
@@ -24,7 +24,7 @@
 
 /// A request that waits or runs.
 pub(super) struct Job {
-    /// Takes the body parts that arrive from the entry; `None` once the body is complete.
+    /// Passes body parts from the entry to the job's task; `None` if the body is complete.
     pub(super) body_sender: Option<mpsc::Sender<BodyPart>>,
     pub(super) deadline: Millis,
     /// Sends the answer to the entry.
--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-/// The body parts of a job that may wait for the backend server. The stream's window
+/// The most body parts of a job that may wait for the backend server. The stream's window
 /// limits their bytes, and each takes at least `MESSAGE_COST` of it.
 const MAX_BODY_PARTS: usize = (STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize;
 
@@ -120,7 +120,7 @@
         self.run_next();
     }
 
-    /// Abandons the job of the stream, because its entry no longer needs the answer.
+    /// Abandons the job of the stream `slot`.
     pub(super) fn cancel(&mut self, link: LinkKey, slot: Slot) {
         let key = self.links.get(&link).and_then(|s| s.slots.get(&slot));
         if let Some(key) = key.copied() {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Passes on a part of a request's body.
+    /// Passes a part of a request's body to the job's task.
     pub(super) fn on_data(&mut self, link: LinkKey, slot: Slot, bytes: Bytes, last: bool) {
         let Some(job) = self.job(link, slot) else {
             return;
@@ -240,7 +240,8 @@
         }
     }
 
-    /// Records that a removed job was stopped, and frees its slot or its key.
+    /// Records that a removed job was stopped. Frees its place at the backend server if it
+    /// had started, otherwise its request key.
     fn end_early(&mut self, job: &Job, started: bool, cause: Cause) {
         let now = self.context.clock.now();
         if started {
--- a/src/agent/link_listener.rs
+++ b/src/agent/link_listener.rs
@@ -18,8 +18,8 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct LinkKey(pub u64);
 
-/// The links that may be open at once. With 460 entries, each linked to 16 of a pool's
-/// samplers, an agent has about 18 links; the rest is room for reconnects.
+/// The most links open at once. With 460 entries, each linked to 16 of a pool's samplers,
+/// an agent has about 18 links; the rest is room for reconnects.
 const MAX_LINKS: usize = 512;
 
 /// A bound link port that does not accept connections yet.
--- a/src/agent/run_call.rs
+++ b/src/agent/run_call.rs
@@ -55,7 +55,7 @@
 }
 
 /// Sends the call to the service at `address` and streams the answer to the entry. `parts`
-/// yields the rest of the request's body, if it did not come whole.
+/// yields the rest of the request's body, if `head` does not contain all of it.
 pub(super) async fn run_call(
     client: &ServiceClient,
     address: SocketAddr,
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -22,7 +22,8 @@
 /// one.
 const MAX_BATCHED_TOKENS: u32 = 64;
 
-/// How many uncertain turns are repeated; the generation fails at the next one.
+/// How many turns with the outcome `Uncertain` are repeated; the generation fails at the
+/// next one.
 const MAX_UNCERTAIN_TURNS: u32 = 3;
 
 /// A running generation. It consists of turns: each is one request to the engine, and ends
@@ -30,7 +31,7 @@
 ///
 /// # Invariants
 ///
-/// `spans` label tokens only if the engine's state was the same before and after they were
+/// `spans` label tokens only if the model's state was the same before and after they were
 /// generated.
 pub(super) struct GenerationRun<'a> {
     /// The number of tokens whose version is known; those after them are unlabelled.
@@ -49,7 +50,8 @@
 
 /// How a turn ended.
 enum TurnOutcome {
-    /// The engine's state changed during the turn: the unlabelled tokens are void.
+    /// The engine was restarted or began to load the model during the turn: the unlabelled
+    /// tokens are void.
     Uncertain,
     /// The generation is complete and all tokens are labelled.
     Finished(FinishReason),
@@ -171,8 +173,8 @@
         ))
     }
 
-    /// Asks the engine for its state, and labels all tokens if it has not changed since
-    /// `before`; returns whether it did.
+    /// Asks the engine for its state. If the model's state is still the one in `before`,
+    /// labels all tokens and returns true.
     async fn confirm_and_label(&mut self, before: &EngineState) -> Result<bool, Failure> {
         let after = self.engine_access.refresh_state().await?;
         let Some(version) = version_between(before, &after, &self.generation.model) else {
--- a/src/agent/run_order.rs
+++ b/src/agent/run_order.rs
@@ -12,7 +12,7 @@
 /// the result.
 const MAX_CONFIRM_POLLS: u32 = 40;
 
-/// The delay between two of these requests.
+/// The delay between two requests for the state.
 const CONFIRM_POLL_INTERVAL: Millis = Millis(100);
 
 /// Sends the order to the engine while no generation of its model runs, and returns the
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -93,8 +93,8 @@
 /// The number of accounts kept for operators' queries.
 const MAX_ACCOUNTS: usize = 10_000;
 
-/// The ends of jobs that may wait for the work duty; a full queue delays only the tasks of
-/// jobs that have ended.
+/// The most ends of jobs that may wait for the work duty; a full queue delays only the
+/// tasks of jobs that have ended.
 const MAX_QUEUED_ENDS: usize = 256;
 
 /// Runs the work duty until the program stops. Keeps `usable` up to date for the readiness
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Does the periodic work: drain, deadlines and reports.
+    /// Drains the agent if the program stops, ends jobs that can't meet their deadlines, and
+    /// sends a report if one is due.
     fn on_tick(&mut self) {
         let now = self.context.clock.now();
         if self.context.phase() >= Phase::Draining {
--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -34,7 +34,7 @@
     time::timeout, //
 };
 
-/// What is needed to answer application calls; cheap to clone.
+/// The channels and state needed to answer application calls; cheap to clone.
 #[derive(Clone)]
 pub(super) struct AppApi {
     /// Requests to the duty that claims request keys.
@@ -293,7 +293,8 @@
     }
 }
 
-/// The failure of a call whose replies ended, or began with an unexpected one.
+/// The failure of a call whose replies ended before the first one, or began with an
+/// unexpected one.
 fn ended_without_reply() -> Failure {
     Failure::may_have_run(Cause::LinkLost, "this entry ended the call without a word")
 }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -91,7 +91,7 @@
             .iter()
             .filter(|(_, server)| server.instance.pool.as_deref() == Some(&call.spec.pool));
         let all: Vec<(ServerKey, &Server)> = pool.collect();
-        // Once all have been tried, each may be tried again.
+        // Once all servers of the pool have been tried, each may be tried again.
         let exhausted = all.iter().all(|(key, _)| call.tried.contains(key));
         all.into_iter()
             .map(|(key, server)| {
@@ -126,7 +126,7 @@
         router::choose(self.settings.policy, candidates, self.sequence, draw)
     }
 
-    /// Sends the call to `server`.
+    /// Starts an attempt: sends the call to the agent of `server`.
     fn start_attempt(&mut self, key: CallKey, server: ServerKey, reason: Reason, now: Millis) {
         let attempt = self.attempts.insert(OpenAttempt {
             call: key,
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What the retry policy decides by.
+    /// The input of the retry policy.
     pub(super) fn retry_input(&self) -> Attempt {
         let replayable = match &self.spec.work {
             Work::Call(head) => head.whole,
--- a/src/entry/call_target.rs
+++ b/src/entry/call_target.rs
@@ -11,7 +11,7 @@
     HeaderMap, //
 };
 
-/// The class of a call, and what else its team and pool specify for the call.
+/// The class of a call, and the settings of its team and pool that apply to the call.
 pub(super) struct Target {
     pub(super) class: ClassSettings,
     pub(super) kind: BackendKind,
@@ -19,7 +19,8 @@
     pub(super) limits: Limits,
     /// The names of the team and the class.
     pub(super) names: (String, String),
-    /// How many retries a hundred successful calls of the team pay for.
+    /// The size of the retry budget: the number of retries in percent of the team's
+    /// successful calls.
     pub(super) retry_share: u64,
 }
 
--- a/src/entry/chat_api.rs
+++ b/src/entry/chat_api.rs
@@ -59,7 +59,7 @@
     pub(super) stream: bool,
 }
 
-/// Our extension of the response: which weight versions generated the tokens.
+/// Redwing's extension of the response: which weight versions generated the tokens.
 #[derive(Serialize)]
 struct Provenance<'a> {
     request_id: String,
@@ -240,7 +240,7 @@
 /// A streamed response in progress.
 struct ResponseStream {
     call: ChatCall,
-    /// Set once the last event was sent: whether the answer was whole.
+    /// `None` until the last event; then whether the answer is complete.
     ended: Option<bool>,
     first: Option<Reply>,
     replies: Replies,
@@ -341,7 +341,7 @@
     }
 }
 
-/// What the tokens cost of the flow-control window, without the message's own cost.
+/// The bytes that the tokens take of the flow-control window, without `MESSAGE_COST`.
 fn flow_cost(part: &Tokens) -> usize {
     part.text().len() + 4 * part.len() as usize
 }
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -33,12 +33,12 @@
     request: String,
 }
 
-/// The requests that may wait; further calls with keys are refused.
+/// The most requests that may wait; further calls with keys are refused.
 pub(super) const MAX_QUEUED_CLAIMS: usize = 512;
 
-/// How long a claimed key is kept, and a repeat of its call recognised. Callers that got
-/// no answer repeat their call within minutes. One hour of keys is about 50,000 rows at
-/// the present rate.
+/// How long a claimed key is kept. Until then, a repeat of its call is refused as a
+/// duplicate. Callers that got no answer repeat their call within minutes. One hour of
+/// keys is about 50,000 rows at the present rate.
 const KEY_RETENTION: Millis = Millis(3_600_000);
 
 /// How often expired keys are removed while there are no requests.
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Writes one transaction, and sends the outcomes of its claims.
+    /// Writes one transaction, and sends the outcomes of its claims. After a conflict, only
+    /// the claim of the conflicting row has an outcome; the other writes are queued again.
     async fn write(&mut self, batch: Batch) {
         let transaction = self.transaction(&batch);
         match self.platform.transact(&transaction).await {
--- a/src/entry/command.rs
+++ b/src/entry/command.rs
@@ -30,7 +30,8 @@
     /// Receives the replies to the call.
     pub(super) reply: mpsc::Sender<Reply>,
     pub(super) request: RequestId,
-    /// How many retries a hundred successful calls of the team pay for.
+    /// The size of the retry budget: the number of retries in percent of the team's
+    /// successful calls.
     pub(super) retry_share: u64,
     pub(super) team: String,
     pub(super) work: Work,
@@ -57,8 +58,9 @@
     Tokens(u32, Tokens),
 }
 
-/// The replies that may wait for one call. The flow-control window bounds them, since
-/// each costs at least `MESSAGE_COST` of it.
+/// The most replies that may wait for one call. Almost all take at least `MESSAGE_COST` of
+/// the flow-control window, which bounds them; the last places are for those that take
+/// none, such as the end.
 pub(super) const MAX_QUEUED_REPLIES: usize =
     (crate::wire::STREAM_WINDOW / crate::wire::MESSAGE_COST) as usize + 8;
 
@@ -77,7 +79,7 @@
     },
     /// The whole answers to these requests were handed to the callers' connections.
     Delivered(Vec<RequestId>),
-    /// What happened to a request.
+    /// Explains what happened to a request.
     Explain(RequestId, oneshot::Sender<Result<Explanation, Failure>>),
     /// An order to a server's engine.
     Order {
@@ -86,10 +88,11 @@
         server: ServerKey,
     },
     Start(Box<NewCall>),
-    /// The current view of the fleet.
+    /// Sends the current view of the fleet.
     View(oneshot::Sender<View>),
 }
 
-/// The commands that may wait. When the queue is full, new calls are refused, and body
-/// parts and credit wait.
+/// The most commands that may wait. When the queue is full, callers' new calls are
+/// refused, and operators' queries are answered as an unknown path; all other commands
+/// wait.
 pub(super) const MAX_QUEUED_COMMANDS: usize = 2_048;
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -75,8 +75,8 @@
         changed.then_some(next)
     }
 
-    /// What is newer than the settings of `revision` and the list of instances with
-    /// `stamp`; `None` if nothing is.
+    /// The changes since the settings of `revision` and the list of instances with `stamp`;
+    /// `None` if there are none.
     pub(super) fn update_since(&self, revision: u64, stamp: u64) -> Option<DirectoryUpdate> {
         if revision >= self.revision() && stamp == self.stamp {
             return None;
--- a/src/entry/directory_update.rs
+++ b/src/entry/directory_update.rs
@@ -1,4 +1,4 @@
-//! What one entry sends another about settings and instances: only the changes.
+//! The changes of settings and instances that one entry sends another.
 
 use crate::table::{
     Instance,
@@ -32,14 +32,14 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(super) struct DirectoryUpdate {
     pub(super) instances: InstancesChange,
-    /// The revision of the settings that the rows bring that entry up to.
+    /// The revision of the settings once the rows are applied.
     pub(super) revision: u64,
     /// Newer rows of the settings, by path.
     pub(super) rows: BTreeMap<String, Row>,
 }
 
 impl InstancesChange {
-    /// The list that this change makes of `before`.
+    /// Applies this change to the list `before`; returns the new list.
     pub(super) fn apply(self, before: &[Instance]) -> Vec<Instance> {
         match self {
             Self::All(list) => list,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The change that makes `after` of `before`.
+    /// The change from the list `before` to the list `after`.
     pub(super) fn between(before: &[Instance], after: &[Instance]) -> Self {
         let old: BTreeMap<&str, &Instance> = before
             .iter()
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -12,8 +12,8 @@
 };
 use std::collections::HashMap;
 
-/// Samples in progress for each one that the engines can run at once. The surplus waits
-/// at the engines, so that none of them is idle between two samples.
+/// The ratio of the samples in progress to those that the engines can run at once. The
+/// surplus waits at the engines, so that no engine is idle between two samples.
 const DISPATCH_RATIO: f64 = 1.25;
 
 /// The shortest time limit of a sample, also when its step is past the deadline.
--- a/src/entry/entry_handle.rs
+++ b/src/entry/entry_handle.rs
@@ -43,7 +43,7 @@
     pub links: SocketAddr,
 }
 
-/// The ids of delivered answers that may wait to be reported to the traffic duty.
+/// The most ids of delivered answers that may wait to be reported to the traffic duty.
 const MAX_QUEUED_DELIVERIES: usize = 4_096;
 
 impl Entry {
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Gives up the queries that have timed out; their explanations go without an account
-    /// of these agents.
+    /// Gives up the queries that have timed out; their explanations are completed without
+    /// the accounts of these agents.
     pub(super) fn expire_queries(&mut self, now: Millis) {
         for (_, query) in self.queries.extract_if(|_, query| query.expires <= now) {
             query.explanation.borrow_mut().unanswered -= 1;
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -30,7 +30,7 @@
     time::timeout, //
 };
 
-/// What is needed to open links to other entries.
+/// The clock and the hello with which links to other entries are opened.
 #[derive(Clone)]
 pub(super) struct Forwarder {
     pub(super) clock: Clock,
@@ -40,12 +40,12 @@
 /// The slot of the request. One is enough, as each request has a connection of its own.
 const SLOT: Slot = Slot(1);
 
-/// The events that may wait on that connection.
+/// The most events of the request's link that may wait.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// Heartbeats on links between entries. They are slow, because long polls keep these links
-/// idle for long. A silent peer is still detected early enough to fetch the settings
-/// elsewhere within 8 s.
+/// Heartbeats on links between entries. They are rare, because long polls keep these links
+/// idle. A silent peer is still detected early enough to fetch the settings elsewhere
+/// within 8 s.
 pub(super) const PEER_LINK_TUNING: LinkTuning = LinkTuning {
     heartbeat_interval: Millis(2_500),
     silence_timeout: Millis(6_000),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads the answer, and returns the credit for it.
+/// Reads the answer, and gives the peer credit for the parts read.
 async fn receive_answer(
     link: &Link<ToAgent>,
     events: &mut mpsc::Receiver<LinkEvent<(), FromAgent, ToAgent>>,
--- a/src/entry/learner.rs
+++ b/src/entry/learner.rs
@@ -23,13 +23,13 @@
 const READER_COUNT: usize = 24;
 
 /// How often a reader reads from the platform, and how long any entry waits after a
-/// failure, both before jitter.
+/// failure, both on average over the jitter.
 const READ_INTERVAL: Millis = Millis(1_000);
 
 /// How long a reader holds a peer's request while there is nothing new.
 pub(super) const LONG_POLL_TIMEOUT: Millis = Millis(20_000);
 
-/// The path of that request.
+/// The path of a peer's request for the directory.
 pub(super) const DIRECTORY_PATH: &str = "/internal/directory";
 
 /// Fetches until the program stops.
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! How the traffic duty follows the list of instances.
+//! How the traffic duty keeps its links in step with the list of instances.
 
 use super::{
     dialer,
@@ -22,7 +22,7 @@
 };
 
 impl Traffic {
-    /// Follows a new list of instances: opens links to the agents of this entry's subset
+    /// Applies a new list of instances: opens links to the agents of this entry's subset
     /// of each pool.
     pub(super) fn on_directory(&mut self, directory: &Directory) {
         let wanted = self.chosen_instances(&directory.instances);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes calls from callers and steps from trainers, and has agents run them.
+//! The entry: accepts calls from callers and steps from trainers, and has agents run them.
 
 mod app_api;
 mod arrival;
--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -22,8 +22,8 @@
 const AGENT_GRACE: Millis = Millis(150);
 
 impl Traffic {
-    /// Takes an agent's message about an attempt in progress: passes it on to the caller,
-    /// or ends the attempt.
+    /// Passes an agent's message about an attempt in progress on to the caller, or ends the
+    /// attempt.
     pub(super) fn on_call_message(&mut self, key: AttemptKey, call: CallKey, message: FromAgent) {
         let delivered = match message {
             FromAgent::Credit { bytes, .. } => self.reply_to(call, Reply::Credit(bytes)),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the loss of a link: the attempts and orders on it fail.
+    /// Fails the attempts and orders on a link that was lost.
     pub(super) fn on_link_down(&mut self, server: ServerKey, reason: &'static str) {
         let now = self.context.clock.now();
         let Some(state) = self.servers.get_mut(server) else {
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Cancels a call whose caller has left, or does not read its replies.
+    /// Cancels a call whose replies can't be passed on: the caller has left or does not read
+    /// them, or the agent's tokens leave a gap.
     fn abandon(&mut self, key: CallKey) {
         self.cancel(key);
         let detail = "the caller is gone";
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -10,13 +10,14 @@
     table::{PlatformClient, PlatformError, Transaction, TransactionOutcome, Write},
 };
 
-/// How long after a check requests are forwarded to another entry without a new check.
+/// How long the result of a check may be used to forward requests to another entry.
 pub(super) const MAX_LEASE_AGE: Millis = Millis(1_000);
 
-/// How often a lease that is held or wanted is checked.
+/// How often a lease that this entry holds or tries to acquire is checked.
 const CHECK_INTERVAL: Millis = Millis(500);
 
-/// How long after the trainer's last request its lease is wanted.
+/// How long after a trainer's last request this entry tries to acquire its lease. A lease
+/// that is held is renewed without this limit.
 const LEASE_IDLE_TIMEOUT: Millis = Millis(30_000);
 
 /// The result of a check of a lease.
@@ -26,7 +27,7 @@
 }
 
 impl Rollout {
-    /// Checks the leases that are due, and forgets idle trainers that this entry does not
+    /// Starts the checks that are due, and forgets idle trainers that this entry does not
     /// own. Releases all leases if the entry drains.
     pub(super) fn check_leases(&mut self, now: Millis) {
         let due: Vec<TrainerKey> = self
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Starts a check of the lease of `key`, in a task of its own, unless one is in
-    /// progress. The check also acquires or renews the lease if that is due.
+    /// Starts a check of the lease of the trainer `key`, in a task of its own, unless one is
+    /// in progress. The check also acquires or renews the lease if that is due.
     pub(super) fn check_lease(&mut self, key: &TrainerKey) {
         let Some(trainer) = self.trainers.get_mut(key).filter(|t| !t.checking) else {
             return;
@@ -75,7 +76,7 @@
         });
     }
 
-    /// Takes the result of a check, and answers the requests that waited for it.
+    /// Records the result of a check, and answers the requests that waited for it.
     pub(super) fn on_lease_check(&mut self, key: &TrainerKey, check: LeaseCheck) {
         let now = self.clock.now();
         let me = self.me.clone();
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Releases all leases, so that the next owners need not wait until these lapse. The
-    /// trainers submit their steps there again.
+    /// Releases all leases, so that the next owners need not wait until the leases expire.
+    /// The trainers submit their steps again to the next owners.
     fn release_leases(&mut self) {
         for (key, trainer) in std::mem::take(&mut self.trainers) {
             let Some(epoch) = trainer.epoch() else {
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -37,10 +37,10 @@
 /// it: about 18 with 460 entries and 24 readers.
 const MAX_LINKS: usize = 1_024;
 
-/// The events that may wait on one connection.
+/// The most events of one link that may wait.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// What is needed to answer other entries.
+/// The state needed to answer other entries.
 #[derive(Clone)]
 pub(super) struct PeerApi {
     pub(super) directory: watch::Receiver<Arc<Directory>>,
--- a/src/entry/rollout.rs
+++ b/src/entry/rollout.rs
@@ -91,7 +91,7 @@
         result: Box<Result<Sample, Failure>>,
         step: u64,
     },
-    /// An order to swap has an outcome.
+    /// An order to swap weights succeeded or failed.
     Swap(SwapResult),
 }
 
@@ -159,10 +159,10 @@
 /// How often leases, swaps, samples to start and open fetches are checked.
 const TICK_INTERVAL: Millis = Millis(20);
 
-/// The reports of tasks that may wait; when the queue is full, the tasks wait.
+/// The most reports of tasks that may wait; when the queue is full, the tasks wait.
 const MAX_QUEUED_REPORTS: usize = 1_024;
 
-/// The trainers' requests that may wait; further ones are refused.
+/// The most trainers' requests that may wait; further ones are refused.
 pub(super) const MAX_QUEUED_REQUESTS: usize = 256;
 
 /// The most steps kept of one trainer; beyond that, the one with the lowest number is
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Takes the report of a task.
+    /// Applies the report of a task.
     fn on_report(&mut self, report: TaskReport) {
         match report {
             TaskReport::Lease { key, outcome } => self.on_lease_check(&key, outcome),
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -53,7 +53,7 @@
 /// The most calls for one score.
 const MAX_SCORE_ATTEMPTS: u32 = 5;
 
-/// The delay between these calls.
+/// The delay between two calls for a score.
 const SCORE_RETRY_DELAY: Millis = Millis(200);
 
 /// The answer of a scoring service.
@@ -234,7 +234,7 @@
     }
 }
 
-/// The failure of a call whose replies end without a last one.
+/// The failure of a call whose replies end before its answer is complete.
 fn traffic_ended() -> Failure {
     Failure::may_have_run(Cause::Draining, "the traffic duty has ended")
 }
--- a/src/entry/swaps.rs
+++ b/src/entry/swaps.rs
@@ -26,14 +26,16 @@
 /// The delay before an engine whose swap has failed gets another order.
 const SWAP_RETRY_DELAY: Millis = Millis(500);
 
-/// How long an order may take, until its outcome is known.
+/// How long to wait for the outcome of an order.
 const ORDER_TIMEOUT: Millis = Millis(45_000);
 
-/// How long a confirmed version counts even if the engine's report shows an older one.
+/// How long the version confirmed by an order takes precedence over an older one in the
+/// engine's reports.
 const CONFIRMATION_LIFETIME: Millis = Millis(2_500);
 
 impl Rollout {
-    /// Orders swaps for every trainer whose engines have older weights than it has named.
+    /// Orders swaps for every trainer whose engines have weights older than the version that
+    /// the trainer has named.
     pub(super) fn order_swaps(&mut self, now: Millis) {
         let keys: Vec<TrainerKey> = self.trainers.keys().cloned().collect();
         for key in keys {
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -76,7 +76,7 @@
 /// How often the rollout duty gets a new view.
 const VIEW_INTERVAL: Millis = Millis(100);
 
-/// The link events that may wait; while the queue is full, links are not read.
+/// The most link events that may wait; while the queue is full, links are not read.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// The number of requests whose accounts are kept, for operators to look up.
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes an event on a link.
+    /// Applies an event of a link.
     fn on_event(&mut self, event: TrafficEvent) {
         match event {
             LinkEvent::Down { link, reason } => self.on_link_down(link, reason),
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes a message from an agent.
+    /// Applies a message from an agent.
     fn on_message(&mut self, server: ServerKey, message: FromAgent) {
         match message {
             FromAgent::Account { slot, account } => self.on_account(slot, account),
@@ -291,8 +291,8 @@
         }
     }
 
-    /// A new slot for a query or an order. These have tables of their own, so a slot that
-    /// equals that of an attempt is not taken for it.
+    /// A new slot for a query or an order. Queries and orders have tables of their own, so
+    /// a slot that equals the slot of an attempt is not mistaken for it.
     pub(super) fn next_slot(&mut self) -> Slot {
         self.sequence += 1;
         Slot(u64::MAX - self.sequence)
--- a/src/entry/trainer.rs
+++ b/src/entry/trainer.rs
@@ -55,13 +55,14 @@
     pub(super) version: WeightVersion,
     /// Requests that wait for a check of the lease.
     pub(super) deferred: VecDeque<TrainerRequest>,
-    /// When the trainer last sent a request; the lease of an idle trainer is not wanted.
+    /// When the trainer last sent a request. This entry does not try to acquire the lease of
+    /// an idle trainer.
     pub(super) last_request: Millis,
-    /// What this entry has observed of the lease's row.
+    /// The last observed row of the lease, and when it was seen to change.
     pub(super) watch: LeaseWatch,
 }
 
-/// The requests that may wait for a check of the lease.
+/// The most requests that may wait for a check of the lease.
 const MAX_DEFERRED: usize = 32;
 
 impl Trainer {
--- a/src/entry/trainer_api.rs
+++ b/src/entry/trainer_api.rs
@@ -19,7 +19,7 @@
     oneshot, //
 };
 
-/// What is needed to answer trainers; cheap to clone.
+/// The channels and state needed to answer trainers; cheap to clone.
 #[derive(Clone)]
 pub(super) struct TrainerApi {
     pub(super) forward: Forwarder,
@@ -52,8 +52,8 @@
 /// The longest time that a fetch may be held.
 const MAX_FETCH_WAIT: Millis = Millis(30_000);
 
-/// How much longer than that the owner of a trainer may take to answer a forwarded
-/// request.
+/// How much longer than the longest fetch the owner of a trainer may take to answer a
+/// forwarded request.
 const OWNER_MARGIN: Millis = Millis(5_000);
 
 /// Answers a trainer's request, or forwards it to the entry that owns the trainer. A
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! What an entry sees of the fleet, for the rollout duty and for operators.
+//! An entry's view of the fleet, for the rollout duty and for operators.
 
 use super::server::ServerKey;
 use crate::wire::Report;
--- a/src/table/client.rs
+++ b/src/table/client.rs
@@ -55,7 +55,7 @@
 /// The time limit of one request.
 const REQUEST_TIMEOUT: Millis = Millis(1_000);
 
-/// How many times a transaction is sent at most while its outcome is unknown.
+/// The most times that a transaction is sent while its outcome is unknown.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl PlatformClient {
--- a/src/wire/from_agent.rs
+++ b/src/wire/from_agent.rs
@@ -18,7 +18,7 @@
     Serialize, //
 };
 
-/// A message to an entry from an agent, or from the entry that owns a trainer.
+/// A message to an entry from an agent, or from another entry that answers its request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum FromAgent {
     /// The answer to [`ToAgent::Query`](super::ToAgent::Query); `None` if the agent has no
@@ -54,8 +54,8 @@
     Report(Report),
     /// Weight versions of tokens sent before, confirmed by the engine.
     Spans { slot: Slot, spans: Vec<Span> },
-    /// Tokens from index `from` on. They replace all tokens sent before from that index
-    /// on, whose weight version could not be confirmed.
+    /// Tokens from index `from` on. They replace any tokens sent before from that index on,
+    /// because the weight version of those could not be confirmed.
     Tokens {
         slot: Slot,
         from: u32,
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -29,7 +29,7 @@
     time::{MissedTickBehavior, interval, timeout}, //
 };
 
-/// Detection of a silent peer.
+/// The times by which a link detects a silent peer.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkTuning {
     /// A heartbeat is sent when nothing else was sent for this long.
@@ -94,10 +94,10 @@
     },
 }
 
-/// The messages that may wait to be written to one link.
+/// The most messages that may wait to be written to one link.
 const MAX_QUEUED_MESSAGES: usize = 4_096;
 
-/// The free space that the buffer has at least before each read, in bytes.
+/// The minimum free space of the buffer before each read, in bytes.
 const MIN_READ_SPACE: usize = 8 * 1024;
 
 /// Messages are gathered into one write until it has this many bytes.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -33,11 +33,11 @@
     Serialize, //
 };
 
-/// Identifies one stream of a link. The entry chooses it, a generational key of its arena
-/// of calls; the agent only echoes it.
+/// Identifies one stream of a link. The entry chooses it, and the agent only echoes it. For
+/// a request it is a generational key of the entry's arena of attempts.
 ///
 /// A message that arrives after the entry has reused the place in the arena carries the
-/// old generation, so it matches no call.
+/// old generation, so it matches no attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Slot(pub u64);
 
--- a/src/wire/report.rs
+++ b/src/wire/report.rs
@@ -1,5 +1,5 @@
-//! The report that an agent sends to its entries: when it changes, at most once a second,
-//! and at least every two seconds.
+//! The report that an agent sends to its entries: at once when a link opens or the drain
+//! begins, otherwise when it changes, at most once a second and at least every two seconds.
 
 use super::EngineState;
 use crate::base::Millis;
--- a/src/wire/to_agent.rs
+++ b/src/wire/to_agent.rs
@@ -12,7 +12,7 @@
     Serialize, //
 };
 
-/// A message from an entry to an agent, or to the entry that owns a trainer.
+/// A message from an entry to an agent, or to another entry that answers its request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ToAgent {
     /// The entry no longer needs the answer.
@@ -31,7 +31,8 @@
     /// Asks for the agent's account of a request.
     Query { slot: Slot, request: RequestId },
     /// Cancels the request if it has not started. The agent keeps a tombstone, by which
-    /// it refuses a start of this attempt that arrives later.
+    /// it refuses a start of this attempt that arrives later. No entry sends this message
+    /// at present.
     Revoke {
         attempt: u8,
         slot: Slot,
