--- a/src/agent/link_listener.rs
+++ b/src/agent/link_listener.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct LinkKey(pub u64);
 
-/// The most links open at once. With 460 entries, each linked to 16 of a pool's samplers,
+/// The most links open at once. With 460 entries, each linked to 16 of a pool's agents,
 /// an agent has about 18 links; the rest is room for reconnects.
 const MAX_LINKS: usize = 512;
 
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -48,7 +48,7 @@
                 fence,
                 done = result.is_ok(),
                 why = result.as_ref().err().map(|failure| failure.cause.word()),
-                "order"
+                "order carried out or refused"
             );
             sender.send(FromAgent::Ordered { slot, result }).await;
         });
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -129,7 +129,7 @@
 
     let cut = worker.jobs.len();
     if cut > 0 {
-        tracing::error!(cut, "requests cut off at the stop");
+        tracing::error!(cut, "requests cut off by the stop");
         metrics::counter!("redwing_stop_cut_total").increment(cut as u64);
     }
 }
--- a/src/entry/ownership.rs
+++ b/src/entry/ownership.rs
@@ -151,7 +151,7 @@
             let me = self.me.clone();
             tokio::task::spawn_local(async move {
                 if let Err(error) = release_lease(&platform, &path, &me, epoch).await {
-                    tracing::warn!(%error, path, "could not release a lease; it will lapse");
+                    tracing::warn!(%error, path, "could not release a lease; it will expire");
                 }
             });
         }
--- a/src/table/client.rs
+++ b/src/table/client.rs
@@ -55,7 +55,7 @@
 /// The time limit of one request.
 const REQUEST_TIMEOUT: Millis = Millis(1_000);
 
-/// The most times that a transaction is sent while its outcome is unknown.
+/// The most times that one transaction is sent.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl PlatformClient {
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Commits `transaction`; sends it again with the same token while its outcome is
-    /// unknown, up to `MAX_ATTEMPTS` times in all.
+    /// Commits `transaction`. After no answer or a status other than 200, sends it again with
+    /// the same token, up to `MAX_ATTEMPTS` times in all.
     pub async fn transact(
         &self,
         transaction: &Transaction,
