--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -93,9 +93,9 @@
 /// The number of accounts kept for operators' queries.
 const MAX_ACCOUNTS: usize = 10_000;
 
-/// The ends of jobs that may wait for the work duty; a full queue delays only the tasks of
-/// jobs that have ended.
-const MAX_WAITING_ENDS: usize = 256;
+/// The most ends of jobs that may wait for the work duty; a full queue delays only the
+/// tasks of jobs that have ended.
+const MAX_QUEUED_ENDS: usize = 256;
 
 /// Runs the work duty until the program stops. Keeps `usable` up to date for the readiness
 /// check.
@@ -106,7 +106,7 @@
     mut queries: mpsc::Receiver<Query>,
     usable: Arc<AtomicBool>,
 ) {
-    let (job_ends, mut ended_jobs) = mpsc::channel(MAX_WAITING_ENDS);
+    let (job_ends, mut ended_jobs) = mpsc::channel(MAX_QUEUED_ENDS);
     let mut worker = Worker::new(context.clone(), settings, job_ends);
     if let Some(engine_access) = worker.engine_access.clone() {
         tokio::task::spawn_local(async move { engine_access.poll_state().await });
@@ -129,7 +129,7 @@
 
     let cut = worker.jobs.len();
     if cut > 0 {
-        tracing::error!(cut, "requests cut off at the stop");
+        tracing::error!(cut, "requests cut off by the stop");
         metrics::counter!("redwing_stop_cut_total").increment(cut as u64);
     }
 }
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Does the periodic work: drain, deadlines and reports.
+    /// Drains the agent if the program stops, ends jobs that can't meet their deadlines, and
+    /// sends a report if one is due.
     fn on_tick(&mut self) {
         let now = self.context.clock.now();
         if self.context.phase() >= Phase::Draining {
