--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -12,7 +12,7 @@
     base::{Cause, Event, Failure, Millis, Span, Verdict, stable_hash},
     policy::{
         agent_queue::{self, Item, OfferOutcome},
-        claims::KeyClaim, //
+        seen_keys::KeyClaim, //
     },
     wire::{FromAgent, STREAM_WINDOW, Slot, Start, Work}, //
 };
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -13,9 +13,9 @@
     engine::EngineClient,
     policy::{
         agent_queue::AgentQueue,
-        claims::SeenKeys,
         fences::Fences,
         ledger::Ledger, //
+        seen_keys::SeenKeys,
     },
     settings::{AgentSettings, BackendKind},
     table::PlatformClient,
--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -13,7 +13,7 @@
 use crate::{
     base::{Millis, Verdict},
     net::FullResponse,
-    policy::{freshness::STALE_RETRY_AFTER, server_choice::hedge_delay},
+    policy::{freshness::RETRY_AFTER_STALE_CONFIG, server_choice::hedge_delay},
     routing::{RouteKind, ServerIncarnation},
     view, //
 };
@@ -207,7 +207,7 @@
             },
             (0, _) if self.last_reason == STALE_REASON => CallOutcome::NotRun {
                 reason,
-                wait: STALE_RETRY_AFTER,
+                wait: RETRY_AFTER_STALE_CONFIG,
             },
             (0, true) => CallOutcome::NotRun {
                 reason,
--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -16,7 +16,7 @@
     net::{CallError, FullResponse, Peer},
     platform,
     policy::{
-        freshness::STALE_RETRY_AFTER,
+        freshness::RETRY_AFTER_STALE_CONFIG,
         retry_budget::RetryBudget,
         server_choice::{Candidate, choose},
         typical::TypicalLatency, //
@@ -151,7 +151,7 @@
             if self.is_config_stale(call) {
                 return StreamOutcome::NotRun {
                     reason: STALE_REASON.to_owned(),
-                    wait: STALE_RETRY_AFTER,
+                    wait: RETRY_AFTER_STALE_CONFIG,
                 };
             }
             let Some(server) = self.choose_server(call, &tried) else {
--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -15,7 +15,7 @@
     agent::run_call::REQUEST_ID,
     base::{Cause, Clock, Failure, Millis, RequestId, WeightVersion},
     duty::{Answer, problem, text},
-    policy::claim_batch::PendingClaim,
+    policy::key_claims::PendingClaim,
     settings::BackendKind,
     wire::{CallHead, STREAM_WINDOW, Work}, //
 };
--- a/src/entry/claimer.rs
+++ b/src/entry/claimer.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::{Cause, Failure, Millis, RequestId, stable_hash},
     duty::{Context, Phase},
-    policy::claim_batch::{Batch, ClaimOutcome, ClaimQueue, PendingClaim}, //
+    policy::key_claims::{Batch, ClaimOutcome, ClaimQueue, PendingClaim}, //
     table::{PlatformClient, Transaction, TransactionOutcome, Write},
 };
 use serde::{
--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -8,7 +8,7 @@
     platform,
     policy::{
         access::{self, Denial},
-        freshness::STALE_RETRY_AFTER, //
+        freshness::RETRY_AFTER_STALE_CONFIG, //
     },
     routing::{Config, Route, Workspace},
     view::Site, //
@@ -71,7 +71,10 @@
             Self::Denied(denial) => denied(denial),
             Self::NoConfig => reply::refusal(CONFIG_RETRY_AFTER, "no configuration yet"),
             Self::NoRoute => reply::status(StatusCode::NOT_FOUND, "no route"),
-            Self::Stale => reply::refusal(STALE_RETRY_AFTER, "the configuration is not confirmed"),
+            Self::Stale => reply::refusal(
+                RETRY_AFTER_STALE_CONFIG,
+                "the configuration is not confirmed",
+            ),
         }
     }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -13,7 +13,7 @@
 use crate::{
     base::{Clock, Millis},
     net::{CallError, FullResponse, Peer, Reachability},
-    policy::patience::AdaptiveTimeout,
+    policy::adaptive_timeout::AdaptiveTimeout,
     store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
 };
 use base64::{
--- a/src/policy/agent_queue.rs
+++ b/src/policy/agent_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of requests in front of one backend server.
 
 use super::{
-    fair_line::FairQueue,
+    fair_queue::FairQueue,
     router::Policy, //
 };
 use crate::base::{
--- a/src/policy/claim_choice.rs
+++ b/src/policy/claim_choice.rs
@@ -7,7 +7,7 @@
 
 use super::{
     pace::{STRAGGLER_RATIO, is_straggler},
-    step_order::StepMode, //
+    step_mode::StepMode, //
 };
 use crate::base::Millis;
 
--- a/src/policy/engine_life.rs
+++ b/src/policy/engine_incarnation.rs
@@ -26,7 +26,7 @@
 /// The address may have been reassigned to a server of another service, so a mismatch
 /// counts only once it is `confirmed`: a later report from there shows models of this
 /// runner's service, which servers of other services don't hold.
-pub fn current<'a>(
+pub fn current_incarnation<'a>(
     announced: Option<&'a str>,
     mismatch: Option<&'a Mismatch>,
     confirmed: bool,
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -22,7 +22,7 @@
 
 /// How long a caller with a key is asked to wait while the configuration is too old to
 /// check the key: another gateway may reach the store.
-pub const STALE_RETRY_AFTER: Millis = Millis(200);
+pub const RETRY_AFTER_STALE_CONFIG: Millis = Millis(200);
 
 impl Freshness {
     /// No configuration is confirmed yet. A key must stop working within `revocation`
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -23,7 +23,7 @@
 }
 
 /// The length of a window: some tens of gaps, while two or more runs are in progress.
-const WINDOW: Millis = Millis(500);
+const WINDOW_LENGTH: Millis = Millis(500);
 
 /// A window with fewer gaps is ignored.
 const MIN_GAPS: u32 = 12;
@@ -50,7 +50,7 @@
     /// Returns the pace in ms by all gaps until `now`, or 0 while it is unknown. Ends
     /// the current window if its time is over.
     pub fn update(&mut self, now: Millis) -> f64 {
-        if now.since(self.begun) < WINDOW {
+        if now.since(self.begun) < WINDOW_LENGTH {
             return self.value;
         }
         if self.gaps >= MIN_GAPS {
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -18,7 +18,7 @@
 
 /// The number of instances of a program that ask the store in each data centre. Two may
 /// be lost at once; the third still serves the others.
-pub const ROOTS: usize = 3;
+pub const ROOT_COUNT: usize = 3;
 
 /// The most children of one instance. A runner asks about 25 times a second, and each
 /// request takes about 0.1 ms: 4% of a core.
@@ -140,7 +140,7 @@
     stable_hash(&[instance.as_bytes(), address.to_string().as_bytes()])
 }
 
-/// The slot among the [`ROOTS`] that `instance` tries to take first.
+/// The slot among the [`ROOT_COUNT`] that `instance` tries to take first.
 pub fn first_slot(instance: &str) -> usize {
-    stable_hash(&[instance.as_bytes()]) as usize % ROOTS
+    stable_hash(&[instance.as_bytes()]) as usize % ROOT_COUNT
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -11,14 +11,14 @@
 }
 
 /// The most retries that can be saved up; a new budget starts with as many.
-const MAX_SAVED: f64 = 20.0;
+const MAX_SAVED_RETRIES: f64 = 20.0;
 
 impl RetryBudget {
     /// A full budget, in which one success pays for `share` of a retry.
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            tokens: MAX_SAVED,
+            tokens: MAX_SAVED_RETRIES,
         }
     }
 
@@ -33,7 +33,7 @@
 
     /// Records a successful call.
     pub fn record_success(&mut self) {
-        self.tokens = (self.tokens + self.share).min(MAX_SAVED);
+        self.tokens = (self.tokens + self.share).min(MAX_SAVED_RETRIES);
     }
 }
 
--- a/src/policy/claim_line.rs
+++ b/src/policy/start_order.rs
@@ -3,7 +3,7 @@
 
 use super::{
     claim_choice::{Holder, Offer},
-    step_order::{OpenStep, StepMode, Supply, is_ample, step_modes}, //
+    step_mode::{OpenStep, StepMode, Supply, is_ample, step_modes}, //
 };
 use crate::base::Millis;
 use std::collections::BTreeMap;
--- a/src/policy/typical.rs
+++ b/src/policy/typical.rs
@@ -9,22 +9,24 @@
 }
 
 /// The weight of each new answer.
-const WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// The average before any answer, in ms: what the users' services take, with some
 /// margin.
-const INITIAL: f64 = 80.0;
+const INITIAL_LATENCY_MS: f64 = 80.0;
 
 impl Default for TypicalLatency {
     fn default() -> Self {
-        Self { value: INITIAL }
+        Self {
+            value: INITIAL_LATENCY_MS,
+        }
     }
 }
 
 impl TypicalLatency {
     /// Adds an answer that took `taken` ms.
     pub fn note(&mut self, taken: f64) {
-        self.value += WEIGHT * (taken - self.value);
+        self.value += SAMPLE_WEIGHT * (taken - self.value);
     }
 
     /// The average in ms.
--- a/src/relay/root_slots.rs
+++ b/src/relay/root_slots.rs
@@ -3,7 +3,7 @@
 use super::handle::Relay;
 use crate::{
     batch::{decode, encode},
-    policy::relay::{ROOTS, first_slot},
+    policy::relay::{ROOT_COUNT, first_slot},
     store::{Key, Outcome, StoreError, Transaction}, //
 };
 use serde::{
@@ -64,8 +64,8 @@
             return Err(StoreError::Unreachable);
         }
         let group = &relay.identity.group;
-        let listing = relay.store.rows(ROOTS_TABLE, group, "", ROOTS).await?;
-        let mut slots = vec![RootSlot::default(); ROOTS];
+        let listing = relay.store.rows(ROOTS_TABLE, group, "", ROOT_COUNT).await?;
+        let mut slots = vec![RootSlot::default(); ROOT_COUNT];
         for row in listing.rows {
             let number = row.key.parse::<usize>().ok();
             let slot = number.and_then(|number| slots.get_mut(number));
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -45,7 +45,7 @@
         if room == 0 {
             return;
         }
-        let place = standing.model_rank;
+        let place = standing.model_place;
         let home = standing.home.as_deref();
         let home = home.filter(|_| !is_straggler(self.pace, usual));
         let mut offers = self.offers(&ids, home, now);
@@ -63,17 +63,17 @@
         if now < self.retry_at {
             return;
         }
-        let places = place.count as u32 * self.slots;
-        self.set_start_order(&ids, &mut offers, places);
-        let mut taker = Runner {
-            place: standing.class_rank,
+        let slots = place.count as u32 * self.slots;
+        self.set_start_order(&ids, &mut offers, slots);
+        let mut runner = Runner {
+            place: standing.kind_place,
             room,
             slower: self.kind.slower,
             yields: standing.yields,
         };
-        while let Some(offer) = choose(&offers, taker).copied() {
+        while let Some(offer) = choose(&offers, runner).copied() {
             offers.retain(|other| (other.batch, other.bundle) != (offer.batch, offer.bundle));
-            taker.room = taker.room.saturating_sub(offer.remaining);
+            runner.room = runner.room.saturating_sub(offer.remaining);
             self.claim(&ids[offer.batch], &offer);
         }
     }
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -4,7 +4,7 @@
 use crate::{
     base::Millis,
     policy::{
-        engine_life::{current, is_caught_up},
+        engine_incarnation::{current_incarnation, is_caught_up},
         pace::{EngineKind, Pace}, //
     },
     routing::ServerIncarnation, //
@@ -32,7 +32,7 @@
         let confirmed = mismatch
             .as_ref()
             .is_some_and(|mismatch| self.has_own_report_since(mismatch.at));
-        let present = current(announced_id, mismatch.as_ref(), confirmed);
+        let present = current_incarnation(announced_id, mismatch.as_ref(), confirmed);
 
         let started = announced
             .as_ref()
--- a/src/runner/heartbeats.rs
+++ b/src/runner/heartbeats.rs
@@ -28,7 +28,7 @@
 
 impl SeenHeartbeat {
     /// The fields that decide whether the runner still works.
-    fn beat(&self) -> LastHeartbeat {
+    fn last_heartbeat(&self) -> LastHeartbeat {
         LastHeartbeat {
             at: self.at,
             revision: self.revision,
@@ -38,7 +38,7 @@
     }
 
     /// Whether the runner is alive and claims new bundles.
-    fn takes_work(&self, now: Millis) -> bool {
+    fn claims_work(&self, now: Millis) -> bool {
         is_alive(self.at, now) && self.heartbeat.working && !self.heartbeat.leaving
     }
 }
@@ -82,8 +82,11 @@
 
     /// Whether the runner `instance`, whose last claim was `write`, still works.
     pub(super) fn is_working(&self, instance: &str, write: ClaimWrite, now: Millis) -> bool {
-        let beat = self.by_instance.get(instance).map(SeenHeartbeat::beat);
-        liveness::is_working(write, beat, now)
+        let heartbeat = self
+            .by_instance
+            .get(instance)
+            .map(SeenHeartbeat::last_heartbeat);
+        liveness::is_working(write, heartbeat, now)
     }
 
     /// The last heartbeat of `instance`.
@@ -95,15 +98,15 @@
     /// known.
     pub(super) fn usual_pace(&self, service: &str) -> f64 {
         let beats = self.by_instance.values().map(|seen| &seen.heartbeat);
-        let ours = beats.filter(|beat| beat.service == service);
-        usual_pace(ours.map(|beat| beat.pace).collect())
+        let ours = beats.filter(|heartbeat| heartbeat.service == service);
+        usual_pace(ours.map(|heartbeat| heartbeat.pace).collect())
     }
 
     /// The instances that claim work for `service`, in an order that is the same for
     /// all runners.
     pub(super) fn working_runners(&self, service: &str, now: Millis) -> Vec<String> {
         let works =
-            |seen: &SeenHeartbeat| seen.takes_work(now) && seen.heartbeat.service == service;
+            |seen: &SeenHeartbeat| seen.claims_work(now) && seen.heartbeat.service == service;
         let mut names: Vec<String> = self
             .by_instance
             .iter()
@@ -118,9 +121,9 @@
     /// or a newer one.
     pub(super) fn count_ready(&self, model: &str, version: u64, me: &str, now: Millis) -> usize {
         let is_ready = |(name, seen): &(&String, &SeenHeartbeat)| {
-            let beat = &seen.heartbeat;
-            let ours = beat.home.as_deref() == Some(model) && name.as_str() != me;
-            seen.takes_work(now) && ours && beat.held >= version
+            let heartbeat = &seen.heartbeat;
+            let ours = heartbeat.home.as_deref() == Some(model) && name.as_str() != me;
+            seen.claims_work(now) && ours && heartbeat.held >= version
         };
         self.by_instance.iter().filter(is_ready).count()
     }
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -27,7 +27,7 @@
     /// it can run them even while the store is unreachable.
     pub(super) fn prefetch(&mut self, id: &str) {
         let standing = self.standing(self.clock.now());
-        let place = standing.model_rank;
+        let place = standing.model_place;
         let Some(batch) = self.batches.get(id) else {
             return;
         };
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -9,7 +9,7 @@
     policy::{
         claim_choice::{Holder, Offer, Place},
         model_share::{BatchDemand, Demand, Member, assign_models, demands},
-        step_order::StepMode, //
+        step_mode::StepMode, //
     },
     routing::Route, //
 };
@@ -18,15 +18,15 @@
 /// This runner's home model and its rank among the runners of its service.
 pub(super) struct Standing {
     /// Its rank among the working runners of the service, itself included.
-    pub(super) service_rank: Place,
+    pub(super) service_place: Place,
     /// The home model that it should have; `None` while no models are known.
     pub(super) home: Option<String>,
     /// Its rank among those with the same home model.
-    pub(super) model_rank: Place,
+    pub(super) model_place: Place,
     /// The number of runners of the service that claim bundles.
     pub(super) working: usize,
     /// Its rank among those of the same home model and engine kind (usual or slower).
-    pub(super) class_rank: Place,
+    pub(super) kind_place: Place,
     /// Whether its engine leaves new bundles to faster ones of the same home model.
     pub(super) yields: bool,
 }
@@ -54,7 +54,7 @@
         }
         let rank = runners.iter().position(|name| *name == self.instance);
         let rank = rank.unwrap_or_default();
-        let service_rank = Place {
+        let service_place = Place {
             count: runners.len(),
             rank,
         };
@@ -69,11 +69,11 @@
         let homes = assign_models(&demands, &members);
         let Some(home) = homes.get(rank).copied() else {
             return Standing {
-                service_rank,
+                service_place,
                 home: None,
-                model_rank: service_rank,
+                model_place: service_place,
                 working,
-                class_rank: service_rank,
+                kind_place: service_place,
                 yields: false,
             };
         };
@@ -81,11 +81,11 @@
         let as_fast = |of: &usize| self.is_slower(&runners[*of]) == self.kind.slower;
         let peers: Vec<usize> = same.iter().copied().filter(as_fast).collect();
         Standing {
-            service_rank,
+            service_place,
             home: Some(demands[home].model.clone()),
-            model_rank: place_among(&same, rank),
+            model_place: place_among(&same, rank),
             working,
-            class_rank: place_among(&peers, rank),
+            kind_place: place_among(&peers, rank),
             yields: self.kind.slower && peers.len() < same.len(),
         }
     }
@@ -95,9 +95,9 @@
     /// the first ones changed their models to cover for missing runners, and back.
     pub(super) fn update_home(&mut self, standing: &Standing, now: Millis) {
         if standing.home == self.home {
-            self.move_at = now + HOME_CHANGE_DELAY;
+            self.home_change_at = now + HOME_CHANGE_DELAY;
         }
-        let due = self.home.is_none() || now >= self.move_at;
+        let due = self.home.is_none() || now >= self.home_change_at;
         if standing.home.is_some() && self.home != standing.home && due {
             let (home, before) = (&standing.home, &self.home);
             tracing::info!(?home, ?before, "home model changed");
@@ -117,7 +117,10 @@
     fn is_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.slower,
-            false => self.heartbeats.get(name).is_some_and(|beat| beat.slower),
+            false => self
+                .heartbeats
+                .get(name)
+                .is_some_and(|heartbeat| heartbeat.slower),
         }
     }
 
@@ -125,7 +128,10 @@
     fn is_steadily_slower(&self, name: &str) -> bool {
         match name == self.instance {
             true => self.kind.steady,
-            false => self.heartbeats.get(name).is_some_and(|beat| beat.steady),
+            false => self
+                .heartbeats
+                .get(name)
+                .is_some_and(|heartbeat| heartbeat.steady),
         }
     }
 
@@ -225,8 +231,8 @@
         if claim.second.as_deref() == Some(&self.instance) {
             return None;
         }
-        let beat = self.heartbeats.get(&claim.holder);
-        let theirs = beat.map_or(0.0, |beat| beat.pace);
+        let heartbeat = self.heartbeats.get(&claim.holder);
+        let theirs = heartbeat.map_or(0.0, |heartbeat| heartbeat.pace);
         let mine = self.pace;
         let pace = match mine > 0.0 && theirs > 0.0 {
             true => theirs / mine,
@@ -236,7 +242,7 @@
             joinable: claim.second.is_none(),
             pace,
             since: now.since(held.seen_at),
-            slower: beat.is_some_and(|beat| beat.slower),
+            slower: heartbeat.is_some_and(|heartbeat| heartbeat.slower),
         })
     }
 }
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -3,7 +3,7 @@
 use crate::{
     base::Millis,
     batch::{Claim, Head, Item, Log, Partial, Sample},
-    policy::{liveness::ClaimWrite, model_share::BatchDemand, step_order::StepMode}, //
+    policy::{liveness::ClaimWrite, model_share::BatchDemand, step_mode::StepMode}, //
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -235,14 +235,14 @@
         let head = &self.head;
         let log = &self.log;
         let results = &self.results;
-        let is_made =
+        let is_finished =
             |index: &u16| log.contains(*index) || results.iter().any(|(of, _)| of == index);
         self.own_bundles.retain(|bundle, state| {
             let waits = !matches!(state, BundleState::Running);
             let items = head.bundles.get(usize::from(*bundle));
             let items = items.map_or(&[][..], |bundle| &bundle.items);
             let runs = items.iter().any(|index| running.contains_key(index));
-            let open = items.iter().any(|index| !is_made(index));
+            let open = items.iter().any(|index| !is_finished(index));
             let kept = waits || runs || !open;
             if !kept {
                 released.push(*bundle);
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -51,7 +51,7 @@
         }
 
         let loading = self.heartbeats.count_loading(&self.instance, now);
-        let is_turn = is_load_turn(self.store.now(), standing.service_rank);
+        let is_turn = is_load_turn(self.store.now(), standing.service_place);
         let mut due = None;
         for weights in &report.weights {
             let is_home = standing.home.as_ref() == Some(&weights.model);
@@ -67,7 +67,7 @@
                 named_for: now.since(seen),
                 needed: needs.version,
                 needed_for: needs.waited,
-                place: standing.model_rank,
+                place: standing.model_place,
                 ready: self
                     .heartbeats
                     .count_ready(&weights.model, named, &self.instance, now),
@@ -187,7 +187,7 @@
             // While the store is unreachable, the claims and results of others are
             // unknown: only bundles that are assigned to this runner by rank count.
             let waits = match self.outage_start {
-                Some(_) => batch.waits_for(standing.model_rank),
+                Some(_) => batch.waits_for(standing.model_place),
                 None => batch.waiting_bundles().next().is_some(),
             };
             if !waits {
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -12,7 +12,7 @@
     platform::{
         EngineRequest, EventReader, Store, answering_server, initial_weight_version, not_executed,
     },
-    policy::{engine_life::Mismatch, pace::Pace, step_order::Rate},
+    policy::{engine_incarnation::Mismatch, pace::Pace, step_mode::Rate},
     routing::ServerIncarnation,
     view::Crashes, //
 };
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -63,7 +63,7 @@
         let (incarnation, current) = watch::channel(None);
         let (crashes, writes) = Crashes::open(store.clone());
         let scorer_client = ScorerClient {
-            caller: Dispatcher::new(site.clone(), crashes.clone(), &common.data_centre, None),
+            dispatcher: Dispatcher::new(site.clone(), crashes.clone(), &common.data_centre, None),
             site: site.clone(),
         };
         let setup = Setup {
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -16,7 +16,7 @@
 
 /// Sends texts to the scorers that their items name.
 pub(super) struct ScorerClient {
-    pub(super) caller: Arc<Dispatcher>,
+    pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) site: Arc<Site>,
 }
 
@@ -75,7 +75,7 @@
                 route,
                 workspace: None,
             };
-            match self.caller.run(&call).await {
+            match self.dispatcher.run(&call).await {
                 CallOutcome::Answered { answer, .. } if answer.status.is_success() => {
                     let signature = platform::signature(&answer.headers);
                     if let Some(score) = signature.and_then(|value| value.to_str().ok()) {
@@ -99,7 +99,7 @@
             if failures >= max_failures {
                 return ScoreEnd::GivenUp;
             }
-            let wait = match self.caller.crashes.quarantine_state(fingerprint) {
+            let wait = match self.dispatcher.crashes.quarantine_state(fingerprint) {
                 QuarantineState::Clear | QuarantineState::Watched => RETRY_DELAY,
                 QuarantineState::Suspect | QuarantineState::Trial | QuarantineState::Barred => {
                     SUSPECT_RETRY_DELAY
--- a/src/runner/line.rs
+++ b/src/runner/start_order.rs
@@ -6,46 +6,41 @@
 };
 use crate::policy::{
     claim_choice::Offer,
-    claim_line::{StepPlan, plan_start_order},
-    step_order::Supply, //
+    start_order::{StepPlan, plan_start_order},
+    step_mode::Supply, //
 };
 
 impl WorkLoop {
     /// Sets the start order of the offers that wait for this runner's home model;
-    /// `places` is the number of slots of the model's engines.
-    pub(super) fn set_start_order(&mut self, ids: &[String], offers: &mut [Offer], places: u32) {
+    /// `slots` is the number of slots of the model's engines.
+    pub(super) fn set_start_order(&mut self, ids: &[String], offers: &mut [Offer], slots: u32) {
         let supply = Supply {
-            slots: places,
+            slots,
             token_ms: self.engine.rate().token_ms(),
         };
         for step in plan_start_order(offers, supply, self.store.now()) {
-            self.note_mode(&ids[step.batch], step, supply);
+            self.record_mode(&ids[step.batch], step, supply);
         }
     }
 
     /// Logs and remembers that the start order of a step's bundles has changed.
-    fn note_mode(&mut self, id: &str, step: StepPlan, supply: Supply) {
-        let StepPlan {
-            mode: turn, work, ..
-        } = step;
-        let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.mode != turn) else {
+    fn record_mode(&mut self, id: &str, step: StepPlan, supply: Supply) {
+        let StepPlan { mode, work, .. } = step;
+        let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.mode != mode) else {
             return;
         };
-        let Supply {
-            slots: places,
-            token_ms: token,
-        } = supply;
+        let Supply { slots, token_ms } = supply;
         let before = batch.mode;
         tracing::info!(
             batch = id,
-            ?turn,
+            turn = ?mode,
             ?before,
             work,
-            places,
-            token,
+            places = slots,
+            token = token_ms,
             "start order of a step's bundles changed"
         );
-        batch.mode = turn;
+        batch.mode = mode;
     }
 }
 
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -51,9 +51,9 @@
 const SUSPECT_TURN_TIMEOUT: Millis = Millis(1_600);
 
 impl RunGuard<'_> {
-    /// Whether an item with this `verdict` may start under this lock.
-    fn permits(&self, verdict: QuarantineState) -> bool {
-        match verdict {
+    /// Whether an item with this `state` may start under this lock.
+    fn permits(&self, state: QuarantineState) -> bool {
+        match state {
             QuarantineState::Clear | QuarantineState::Watched => {
                 matches!(self, Self::Shared { .. })
             }
@@ -131,7 +131,7 @@
 }
 
 /// How long before its arrival a report may have been made.
-const REPORT_DELAY: Millis = Millis(100);
+const MAX_REPORT_DELAY: Millis = Millis(100);
 
 /// The most broken runs that are kept: a few times what an engine runs at once.
 const MAX_BROKEN_RUNS: usize = 64;
@@ -188,22 +188,22 @@
                 QuarantineState::Barred => None,
             };
             // A run that ended during the wait may have changed the verdict.
-            let verdict = self.crashes.quarantine_state(request);
+            let state = self.crashes.quarantine_state(request);
             match guard {
-                Some(guard) if guard.permits(verdict) => match self
-                    .claim_attempt(request, verdict)
+                Some(guard) if guard.permits(state) => match self
+                    .claim_attempt(request, state)
                     .await
                 {
                     AttemptClaim::Granted(attempt) => return Some(Admission { attempt, guard }),
                     AttemptClaim::Retry => continue,
                     AttemptClaim::Denied => {}
                 },
-                Some(_) if verdict != QuarantineState::Barred => continue,
+                Some(_) if state != QuarantineState::Barred => continue,
                 Some(_) | None => {}
             }
             if waiting.is_none() {
                 let item = &task.item.id;
-                tracing::warn!(item, %request, ?verdict, "item waits: engines have crashed under it");
+                tracing::warn!(item, %request, verdict = ?state, "item waits: engines have crashed under it");
                 waiting = Some(WaitingItem::begin(&self.waiting_items));
             }
             // The bundle stays claimed: released, it would be claimed again and again.
@@ -212,9 +212,9 @@
         }
     }
 
-    /// Claims the attempt at a request with this `verdict`; a clear one needs none.
-    async fn claim_attempt(&self, request: Fingerprint, verdict: QuarantineState) -> AttemptClaim {
-        let claimed = match verdict {
+    /// Claims the attempt at a request with this `state`; a clear one needs none.
+    async fn claim_attempt(&self, request: Fingerprint, state: QuarantineState) -> AttemptClaim {
+        let claimed = match state {
             QuarantineState::Clear => return AttemptClaim::Granted(None),
             QuarantineState::Watched | QuarantineState::Suspect => {
                 self.crashes.claim_attempt(request, ATTEMPT_TTL).await
@@ -227,7 +227,7 @@
         };
         match claimed {
             // Claiming has read the crashes that others have recorded meanwhile.
-            ClaimResult::Here(attempt) if self.crashes.quarantine_state(request) == verdict => {
+            ClaimResult::Here(attempt) if self.crashes.quarantine_state(request) == state => {
                 AttemptClaim::Granted(Some(attempt))
             }
             ClaimResult::Here(attempt) => {
@@ -310,15 +310,15 @@
     /// stays claimed until this is decided: another one could crash another engine.
     pub(super) fn resolve_broken_runs(&self, present: &ServerIncarnation, seen: Millis) {
         self.broken_runs().retain(|run| {
-            let lives = run.incarnation == *present && seen > run.at + REPORT_DELAY;
+            let alive = run.incarnation == *present && seen > run.at + MAX_REPORT_DELAY;
             let ended = is_later(present, &run.incarnation);
             if ended && self.is_draining(&run.incarnation) != Some(true) {
                 self.crashes.record_crash(&run.incarnation, &[run.request]);
             }
-            if lives || ended {
+            if alive || ended {
                 self.release_attempt(run.attempt);
             }
-            !lives && !ended
+            !alive && !ended
         });
     }
 
@@ -391,8 +391,8 @@
         if matches!(run, RunEnd::Whole | RunEnd::Failed | RunEnd::Unprocessable) {
             self.crashes.record_answer(request);
         }
-        let verdict = self.crashes.quarantine_state(request);
-        if !ended || matches!(verdict, QuarantineState::Clear | QuarantineState::Watched) {
+        let state = self.crashes.quarantine_state(request);
+        if !ended || matches!(state, QuarantineState::Clear | QuarantineState::Watched) {
             return AfterRun::Continue;
         }
         // Other runners may take its bundle over by now. The bundle has to be claimed
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -5,15 +5,15 @@
 use redwingpond::{
     base::Millis,
     policy::{
+        adaptive_timeout::AdaptiveTimeout,
         batch_age::{Action, BatchAge, decide},
         claim_choice::{Holder, Offer, Place, Runner, choose, is_assigned, usable_slots},
-        engine_life::{Mismatch, current, is_caught_up},
+        engine_incarnation::{Mismatch, current_incarnation, is_caught_up},
         liveness::{ClaimWrite, LastHeartbeat, is_working},
         model_share::{BatchDemand, Demand, Member, assign_models, demands},
         pace::{Pace, is_slower, is_straggler, usual_pace},
-        patience::AdaptiveTimeout,
         server_choice::{self, Candidate, hedge_delay},
-        step_order::{OpenStep, Rate, StepMode, Supply, is_ample, step_modes},
+        step_mode::{OpenStep, Rate, StepMode, Supply, is_ample, step_modes},
         version_plan::{self, LoadDecision, Situation, is_load_turn}, //
     },
 };
@@ -572,7 +572,7 @@
         },
     ] {
         let mismatch = test.mismatch.then_some(&mismatch);
-        let found = current(test.announced, mismatch, test.confirmed);
+        let found = current_incarnation(test.announced, mismatch, test.confirmed);
         assert_eq!(found, test.current_id, "{}", test.name);
     }
     assert!(!is_caught_up(None, &mismatch) && !is_caught_up(Some("a"), &mismatch));
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -11,8 +11,8 @@
     base::{Millis, stable_hash},
     policy::{
         claim_choice::{Holder, Offer, Place, Runner, choose},
-        claim_line::plan_start_order,
-        step_order::{StepMode, Supply}, //
+        start_order::plan_start_order,
+        step_mode::{StepMode, Supply}, //
     },
 };
 use std::collections::{
--- a/tests/integration/relay_tree.rs
+++ b/tests/integration/relay_tree.rs
@@ -3,7 +3,7 @@
 
 use redwingpond::{
     base::Millis,
-    policy::relay::{Children, MAX_CHILDREN, Parents, ROOTS, first_slot, is_stale}, //
+    policy::relay::{Children, MAX_CHILDREN, Parents, ROOT_COUNT, first_slot, is_stale}, //
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,7 +27,7 @@
     /// The parent of each instance that has one.
     parents: BTreeMap<SocketAddr, SocketAddr>,
     /// The root in each slot.
-    slots: [Option<SocketAddr>; ROOTS],
+    slots: [Option<SocketAddr>; ROOT_COUNT],
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -116,7 +116,7 @@
         let candidates = &self.candidates[&address];
         let is_free = |slot: &Option<SocketAddr>| slot.is_none_or(|of| candidates.is_gone(of, now));
         let first = first_slot(&address.to_string());
-        let free = (0..ROOTS).map(|turn| (first + turn) % ROOTS);
+        let free = (0..ROOT_COUNT).map(|turn| (first + turn) % ROOT_COUNT);
         let free = free.into_iter().find(|slot| is_free(&self.slots[*slot]));
         if let Some(slot) = free {
             self.slots[slot] = Some(address);
@@ -197,7 +197,7 @@
         }
         group.check(test.name);
         let roots: BTreeSet<SocketAddr> = group.slots.iter().flatten().copied().collect();
-        assert_eq!(roots.len(), ROOTS, "{}", test.name);
+        assert_eq!(roots.len(), ROOT_COUNT, "{}", test.name);
         let asked = roots.len() * test.centres * CALLS_PER_INSTANCE;
         assert!(
             asked <= MAX_STORE_READS,
