--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -42,7 +42,7 @@
 
 /// How long a crash counts. A quarantined request may run again once the caller's data
 /// or the server's program is fixed, which takes people a day.
-pub const RETENTION: Millis = Millis(24 * 3_600_000);
+pub const CRASH_RETENTION: Millis = Millis(24 * 3_600_000);
 
 /// The most requests with crashes that are remembered, enough for the loss of a whole
 /// data centre with some thousand requests in progress; about 3 MB.
@@ -127,14 +127,14 @@
         }
     }
 
-    /// Returns crashes that are older than [`RETENTION`] at `now`, at most `most` of
+    /// Returns crashes that are older than [`CRASH_RETENTION`] at `now`, at most `most` of
     /// them.
     pub fn expired(&self, now: Millis, most: usize) -> Vec<(Fingerprint, ServerIncarnation)> {
         let all = self.requests.iter().flat_map(|(request, crashes)| {
             let crashes = crashes.iter();
             crashes.map(move |(incarnation, at)| (*request, incarnation, *at))
         });
-        let old = all.filter(|(_, _, at)| now.since(*at) > RETENTION);
+        let old = all.filter(|(_, _, at)| now.since(*at) > CRASH_RETENTION);
         old.take(most)
             .map(|(request, incarnation, _)| (request, incarnation.clone()))
             .collect()
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -2,7 +2,7 @@
 
 use redwingpond::{
     base::{Fingerprint, FingerprintInput, Millis},
-    policy::quarantine::{Quarantine, QuarantineState, RETENTION},
+    policy::quarantine::{CRASH_RETENTION, Quarantine, QuarantineState},
     routing::ServerIncarnation, //
 };
 
@@ -124,7 +124,10 @@
         assert_eq!(quarantine.state(asked, now), state);
     }
     quarantine.note_crash(asked, incarnation(4), Millis(607_000));
-    assert_eq!(quarantine.state(asked, RETENTION), QuarantineState::Barred);
+    assert_eq!(
+        quarantine.state(asked, CRASH_RETENTION),
+        QuarantineState::Barred
+    );
 }
 
 /// An answer is remembered for at least five seconds and at most ten.
@@ -152,10 +155,10 @@
     let asked = request("a");
     quarantine.note_crash(asked, incarnation(1), Millis(0));
     quarantine.note_crash(asked, incarnation(2), Millis(5));
-    assert!(quarantine.expired(RETENTION, 10).is_empty());
-    let old = quarantine.expired(RETENTION + Millis(1), 10);
+    assert!(quarantine.expired(CRASH_RETENTION, 10).is_empty());
+    let old = quarantine.expired(CRASH_RETENTION + Millis(1), 10);
     assert_eq!(old, [(asked, incarnation(1))]);
-    let old = quarantine.expired(RETENTION + Millis(6), 1);
+    let old = quarantine.expired(CRASH_RETENTION + Millis(6), 1);
     assert_eq!(old.len(), 1);
 }
 
