--- a/src/policy/access.rs
+++ b/src/policy/access.rs
@@ -19,10 +19,12 @@
     Unknown,
 }
 
-/// Returns the workspace that a request belongs to; `None` if it is let in without one.
+/// Returns the workspace that a request belongs to; `None` if the request is accepted
+/// without a workspace.
 ///
-/// Every request is let in if `workspaces` is `None`: the configuration lists none. A
-/// route that is `open` needs no key, and ignores one that is unknown or malformed.
+/// Every request is accepted without a workspace if `workspaces` is `None`: the
+/// configuration lists none. A route that is `open` needs no key, and ignores one that
+/// is unknown or malformed.
 ///
 /// # Errors
 ///
--- a/src/policy/adaptive_timeout.rs
+++ b/src/policy/adaptive_timeout.rs
@@ -2,9 +2,9 @@
 //!
 //! Load pattern: the store answers thousands of calls in a few ms each. For seconds it
 //! may lose a third of its answers, or take sixty times as long for each. With a fixed
-//! timeout, every lost answer costs all of it: 1.5 s in which a runner's heartbeat is
-//! not renewed, a claimed bundle does not start, and finished texts are not listed.
-//! With a timeout that is too short, a slow store's answers are never received.
+//! timeout, every lost answer costs the whole timeout: 1.5 s in which a runner's
+//! heartbeat is not renewed, a claimed bundle does not start, and finished texts are not
+//! listed. With a timeout that is too short, a slow store's answers are never received.
 
 use super::latency::Latency;
 use crate::base::Millis;
@@ -25,7 +25,8 @@
 /// less don't count as lost.
 const MIN_TIMEOUT: Millis = Millis(300);
 
-/// The latency that is assumed without recent answers; [`MIN_TIMEOUT`] applies then.
+/// The latency in ms that is assumed without recent answers; [`MIN_TIMEOUT`] applies
+/// then.
 const UNKNOWN_LATENCY: f64 = 0.0;
 
 /// The longest timeout: rather than waiting longer, the call is made again.
--- a/src/policy/agent_queue.rs
+++ b/src/policy/agent_queue.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Item<K> {
     pub arrived: Millis,
-    /// The number of the attempt: which hand-over of the request this is.
+    /// The number of the attempt: it counts the hand-overs of the request to an agent.
     pub attempt: u8,
     pub deadline: Millis,
     pub key: K,
@@ -364,9 +364,9 @@
         }
     }
 
-    /// A revoke may overtake the start of its request, which takes another path, and
-    /// the caller is told that the request did not run. Without the tombstone the late
-    /// copy would run.
+    /// A revoke may overtake the start of its request, which takes another path, and the
+    /// caller gets the answer that the request did not run. Without the tombstone the
+    /// late copy would run.
     #[test]
     fn a_revoked_request_never_runs() {
         let mut queue = AgentQueue::new(Policy::Current, 4, 4);
--- a/src/policy/claim_choice.rs
+++ b/src/policy/claim_choice.rs
@@ -26,7 +26,7 @@
     pub bundle: u16,
     /// Whether the bundle is known to be claimed by this runner.
     pub claimed: bool,
-    /// Who runs the bundle at present.
+    /// Which other runner holds the bundle.
     pub holder: Holder,
     /// Whether its model is the runner's home model, the one that the runner serves
     /// first.
@@ -54,7 +54,7 @@
     }
 }
 
-/// Who runs a bundle at present.
+/// Which other runner holds a bundle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Holder {
     /// Another runner.
@@ -68,7 +68,8 @@
         /// Whether its engine counts as slower than usual.
         slower: bool,
     },
-    /// No runner, or one that no longer works.
+    /// No runner, one that no longer works, or the choosing runner itself, which has a
+    /// claim on the bundle but does not run it.
     Nobody,
 }
 
@@ -141,19 +142,21 @@
     }
 }
 
-/// Whether the runner at `place` runs a bundle that no other runner holds, while the
-/// store accepts no claims: it has claimed the bundle, or the bundle is assigned to it
-/// by its place.
+/// Whether, while the store is unreachable, the runner at `place` runs the offered
+/// bundle without a new claim. It does if its engine's weights are new enough, no other
+/// runner holds the bundle, and it has claimed the bundle already or the bundle is of
+/// its home model and assigned to its place.
 ///
 /// A claim by the runner itself counts because the answer to a claim may be lost as the
-/// store becomes unreachable. A runner took such a claim for not written while all
-/// others had seen it, and nobody ran the bundle in an outage of 7 s.
+/// store becomes unreachable. A runner once treated such a claim as not written, while
+/// all others had seen it, and nobody ran the bundle in an outage of 7 s.
 pub fn is_assigned(offer: &Offer, place: Place) -> bool {
     let mine = offer.claimed || (place.owns(offer.order) && offer.home);
     mine && offer.loaded && offer.holder == Holder::Nobody
 }
 
-/// Returns the best offer for `runner`, if any is worth taking.
+/// Returns the offer that `runner` should take next: the most preferred of those for
+/// which its engine's weights are new enough, if any is worth taking.
 pub fn choose(offers: &[Offer], runner: Runner) -> Option<&Offer> {
     let fits =
         |offer: &&Offer| offer.loaded && runner.room > 0 && preference(offer, runner).is_some();
--- a/src/policy/engine_incarnation.rs
+++ b/src/policy/engine_incarnation.rs
@@ -24,8 +24,8 @@
 /// mismatch.
 ///
 /// The address may have been reassigned to a server of another service, so a mismatch
-/// counts only once it is `confirmed`: a later report from there shows models of this
-/// runner's service, which servers of other services don't hold.
+/// counts only once it is `confirmed`: a later report from that address shows only
+/// models of this runner's service, which servers of other services don't hold.
 pub fn current_incarnation<'a>(
     announced: Option<&'a str>,
     mismatch: Option<&'a Mismatch>,
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// Waiting items by team. [`FairQueue::pop`] takes from the team with the fewest
-/// running requests, and from equal teams in turn.
+/// Waiting items by team. [`FairQueue::pop`] takes an item of the team with the fewest
+/// running requests; teams with equally many take turns.
 ///
 /// # Invariants
 ///
--- a/src/policy/key_claims.rs
+++ b/src/policy/key_claims.rs
@@ -126,9 +126,8 @@
         }
     }
 
-    /// Queues the writes of `batch` again, which was refused because of the row at
-    /// `path`, except the write to that row. Returns the claim of that row, if the row
-    /// was to be claimed.
+    /// Records that `batch` was refused because of the row at `path`. Queues its other
+    /// writes again, and returns its claim of that row, if it has one.
     pub fn conflicted(&mut self, batch: Batch, path: &str) -> Option<PendingClaim> {
         let mut lost = None;
         for wanted in batch.claims.into_iter().rev() {
--- a/src/policy/liveness.rs
+++ b/src/policy/liveness.rs
@@ -2,7 +2,8 @@
 //!
 //! Load pattern: after a start, a restart or an outage all runners claim bundles at the
 //! same moment, often before they write the heartbeat that says that they work. The
-//! runner's latest write decides: a claim is as good a sign of life as a heartbeat.
+//! runner's latest write decides: a claim shows that it is alive just as a heartbeat
+//! does.
 
 use crate::base::Millis;
 
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -9,7 +9,7 @@
 
 use crate::base::Millis;
 
-/// The pace of one engine, by the recent gaps between events.
+/// The pace of one engine, averaged over the recent gaps between events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     /// The number of gaps in the current window.
@@ -100,7 +100,7 @@
 pub struct EngineKind {
     /// Whether it counts as slower than usual at present.
     pub slower: bool,
-    /// The value of `slower` that last held for a while.
+    /// The last value of `slower` that stayed unchanged for `STEADY_DELAY`.
     pub steady: bool,
     /// When `slower` last changed.
     since: Millis,
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -37,7 +37,8 @@
 /// How long after the last crash a quarantined request is tried again, by the number of
 /// earlier trials. It may merely have run beside the request that crashes servers: that
 /// one is in quarantine by the first trial, and the servers have restarted. A request
-/// that does crash servers costs one more at each trial.
+/// that does crash servers costs one more at each trial, and is not tried again after
+/// the last of them.
 const TRIAL_DELAYS: [Millis; 2] = [Millis(5_000), Millis(600_000)];
 
 /// How long a crash counts. A quarantined request may run again once the caller's data
@@ -151,9 +152,10 @@
     since: Millis,
 }
 
-/// The minimum time for which an answer is remembered, and crashes after it don't
-/// count: longer than a burst of crashes, which takes a call and its retries, and
-/// shorter than callers put up with a request that no server answers any more.
+/// The minimum time for which an answer is remembered. Crashes that follow the answer
+/// within this time don't count. It is longer than a burst of crashes, which lasts for a
+/// call and its retries, and shorter than callers tolerate a request that no server
+/// answers any more.
 const ANSWER_RETENTION: Millis = Millis(5_000);
 
 /// The most answers in one generation; about 64 KB. A busier instance remembers answers
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -24,7 +24,7 @@
 /// request takes about 0.1 ms: 4% of a core.
 pub const MAX_CHILDREN: usize = 16;
 
-/// An answer may be older than the hold time of a request by this: enough for a request
+/// How much older than the hold time of a request an answer may be: enough for a request
 /// that was lost and the next one.
 const STALE_SLACK: Millis = Millis(700);
 
@@ -39,8 +39,8 @@
 /// back within this time.
 const GONE_TIMEOUT: Millis = Millis(600);
 
-/// Whether an answer of a parent is too old to be used, for a table whose requests are
-/// held for `hold`.
+/// Whether a parent's answer of this `age` is too old to be used, for a table whose
+/// requests the store holds for up to `hold` while there are no changes.
 pub fn is_stale(age: Millis, hold: Millis) -> bool {
     age > hold + STALE_SLACK
 }
@@ -96,7 +96,8 @@
 }
 
 impl Parents {
-    /// Records that the parent is left: it did not answer, or its answer was too old.
+    /// Records that this instance leaves the parent at `address`, because it did not
+    /// answer or its answer was too old.
     pub fn leave(&mut self, address: SocketAddr, now: Millis) {
         self.left.insert(address, now);
     }
--- a/src/policy/seen_keys.rs
+++ b/src/policy/seen_keys.rs
@@ -15,7 +15,7 @@
 pub enum KeyClaim {
     /// The key is new to this agent, and is now claimed.
     Fresh,
-    /// There is no room for another key: all those kept are within the window.
+    /// There is no room for another key: none of the kept ones is older than the window.
     Full,
     /// The key was claimed before, by this request.
     Taken(RequestId),
--- a/src/policy/server_choice.rs
+++ b/src/policy/server_choice.rs
@@ -1,8 +1,8 @@
 //! Chooses the server of a service that gets a call.
 //!
-//! Load pattern: a few callers in each data centre send short calls to few servers,
-//! some of which are slow, silent or full at any time. Each caller sees its own calls
-//! at once, and the load that servers report with a delay.
+//! Load pattern: a few dispatchers in each data centre send short calls to few servers,
+//! some of which are slow, silent or full at any time. Each dispatcher sees its own
+//! calls at once, and the load that servers report with a delay.
 
 use crate::base::Millis;
 
@@ -11,11 +11,11 @@
 pub struct Candidate {
     /// Whether an idle connection to it is open.
     pub connected: bool,
-    /// The number of this caller's calls in flight there.
+    /// The number of this dispatcher's calls in flight there.
     pub in_flight: u32,
-    /// Its latency in ms, as this caller has measured it.
+    /// Its latency in ms, as this dispatcher has measured it.
     pub latency: f64,
-    /// Whether it is in the caller's data centre.
+    /// Whether it is in the dispatcher's data centre.
     pub local: bool,
     /// The number of its running and waiting calls by its own report, if that is
     /// recent.
@@ -33,7 +33,7 @@
 const REMOTE_COST: f64 = 2.8;
 
 /// The cost of a new connection, in ms. It takes about 4 ms, and may hold one of the
-/// server's slots for a moment. The rest keeps each caller on a few of many servers:
+/// server's slots for a moment. The rest keeps each dispatcher on a few of many servers:
 /// estimates of equal servers differ by more than 4 ms by chance, and each difference
 /// would open a connection. A server that is slower by more than this cost is left.
 const CONNECT_COST: f64 = 30.0;
@@ -47,7 +47,7 @@
 /// Returns the index of the candidate that should answer first. One that this call was
 /// sent to before is chosen only if there is no other; of the rest, an untrusted one is
 /// chosen only if all are untrusted. `spread` breaks ties between equal candidates, so
-/// that callers that see the same don't all choose the same.
+/// that dispatchers with the same view don't all choose the same server.
 pub fn choose(candidates: &[Candidate], spread: u64) -> Option<usize> {
     let count = candidates.len() as u64;
     let rank = |index: usize| {
--- a/src/policy/start_order.rs
+++ b/src/policy/start_order.rs
@@ -1,5 +1,4 @@
-//! Determines the order in which a model's waiting bundles start, by the modes of their
-//! steps.
+//! Orders the waiting bundles of a runner's home model by the modes of their steps.
 
 use super::{
     claim_choice::{Holder, Offer},
@@ -18,9 +17,9 @@
     pub work: u64,
 }
 
-/// Sets the modes of the steps with `offers` that wait for the runner's home model, and
-/// the positions of these offers. Clears `surplus` while there are engines enough for
-/// all. Returns the plan of each step.
+/// Sets the modes and the positions of the `offers` that wait for a runner and are of
+/// the runner's home model. Clears their `surplus` while there are enough engines for
+/// all waiting work. Returns the plan of each step.
 pub fn plan_start_order(offers: &mut [Offer], supply: Supply, now: Millis) -> Vec<StepPlan> {
     let waiting_steps = waiting_steps(offers);
     let steps: Vec<OpenStep> = waiting_steps.values().copied().collect();
--- a/src/policy/step.rs
+++ b/src/policy/step.rs
@@ -85,7 +85,7 @@
 const RETRY_DELAY: Millis = Millis(100);
 
 impl Step {
-    /// A step of which no sample exists yet.
+    /// A new step, without any sample.
     pub fn new(spec: StepSpec, now: Millis) -> Self {
         let mut firsts = vec![0];
         let mut total = 0;
--- a/src/policy/step_mode.rs
+++ b/src/policy/step_mode.rs
@@ -1,5 +1,5 @@
-//! Determines the order in which the bundles of a model's open steps start when there
-//! is more work than engine capacity.
+//! Determines how the bundles of each open step of a model are started: the longest
+//! texts first, or group by group when there is more work than engine capacity.
 //!
 //! Load pattern: for minutes, two thirds of a model's engines are gone, or trainers ask
 //! for twice the work. A trainer keeps two steps in progress and asks for the next when
@@ -9,8 +9,8 @@
 //!
 //! A trainer waits for a share of a step's groups only, and can use each group that is
 //! complete in time. So when engines are scarce, the groups that it waits for go first,
-//! a step that can't be complete in time is run group by group, and what can't
-//! be in time any more gives way to what can. Groups go in the order of their
+//! a step that can't be complete in time is run group by group, and groups that can't be
+//! in time any more give way to those that can. Groups go in the order of their
 //! submission, in which those left over from an earlier step come first: no text waits
 //! or is given up because of its length.
 
@@ -43,7 +43,8 @@
 pub enum StepMode {
     /// The step can't be complete in time: one group after another.
     ByGroup,
-    /// What starts now is late: one group after another, after all that may be in time.
+    /// A group that starts now is late: one group after another, after all groups that
+    /// may be in time.
     Late,
     /// The step can be complete in time: the longest texts first.
     Whole,
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -41,7 +41,7 @@
     pub counts: Counts,
 }
 
-/// What a gateway has counted, and which windows of that are in the store.
+/// What a gateway has counted in each window, and whether the store has it.
 #[derive(Debug)]
 pub struct Tally {
     /// The oldest open window; all earlier ones are closed.
@@ -99,8 +99,7 @@
         }
     }
 
-    /// Returns the oldest window of which the store does not have the latest part, and
-    /// that part.
+    /// Returns the oldest window whose latest part is not in the store, and that part.
     pub fn unwritten(&self) -> Option<(u64, &Part)> {
         let mut parts = self.parts.iter();
         let (window, counted) = parts.find(|(_, counted)| !counted.written)?;
@@ -125,7 +124,7 @@
 const MAX_SUM_DELAY: Millis = Millis(6_500);
 
 /// Whether a window that ended at `end` may be summed up at `now`, while `missing` of
-/// the gateways that were heard of recently have not closed it.
+/// the recently active gateways have not closed it.
 pub fn may_sum(end: Millis, missing: usize, now: Millis) -> bool {
     let over = now.since(end);
     (missing == 0 && over >= CLOSE_DELAY) || over >= MAX_SUM_DELAY
--- a/src/policy/version_plan.rs
+++ b/src/policy/version_plan.rs
@@ -14,13 +14,13 @@
 pub struct Situation {
     /// How long the store has been unreachable; `None` while it answers.
     pub outage: Option<Millis>,
-    /// The number of other engines that are loading weights.
+    /// The number of other engines, of any service, that are loading weights.
     pub loading: usize,
-    /// The number of models that the service's engines hold.
+    /// The number of models that the engine holds.
     pub models: usize,
     /// The lowest version that may run all of the waiting work.
     pub needed: u64,
-    /// How long that work has waited for a runner.
+    /// How long ago this runner first saw the batch that needs this version.
     pub needed_for: Millis,
     /// The version that the engine has.
     pub held: u64,
@@ -28,20 +28,22 @@
     pub home: bool,
     /// The version that the trainer named last.
     pub named: u64,
-    /// How long ago it was named.
+    /// How long ago this runner learnt of it.
     pub named_for: Millis,
     /// Whether bundles of the model wait for a runner.
     pub waiting: bool,
-    /// This runner's place among those with this home model.
+    /// This runner's place among those with the same home model as it, which may be
+    /// another model than this one.
     pub place: Place,
-    /// The number of other engines of the model that hold the version named last.
+    /// The number of other runners with this home model whose engines hold the version
+    /// named last or a newer one.
     pub ready: usize,
-    /// The number of runners of the service.
+    /// The number of working runners of the service.
     pub runners: usize,
     /// Whether it is this runner's turn to begin a load that no work waits for.
     pub is_turn: bool,
-    /// Whether the next step will soon be asked for: the trainer keeps two in progress,
-    /// and only the newest of them is unfinished.
+    /// Whether the next step will soon be submitted: the trainer keeps two in progress,
+    /// and all but the newest are over.
     pub next_near: bool,
 }
 
@@ -64,13 +66,13 @@
 /// The duration of one load.
 const LOAD_TIME: Millis = Millis(900);
 
-/// The number of engines that may load at once when half of a model's engines are ready
-/// for its next step. No work waits for most loads, and these delayed the loads that a
-/// step needed.
+/// Once half of a model's engines are ready for its next step, an engine begins a load
+/// that no work waits for only while fewer than this many others are loading. Such loads
+/// are the most frequent, and delayed the loads that a step needed.
 const MAX_SPARE_LOADING: usize = 1;
 
-/// How long an engine waits after a version was named: the step that was asked for with
-/// it may be on its way.
+/// How long an engine waits after a version was named: the step that needs it may be
+/// submitted within this time.
 const QUIET_PERIOD: Millis = Millis(500);
 
 /// The interval of the waves in which runners begin loads. Each sees from the
@@ -81,13 +83,13 @@
 /// load with some slack, as no heartbeat shows who is loading.
 const OUTAGE_WAVE_INTERVAL: Millis = Millis(1_000);
 
-/// Work that a model's own runners leave waiting this long is taken by runners of other
-/// models, which load its weights for it, one after another. Earlier, their loads would
-/// slow down those of the model's own runners. When all began at once, a single bundle
-/// that waited for a slot made 21 of 44 engines load at the same moment.
+/// Work that a model's own runners leave waiting this long is rescued: runners with
+/// other home models load the model's weights for it, one after another. Loads begun
+/// earlier would slow down those of the model's own runners. When all began at once, a
+/// single bundle that waited for a slot made 21 of 44 engines load at the same moment.
 const RESCUE_DELAY: Millis = Millis(3_000);
 
-/// The interval at which these runners follow one another.
+/// The interval between the loads of these runners.
 const RESCUE_INTERVAL: Millis = Millis(400);
 
 /// The length of a turn to begin a load that no work waits for: all see a heartbeat
@@ -98,14 +100,16 @@
 const TURN_LENGTH: Millis = Millis(150);
 
 /// Whether it is the turn of the runner at `place` among all runners, by the store's
-/// clock. Half of those that may load at once share a turn.
+/// clock. Runners take turns in groups, each half as large as the number of engines that
+/// may load at once.
 pub fn is_load_turn(store_now: Millis, place: Place) -> bool {
     let group = (loading_limit(place.count) / 2).max(1);
     let turns = place.count.div_ceil(group).max(1) as u64;
     (store_now.0 / TURN_LENGTH.0) % turns == (place.rank / group) as u64
 }
 
-/// The number of engines that may load at once, of a service with as many `runners`.
+/// The number of engines that may load at once in a service with this number of
+/// `runners`.
 pub fn loading_limit(runners: usize) -> usize {
     ((runners as f64 * MAX_LOADING_SHARE) as usize).max(MIN_LOADING_LIMIT)
 }
@@ -151,10 +155,10 @@
 }
 
 /// Whether an engine loads weights while the store is unreachable, so that it is ready
-/// for the next step when the store is back. Otherwise all engines had to load then,
-/// and the trainers' first two steps after an outage of 7 s began 1.5 to 2.2 s late. A
-/// version that was named during the outage does not count: it shows that the store is
-/// back, and all engines would load it at the same moment.
+/// for the next step when the store is back. Without these loads, all engines had to
+/// load then, and the trainers' first two steps after an outage of 7 s began 1.5 to 2.2
+/// s late. A version that was named during the outage does not count: it shows that the
+/// store is back, and all engines would load it at the same moment.
 fn is_due_in_outage(situation: &Situation, outage: Millis, waves_before: u64) -> bool {
     let idle = situation.home && !situation.waiting;
     let old = situation.named_for >= outage;
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -19,7 +19,8 @@
         self.incarnation.borrow().is_some()
     }
 
-    /// Determines which incarnation of the engine gets requests, and publishes a change.
+    /// Determines which incarnation of the engine gets requests, and publishes it to the
+    /// item runs if it has changed. Also resolves the broken runs that its report decides.
     pub(super) fn update_engine(&mut self, now: Millis) {
         let announced = self.site.server_at(self.engine_address, &self.service);
         if let Some(server) = &announced {
@@ -39,8 +40,8 @@
             .map_or(Millis(0), |server| server.incarnation.started_at);
         let fresh = self.report.as_ref().is_some_and(|(report, at)| {
             // A report from before the announced start belongs to the previous
-            // incarnation. Combined with the new id it named an incarnation that never
-            // existed, and whose apparent crash counted against items just started.
+            // incarnation. Combined with the new id, it named an incarnation that never
+            // existed and whose apparent crash counted against items just started.
             let is_before = report.born.0 > 0 && report.born < started;
             now.since(*at) < MAX_REPORT_AGE && !is_before
         });
@@ -116,7 +117,7 @@
         let usual = self.heartbeats.usual_pace(&self.service);
         if self.kind.note(self.pace, usual, now) {
             let (pace, slower) = (self.pace, self.kind.slower);
-            tracing::info!(slower, pace, usual, "engine's speed class changed");
+            tracing::info!(slower, pace, usual, "engine kind changed");
         }
         usual
     }
--- a/src/runner/event.rs
+++ b/src/runner/event.rs
@@ -52,13 +52,13 @@
         bundle: BundleId,
         partials: HashMap<u16, Partial>,
     },
-    /// The engine's answer to an order; `None` when there was none.
+    /// The engine's answer to an order; `None` if it did not answer.
     OrderAnswered {
         answer: Option<OrderAnswer>,
         model: String,
         version: u64,
     },
-    /// The engine's report; `None` when there was none.
+    /// The engine's report; `None` if it sent no usable one.
     Report(Option<EngineReport>),
     /// A change of the work table, or of the connection to the store.
     Feed(FollowEvent),
--- a/src/runner/give_back.rs
+++ b/src/runner/give_back.rs
@@ -10,10 +10,11 @@
 };
 
 impl WorkLoop {
-    /// Writes a free claim for `bundle`, unless a second runner runs it as well.
+    /// Releases this runner's claim on `bundle`, unless a second runner runs the bundle as
+    /// well.
     ///
     /// An engine may be back before any heartbeat has said that it was gone. Without the
-    /// release, other runners took the bundle for held, while this runner had no free
+    /// release, other runners considered the bundle held, while this runner had no free
     /// slot for it.
     pub(super) fn give_back(&self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get(id) else {
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -14,9 +14,9 @@
 /// The time between heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
-/// How long the news that an engine is gone or a bundle released may wait until the
-/// engine's crashes are in the store: enough for a few write attempts, and too short for
-/// others to take this runner for gone.
+/// The longest time for which the report of a gone engine, or the release of a bundle,
+/// waits until the engine's crashes are in the store: enough for a few write attempts, and
+/// too short for others to consider this runner dead.
 pub(super) const CRASH_SHARE_TIMEOUT: Millis = Millis(600);
 
 /// The wait before another attempt to write the first heartbeat.
@@ -78,9 +78,9 @@
 }
 
 impl WorkLoop {
-    /// Whether the heartbeat that reports the engine gone waits until its crash is
-    /// recorded for the items that ran there. Otherwise the runners that take these
-    /// items over would run them next to others, as if nothing had happened.
+    /// Whether the heartbeat that reports the engine gone still waits until the crash is
+    /// in the store, recorded for the items that ran there. Otherwise the runners that
+    /// take these items over would run them next to others, like items without a crash.
     fn is_withheld(&self, now: Millis) -> bool {
         let ends = self.heartbeat.last.working && !self.is_working();
         let late = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL + CRASH_SHARE_TIMEOUT;
--- a/src/runner/heartbeats.rs
+++ b/src/runner/heartbeats.rs
@@ -1,4 +1,5 @@
-//! The last heartbeat of each runner, and what follows from it.
+//! The last heartbeat of each runner, and what it shows: which runners work, how fast
+//! their engines are and which weights they hold or load.
 
 use crate::{
     base::Millis,
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -18,13 +18,14 @@
     sync::Arc, //
 };
 
-/// The time that an item has here, retries and scoring included. The engine gets the
-/// deadline with each request and may stop a run there; no attempt starts after it.
+/// The time that an item has at this runner, retries and scoring included. The engine gets
+/// the resulting deadline with each request and may stop a run then; no attempt starts
+/// after it.
 const MAX_RUN_TIME: Millis = Millis(30_000);
 
 impl WorkLoop {
-    /// Reads the items of the bundles that are assigned to this runner by rank, so that
-    /// it can run them even while the store is unreachable.
+    /// Reads the items of the bundles that are assigned to this runner by its place, so
+    /// that it can run them even while the store is unreachable.
     pub(super) fn prefetch(&mut self, id: &str) {
         let standing = self.standing(self.clock.now());
         let place = standing.model_place;
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -1,4 +1,4 @@
-//! The bundles that this runner could claim, and its rank among the runners.
+//! The bundles that this runner could claim, and its place among the runners.
 
 use super::{
     open_batch::OpenBatch,
@@ -15,26 +15,28 @@
 };
 use std::sync::Arc;
 
-/// This runner's home model and its rank among the runners of its service.
+/// This runner's home model and its place among the runners of its service.
 pub(super) struct Standing {
-    /// Its rank among the working runners of the service, itself included.
+    /// Its place among the working runners of the service, itself included.
     pub(super) service_place: Place,
     /// The home model that it should have; `None` while no models are known.
     pub(super) home: Option<String>,
-    /// Its rank among those with the same home model.
+    /// Its place among those with the same home model.
     pub(super) model_place: Place,
     /// The number of runners of the service that claim bundles.
     pub(super) working: usize,
-    /// Its rank among those of the same home model and engine kind (usual or slower).
+    /// Its place among those with the same home model and the same engine kind (usual or
+    /// slower).
     pub(super) kind_place: Place,
     /// Whether its engine leaves new bundles to faster ones of the same home model.
     pub(super) yields: bool,
 }
 
-/// How long another home model must be due before this runner changes to it.
+/// How long the computed home model must differ from the current one before this runner
+/// changes its home model.
 const HOME_CHANGE_DELAY: Millis = Millis(1_500);
 
-/// The rank of the runner with `rank` when only the runners with `ranks` are counted.
+/// The place of the runner with `rank` among the runners with `ranks`.
 fn place_among(ranks: &[usize], rank: usize) -> Place {
     let before = ranks.iter().filter(|other| **other < rank);
     Place {
@@ -44,7 +46,7 @@
 }
 
 impl WorkLoop {
-    /// This runner's ranks and the home model that it should have. Each runner computes
+    /// This runner's places and the home model that it should have. Each runner computes
     /// the assignment of all runners from the same heartbeats and batches.
     pub(super) fn standing(&self, now: Millis) -> Standing {
         let mut runners = self.heartbeats.working_runners(&self.service, now);
@@ -90,9 +92,10 @@
         }
     }
 
-    /// Changes the home model once another one has been due for a while. Runners that
-    /// restart together appear within about a second of each other: without the delay
-    /// the first ones changed their models to cover for missing runners, and back.
+    /// Changes the home model once the computed one has differed from it for
+    /// [`HOME_CHANGE_DELAY`]. Runners that restart together appear within about a second
+    /// of each other: without the delay the first ones changed their models to cover for
+    /// missing runners, and back.
     pub(super) fn update_home(&mut self, standing: &Standing, now: Millis) {
         if standing.home == self.home {
             self.home_change_at = now + HOME_CHANGE_DELAY;
@@ -214,7 +217,7 @@
         offers
     }
 
-    /// Who runs `bundle`; `None` if this runner is its second runner.
+    /// Which other runner holds `bundle`; `None` if this runner is its second runner.
     pub(super) fn holder(&self, batch: &OpenBatch, bundle: u16, now: Millis) -> Option<Holder> {
         let Some(held) = batch.claims.get(&bundle) else {
             return Some(Holder::Nobody);
--- a/src/runner/open_batch.rs
+++ b/src/runner/open_batch.rs
@@ -39,7 +39,7 @@
 pub(super) struct OpenBatch {
     /// Whether an append of results is in flight.
     pub(super) appending: bool,
-    /// What it adds to its model's demand.
+    /// What the batch adds to its model's demand.
     pub(super) demand: BatchDemand,
     /// The items that were read, by chunk number.
     pub(super) chunks: HashMap<u16, Arc<Vec<Item>>>,
@@ -65,7 +65,7 @@
     pub(super) running: HashMap<u16, AbortHandle>,
     /// When this runner first saw the batch.
     pub(super) seen_at: Millis,
-    /// How its waiting bundles start, as last computed.
+    /// How the batch's waiting bundles start, as last computed.
     pub(super) mode: StepMode,
 }
 
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -185,7 +185,7 @@
         let mut needs = Needs::default();
         for batch in self.batches.values().filter(open) {
             // While the store is unreachable, the claims and results of others are
-            // unknown: only bundles that are assigned to this runner by rank count.
+            // unknown: only bundles that are assigned to this runner by its place count.
             let waits = match self.outage_start {
                 Some(_) => batch.waits_for(standing.model_place),
                 None => batch.waiting_bundles().next().is_some(),
@@ -227,8 +227,8 @@
         held.is_some_and(|held| !held.claim.is_released())
     }
 
-    /// Whether an unclaimed bundle is assigned by rank to this runner, whose rank is
-    /// `place`, and not among its bundles yet.
+    /// Whether an unclaimed bundle is assigned to `place`, which is this runner's, and not
+    /// among its bundles yet.
     fn waits_for(&self, place: Place) -> bool {
         let mine = |bundle: &u16| {
             place.owns(self.order_of(*bundle)) && !self.own_bundles.contains_key(bundle)
--- a/src/runner/results.rs
+++ b/src/runner/results.rs
@@ -38,14 +38,16 @@
                 tracing::info!(batch = batch_id, index, "run dropped without a result");
             }
         }
-        // Also after a complete run. Otherwise the bundle's items that were dropped before
-        // it ended stayed claimed here and ran nowhere until they were given up.
+        // Checked after a complete run as well: otherwise, items of the bundle that were
+        // dropped before it ended stayed claimed here, and ran nowhere until they were
+        // given up.
         for bundle in batch.release_idle() {
             self.give_back(batch_id, bundle);
         }
     }
 
-    /// Appends the waiting results of each batch to its log, one transaction at a time.
+    /// Appends the waiting results of each batch to its log, with at most one transaction
+    /// per batch in flight.
     pub(super) fn append_results(&mut self) {
         for (id, batch) in &mut self.batches {
             if batch.appending || batch.results.is_empty() || batch.log_revision == 0 {
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -57,19 +57,19 @@
     pub(super) last_crashed: watch::Sender<Option<ServerIncarnation>>,
     /// The last refusal by another incarnation than the one that was addressed.
     pub(super) mismatch: watch::Sender<Option<Mismatch>>,
-    /// Its pace, measured by all runs.
+    /// The engine's pace, measured by all runs.
     pub(super) pace: Arc<Mutex<Pace>>,
     pub(super) peer: Peer,
     /// Held shared by each run, and exclusively by a suspect while it starts.
     pub(super) run_lock: Arc<RwLock<()>>,
-    /// The time that its slots take per expected token.
+    /// The time that the engine's slots take per expected token.
     pub(super) rate: Arc<Mutex<Rate>>,
     /// The engine's current incarnation; `None` while it accepts no work.
     pub(super) incarnation: watch::Receiver<Option<ServerIncarnation>>,
     pub(super) scorer_client: Arc<ScorerClient>,
     pub(super) store: Store,
-    /// The number of items that wait for admission: in quarantine, or while another runner
-    /// has their attempt.
+    /// The number of items that wait for admission, because they are in quarantine or
+    /// another runner has claimed the attempt at them.
     pub(super) waiting_items: Arc<AtomicUsize>,
 }
 
@@ -164,8 +164,8 @@
 /// engine that is four times as slow, full and preempting are longer.
 const STREAM_IDLE_TIMEOUT: Millis = Millis(2_500);
 
-/// The first and the longest wait before the next attempt at an engine that was full,
-/// loading or gone; a load of weights takes about 900 ms.
+/// The first and the longest wait before the next attempt at the engine, which may have
+/// been full, loading or gone; a load of weights takes about 900 ms.
 const RETRY_DELAY: Millis = Millis(60);
 const MAX_RETRY_DELAY: Millis = Millis(240);
 
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -24,7 +24,7 @@
     watch, //
 };
 
-/// A running `redwing-runner`; dropping it ends it.
+/// A running `redwing-runner`; dropping this stops it.
 pub struct Runner {
     pub handle: ProgramHandle,
     /// The address of its metrics and health endpoints.
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -14,7 +14,7 @@
 };
 use std::sync::Arc;
 
-/// Sends texts to the scorers that their items name.
+/// Sends each text to the scorer that its item names.
 pub(super) struct ScorerClient {
     pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) site: Arc<Site>,
@@ -38,8 +38,8 @@
 
 /// The same wait once two servers have crashed under the call, perhaps because of another
 /// request. That request crashes a third server within a second or is in quarantine by
-/// then; a call repeated at once would be on that server as well and would share the
-/// blame.
+/// then; a call repeated at once would be on that server as well, and the crash would
+/// count against it too.
 const SUSPECT_RETRY_DELAY: Millis = Millis(1_000);
 
 impl ScorerClient {
--- a/src/runner/start_order.rs
+++ b/src/runner/start_order.rs
@@ -11,8 +11,8 @@
 };
 
 impl WorkLoop {
-    /// Sets the start order of the offers that wait for this runner's home model;
-    /// `slots` is the number of slots of the model's engines.
+    /// Sets the start order of the offers that are of this runner's home model and wait
+    /// for a runner; `slots` is the number of slots of the model's engines.
     pub(super) fn set_start_order(&mut self, ids: &[String], offers: &mut [Offer], slots: u32) {
         let supply = Supply {
             slots,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Logs and remembers that the start order of a step's bundles has changed.
+    /// Logs and stores a step's mode if it has changed.
     fn record_mode(&mut self, id: &str, step: StepPlan, supply: Supply) {
         let StepPlan { mode, work, .. } = step;
         let Some(batch) = self.batches.get_mut(id).filter(|batch| batch.mode != mode) else {
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -82,7 +82,7 @@
 }
 
 /// How long an attempt stays claimed at most: longer than an item takes to crash its
-/// engine, and shorter than the item may wait after its runner was killed.
+/// engine, and short enough for the item to wait this long after its runner was killed.
 const ATTEMPT_TTL: Millis = Millis(3_000);
 
 /// The permission to start an item's run.
@@ -93,14 +93,14 @@
     pub(super) guard: RunGuard<'a>,
 }
 
-/// The outcome of claiming the one attempt that all runners may make at a time.
+/// The outcome of claiming an item's attempt, which only one runner may hold at a time.
 enum AttemptClaim {
-    /// The item's crash count has changed meanwhile; its verdict is to be read again.
+    /// The item's crash count has changed meanwhile; its state has to be read again.
     Retry,
     /// This runner may start; without an attempt if none is needed or the store is
     /// unreachable.
     Granted(Option<Attempt>),
-    /// Another runner has the attempt, or the item is in quarantine.
+    /// Another runner holds the attempt, or the item is in quarantine.
     Denied,
 }
 
@@ -130,7 +130,7 @@
     request: Fingerprint,
 }
 
-/// How long before its arrival a report may have been made.
+/// The longest time from the making of a report by the engine to its arrival here.
 const MAX_REPORT_DELAY: Millis = Millis(100);
 
 /// The most broken runs that are kept: a few times what an engine runs at once.
@@ -152,7 +152,8 @@
     Continue,
 }
 
-/// Slightly longer than the time after which an engine without reports counts as gone.
+/// How long an item waits for the work loop to notice that the engine has ended: slightly
+/// longer than the time after which an engine without reports counts as gone.
 const NOTICE_TIMEOUT: Millis = Millis(1_200);
 
 /// How often an item that waits for admission checks whether it may start.
@@ -166,8 +167,8 @@
     ///
     /// An item that an engine has crashed under runs at one instance at a time: its bundle
     /// may have two runners, and it would crash both their engines. A suspect also starts
-    /// with the engine to itself, so that the next crash counts against it alone:
-    /// before, innocent items that ran next to it reached their third crash.
+    /// with the engine to itself, so that the next crash counts against it alone: without
+    /// this, innocent items that ran next to it reached their third crash.
     pub(super) async fn admit(&self, task: &Task) -> Option<Admission<'_>> {
         let deadline = self.deadline_of(task);
         let request = task.fingerprint;
@@ -187,7 +188,7 @@
                 QuarantineState::Suspect | QuarantineState::Trial => Some(self.isolate().await),
                 QuarantineState::Barred => None,
             };
-            // A run that ended during the wait may have changed the verdict.
+            // A run that ended during the wait may have changed the state.
             let state = self.crashes.quarantine_state(request);
             match guard {
                 Some(guard) if guard.permits(state) => match self
@@ -241,7 +242,8 @@
     }
 
     /// Acquires a suspect's exclusive lock: waits for other suspects and then for the
-    /// current runs, both with a timeout, and goes ahead without what it did not get.
+    /// current runs, both with a timeout, and goes ahead without a lock that it did not
+    /// get in time.
     async fn isolate(&self) -> RunGuard<'_> {
         let turn = tokio::time::timeout(
             SUSPECT_TURN_TIMEOUT.as_duration(),
@@ -302,9 +304,11 @@
         }
     }
 
-    /// Decides for each broken run whether its engine has crashed, by a report of the
-    /// incarnation `present` that arrived at `seen`: either it is the run's incarnation,
-    /// which is alive, or a later one.
+    /// Decides for each broken run whether its engine has crashed, given that a report of
+    /// the incarnation `present` arrived at `seen`. If that is the run's own incarnation
+    /// and the report was made after the connection broke, the engine has not crashed. If
+    /// it is a later one, the run's incarnation has ended, and has crashed unless it was
+    /// draining. A run is kept while the report shows neither.
     ///
     /// An engine that restarts at once looks as if it had not ended. The run's attempt
     /// stays claimed until this is decided: another one could crash another engine.
@@ -354,7 +358,8 @@
     pub(super) async fn wait_until_noticed(&self, incarnation: &ServerIncarnation) {
         let mut known = self.incarnation.clone();
         let other = known.wait_for(|known| known.as_ref() != Some(incarnation));
-        // The work loop goes by the engine's reports; after this time they are stale.
+        // The work loop relies on the engine's reports, which are stale by the end of this
+        // time.
         let _ = tokio::time::timeout(NOTICE_TIMEOUT.as_duration(), other).await;
     }
 
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -1,4 +1,5 @@
-//! Gives up items whose time is over, and removes batches whose retention is over.
+//! Gives up the unfinished items of batches that are too old, and removes finished batches
+//! once their retention is over.
 
 use super::{
     open_batch::OpenBatch,
--- a/src/runner/text.rs
+++ b/src/runner/text.rs
@@ -33,9 +33,9 @@
     pub(super) newest_at: Millis,
     /// The number of the newest event.
     pub(super) last_id: Option<u64>,
-    /// When it was last saved.
+    /// When the text was last saved.
     saved_at: Millis,
-    /// How many events it had when it was last saved.
+    /// How many events the text had when it was last saved.
     saved_events: usize,
     /// The weight versions that generated its events.
     pub(super) versions: BTreeSet<u64>,
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Saves the text in the store if that is due. Nothing waits for the write; a lost one
-    /// only costs the time to generate the events again.
+    /// Saves the text in the store if enough time has passed and enough events were added
+    /// since it was last saved. Nothing waits for the write; a lost one only costs the
+    /// time to generate the events again.
     pub(super) fn save_if_due(&mut self, engine: &Engine, task: &Task) {
         let due = self.newest_at.since(self.saved_at) >= SAVE_INTERVAL;
         let grown = self.events.len() >= self.saved_events + MIN_NEW_EVENTS;
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -48,7 +48,7 @@
     pub(super) home: Option<String>,
     /// An existing home model does not change before this time.
     pub(super) home_change_at: Millis,
-    /// Whether the engine is slower than the other engines of the service.
+    /// The engine's kind: usual or slower, compared with the other engines of the service.
     pub(super) kind: EngineKind,
     /// Whether this runner is shutting down and claims nothing new.
     pub(super) leaving: bool,
