--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -9,7 +9,7 @@
 
 use crate::base::Millis;
 
-/// The pace of one engine, by the recent gaps between events.
+/// The pace of one engine, averaged over the recent gaps between events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     /// The number of gaps in the current window.
@@ -23,7 +23,7 @@
 }
 
 /// The length of a window: some tens of gaps, while two or more runs are in progress.
-const WINDOW: Millis = Millis(500);
+const WINDOW_LENGTH: Millis = Millis(500);
 
 /// A window with fewer gaps is ignored.
 const MIN_GAPS: u32 = 12;
@@ -50,7 +50,7 @@
     /// Returns the pace in ms by all gaps until `now`, or 0 while it is unknown. Ends
     /// the current window if its time is over.
     pub fn update(&mut self, now: Millis) -> f64 {
-        if now.since(self.begun) < WINDOW {
+        if now.since(self.begun) < WINDOW_LENGTH {
             return self.value;
         }
         if self.gaps >= MIN_GAPS {
@@ -100,7 +100,7 @@
 pub struct EngineKind {
     /// Whether it counts as slower than usual at present.
     pub slower: bool,
-    /// The value of `slower` that last held for a while.
+    /// The last value of `slower` that stayed unchanged for `STEADY_DELAY`.
     pub steady: bool,
     /// When `slower` last changed.
     since: Millis,
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -18,13 +18,13 @@
 
 /// The number of instances of a program that ask the store in each data centre. Two may
 /// be lost at once; the third still serves the others.
-pub const ROOTS: usize = 3;
+pub const ROOT_COUNT: usize = 3;
 
 /// The most children of one instance. A runner asks about 25 times a second, and each
 /// request takes about 0.1 ms: 4% of a core.
 pub const MAX_CHILDREN: usize = 16;
 
-/// An answer may be older than the hold time of a request by this: enough for a request
+/// How much older than the hold time of a request an answer may be: enough for a request
 /// that was lost and the next one.
 const STALE_SLACK: Millis = Millis(700);
 
@@ -39,8 +39,8 @@
 /// back within this time.
 const GONE_TIMEOUT: Millis = Millis(600);
 
-/// Whether an answer of a parent is too old to be used, for a table whose requests are
-/// held for `hold`.
+/// Whether a parent's answer of this `age` is too old to be used, for a table whose
+/// requests the store holds for up to `hold` while there are no changes.
 pub fn is_stale(age: Millis, hold: Millis) -> bool {
     age > hold + STALE_SLACK
 }
@@ -96,7 +96,8 @@
 }
 
 impl Parents {
-    /// Records that the parent is left: it did not answer, or its answer was too old.
+    /// Records that this instance leaves the parent at `address`, because it did not
+    /// answer or its answer was too old.
     pub fn leave(&mut self, address: SocketAddr, now: Millis) {
         self.left.insert(address, now);
     }
@@ -140,7 +141,7 @@
     stable_hash(&[instance.as_bytes(), address.to_string().as_bytes()])
 }
 
-/// The slot among the [`ROOTS`] that `instance` tries to take first.
+/// The slot among the [`ROOT_COUNT`] that `instance` tries to take first.
 pub fn first_slot(instance: &str) -> usize {
-    stable_hash(&[instance.as_bytes()]) as usize % ROOTS
+    stable_hash(&[instance.as_bytes()]) as usize % ROOT_COUNT
 }
--- a/src/runner/runner_handle.rs
+++ b/src/runner/runner_handle.rs
@@ -24,7 +24,7 @@
     watch, //
 };
 
-/// A running `redwing-runner`; dropping it ends it.
+/// A running `redwing-runner`; dropping this stops it.
 pub struct Runner {
     pub handle: ProgramHandle,
     /// The address of its metrics and health endpoints.
@@ -63,7 +63,7 @@
         let (incarnation, current) = watch::channel(None);
         let (crashes, writes) = Crashes::open(store.clone());
         let scorer_client = ScorerClient {
-            caller: Dispatcher::new(site.clone(), crashes.clone(), &common.data_centre, None),
+            dispatcher: Dispatcher::new(site.clone(), crashes.clone(), &common.data_centre, None),
             site: site.clone(),
         };
         let setup = Setup {
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -14,9 +14,9 @@
 };
 use std::sync::Arc;
 
-/// Sends texts to the scorers that their items name.
+/// Sends each text to the scorer that its item names.
 pub(super) struct ScorerClient {
-    pub(super) caller: Arc<Dispatcher>,
+    pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) site: Arc<Site>,
 }
 
@@ -38,8 +38,8 @@
 
 /// The same wait once two servers have crashed under the call, perhaps because of another
 /// request. That request crashes a third server within a second or is in quarantine by
-/// then; a call repeated at once would be on that server as well and would share the
-/// blame.
+/// then; a call repeated at once would be on that server as well, and the crash would
+/// count against it too.
 const SUSPECT_RETRY_DELAY: Millis = Millis(1_000);
 
 impl ScorerClient {
@@ -75,7 +75,7 @@
                 route,
                 workspace: None,
             };
-            match self.caller.run(&call).await {
+            match self.dispatcher.run(&call).await {
                 CallOutcome::Answered { answer, .. } if answer.status.is_success() => {
                     let signature = platform::signature(&answer.headers);
                     if let Some(score) = signature.and_then(|value| value.to_str().ok()) {
@@ -99,7 +99,7 @@
             if failures >= max_failures {
                 return ScoreEnd::GivenUp;
             }
-            let wait = match self.caller.crashes.quarantine_state(fingerprint) {
+            let wait = match self.dispatcher.crashes.quarantine_state(fingerprint) {
                 QuarantineState::Clear | QuarantineState::Watched => RETRY_DELAY,
                 QuarantineState::Suspect | QuarantineState::Trial | QuarantineState::Barred => {
                     SUSPECT_RETRY_DELAY
