--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -140,7 +140,7 @@
     }
 
     /// The number of rows in a part, over all tables.
-    pub fn rows_of(&self, part: &str) -> usize {
+    pub fn rows_in_part(&self, part: &str) -> usize {
         lock(&self.inner.rows).rows_in_part(part)
     }
 
--- a/standins/src/soak/fault.rs
+++ b/standins/src/soak/fault.rs
@@ -83,7 +83,10 @@
 
 /// Draws replacements of keys and faults of the usage collector. They have a generator of
 /// their own, so that each seed keeps its plan of the other faults.
-pub(super) fn draw_duty_faults(rng: &mut impl Rng, duration: Millis) -> Vec<(Millis, Fault)> {
+pub(super) fn draw_key_and_usage_faults(
+    rng: &mut impl Rng,
+    duration: Millis,
+) -> Vec<(Millis, Fault)> {
     let mut plan = Vec::new();
     let mut at = rng.random_range(300..1_500);
     while at < duration.0 {
--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -2,7 +2,7 @@
 
 use super::{
     callers::{Callers, Credentials, FATAL_BODY},
-    fault::{ENGINES, Fault, GATEWAYS, PLAIN, draw_duty_faults, draw_faults},
+    fault::{ENGINES, Fault, GATEWAYS, PLAIN, draw_faults, draw_key_and_usage_faults},
     keys::{Keys, WORKSPACES},
     process::Process,
     trainer::SubmittedBatch, //
@@ -110,8 +110,8 @@
 pub(super) async fn run(seed: u64, duration: Millis, folder: &Path) -> io::Result<SoakReport> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut plan = draw_faults(&mut rng, duration);
-    let mut duty_rng = ChaCha8Rng::seed_from_u64(!seed);
-    plan.extend(draw_duty_faults(&mut duty_rng, duration));
+    let mut key_and_usage_rng = ChaCha8Rng::seed_from_u64(!seed);
+    plan.extend(draw_key_and_usage_faults(&mut key_and_usage_rng, duration));
     plan.sort_by_key(|(at, _)| *at);
     let mut soak = Soak::open(rng, folder).await?;
     tokio::time::sleep(STARTUP_TIME).await;
@@ -249,7 +249,7 @@
                 announce_engine(&self.store, engine, "ready");
             }
             Fault::FatalCalls { duration } => self.fatal_calls.0 = now + duration,
-            Fault::FatalItem => self.submit_fatal(),
+            Fault::FatalItem => self.create_fatal_batch(),
             Fault::ForgetHistory => self.store.forget_history(),
             Fault::Hangup { process } => self.processes[process].signal(Signal::HUP),
             Fault::Kill { process, pause } => {
@@ -361,7 +361,7 @@
 
     /// Creates a batch with an item that crashes its engines, beside normal ones. A later step
     /// submits it.
-    fn submit_fatal(&mut self) {
+    fn create_fatal_batch(&mut self) {
         let id = format!("f{}", self.submitted.len());
         let mut batch = Batch::new(&id, 2, 3, 12);
         batch.groups[0][1] = FATAL_EVENTS;
--- a/standins/tests/integration/site.rs
+++ b/standins/tests/integration/site.rs
@@ -948,8 +948,8 @@
     let new = Batch::new("new", 2, 2, 2);
     assert_eq!(site.submit(0, &new).await, Some(202));
     sleep(1_500).await;
-    assert_eq!(site.store.rows_of("batch-old"), 0);
-    assert!(site.store.rows_of("batch-new") > 0);
+    assert_eq!(site.store.rows_in_part("batch-old"), 0);
+    assert!(site.store.rows_in_part("batch-new") > 0);
     check_whole(&new, &site.read_results(&new, 4, RESULTS_TIMEOUT).await);
     assert_eq!(site.end_batch(1, &old).await, Some(404));
 }
