--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -32,7 +32,7 @@
     /// wrong, in microseconds.
     #[serde(skip)]
     pub latencies: Vec<u64>,
-    /// Failures that said that the call did not run.
+    /// Failed attempts whose answer said that the call did not run.
     #[serde(skip)]
     pub refused: Vec<Refusal>,
     pub sent: u64,
@@ -45,7 +45,7 @@
 /// A failure that said that the call did not run.
 #[derive(Clone, Debug)]
 pub struct Refusal {
-    /// The prompt and seed of a chat.
+    /// The prompt and seed; `None` if the call was not a chat.
     pub prompt: Option<(String, u64)>,
     /// The request id.
     pub request: String,
@@ -64,7 +64,8 @@
     pub team: String,
 }
 
-/// The attempts at a call that did not run, the first one included.
+/// The maximum number of attempts at a call, including the first; only failures that say that
+/// the call did not run are retried.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// The `max_tokens` of a chat.
@@ -73,7 +74,7 @@
 /// How long a caller waits for the answer to one attempt.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The limit of [`CallResults::troubles`].
+/// The maximum length of [`CallResults::troubles`].
 const MAX_TROUBLES: usize = 8;
 
 /// Sends calls for `time` on a fixed schedule, without waiting for answers.
--- a/standins/src/cli/command.rs
+++ b/standins/src/cli/command.rs
@@ -40,7 +40,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineCommand {
-    /// refuse orders with an outdated fencing number
+    /// refuse orders with an outdated fencing token
     #[argh(switch)]
     checks_fence: bool,
 
@@ -48,7 +48,7 @@
     #[argh(option)]
     listen: SocketAddr,
 
-    /// the most sequences in a batch (default: 8)
+    /// the maximum number of sequences in a batch (default: 8)
     #[argh(option, default = "8")]
     max_batch: usize,
 
@@ -65,7 +65,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformCommand {
-    /// the most copies of weights at once (default: 6)
+    /// the maximum number of concurrent copies of weights (default: 6)
     #[argh(option, default = "6")]
     copies: usize,
 
--- a/standins/src/client.rs
+++ b/standins/src/client.rs
@@ -34,7 +34,7 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The body as JSON; `Null` when it is no JSON.
+    /// The body as JSON; `Null` if it is not JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
--- a/standins/src/demo/command.rs
+++ b/standins/src/demo/command.rs
@@ -17,7 +17,7 @@
 
 /// Runs redwingpond in one process over real loopback sockets: a platform,
 /// three entries, both users' deployments scaled down, trainers and application
-/// calls. Crashes an engine and stops an agent and an entry on the way. Exits
+/// calls. Crashes an engine and stops an agent and an entry meanwhile. Exits
 /// with 1 if a guarantee was violated.
 #[derive(FromArgs)]
 struct DemoCommand {
--- a/standins/src/demo/run.rs
+++ b/standins/src/demo/run.rs
@@ -76,7 +76,7 @@
     prompt: String,
 }
 
-/// How long application calls are sent, however long the trainers run.
+/// How long application calls are sent, regardless of how long the trainers run.
 const CALL_TIME: Duration = Duration::from_secs(10);
 
 /// Runs the demo.
@@ -159,8 +159,8 @@
     all.collect()
 }
 
-/// Prints the number of delivered samples every second; on a terminal, over the
-/// line printed before.
+/// Prints the number of delivered samples every second; on a terminal, overwrites the
+/// previous line.
 async fn show_progress(progress: Arc<AtomicU64>, total: u64) {
     let terminal = std::io::stderr().is_terminal();
     loop {
--- a/standins/src/demo/summary.rs
+++ b/standins/src/demo/summary.rs
@@ -29,7 +29,7 @@
     pub idle_fraction: BTreeMap<String, f64>,
     /// Failures that said that the call did not run.
     pub refused_not_run: u64,
-    /// Those of them whose call did run.
+    /// The refusals among [`Self::refused_not_run`] whose call did run.
     pub refused_not_run_false: u64,
     /// The sample counts are sums over the trainers' [`Report`](crate::trainer::Report)s.
     pub samples_asked: u64,
--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -9,7 +9,7 @@
 /// How often a paused or idle engine checks for work.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The load reports kept for `Faults::load_lag_ms`.
+/// The number of load reports kept for `Faults::load_lag_ms`.
 const MAX_LOAD_REPORTS: usize = 512;
 
 /// Runs decoding steps, one for the whole batch at a time; never returns.
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -10,7 +10,7 @@
 /// The size of a block of prompt text.
 const BLOCK_BYTES: usize = 64;
 
-/// The events kept for `GET /v1/events`.
+/// The number of events kept for `GET /v1/events`.
 const MAX_EVENTS: usize = 4_096;
 
 /// A block added to the cache or evicted from it.
@@ -74,8 +74,8 @@
         cached.count()
     }
 
-    /// Adds blocks, or marks them as used; returns how many follow the cached
-    /// prefix.
+    /// Adds blocks, or marks them as used; returns how many come after the prefix
+    /// that was already cached.
     pub fn insert(&mut self, now: u64, hashes: &[u64]) -> usize {
         let cached = self.cached_prefix(hashes);
         self.hits += cached as u64;
--- a/standins/src/engine/handle.rs
+++ b/standins/src/engine/handle.rs
@@ -55,21 +55,21 @@
     pub(super) clock: Clock,
     state: Mutex<State>,
     pub(super) tuning: Tuning,
-    /// Wakes the decoding loop when a sequence was added.
+    /// Wakes the decoding loop when a sequence is added.
     pub(super) work_added: Notify,
 }
 
-/// The items that wait in one stream for a slow reader. Decoding of the sequence
-/// stops while the stream is full.
+/// The number of items that one stream buffers for a slow reader. Decoding of the
+/// sequence stops while the buffer is full.
 const STREAM_CAPACITY: usize = 256;
 
-/// The body that `/v1/kv/export` answers and `/v1/kv/import` takes.
+/// The response body of `/v1/kv/export` and the request body of `/v1/kv/import`.
 #[derive(Deserialize, Serialize)]
 struct KvBlocks {
     blocks: Vec<u64>,
 }
 
-/// The body of `/v1/kv/export`.
+/// The request body of `/v1/kv/export`.
 #[derive(Deserialize)]
 struct KvExportRequest {
     prompt: String,
@@ -96,14 +96,14 @@
         })
     }
 
-    /// The prefix blocks found in the cache, and those not found.
+    /// The numbers of prefix blocks found in the cache and not found.
     pub fn cache_hits(&self) -> (u64, u64) {
         let state = self.inner.state();
         (state.cache.hits, state.cache.misses)
     }
 
-    /// Crashes the engine: closes every connection and clears the state but the
-    /// prompts seen. The engine boots again after `down`.
+    /// Crashes the engine: closes every connection and clears the state except the
+    /// prompts seen. The engine listens again after `down`.
     pub fn crash(&self, down: Duration) {
         let (inner, up) = (self.inner.clone(), self.server.switch());
         crash(&inner, &up, down);
@@ -200,7 +200,7 @@
                 let mut state = self.state();
                 if state.faults.lose_orders > 0 {
                     state.faults.lose_orders -= 1;
-                    return Err(io::Error::other("the answer is lost"));
+                    return Err(io::Error::other("answer dropped by an injected fault"));
                 }
                 Ok(text(status, "text/plain", "done\n"))
             }
@@ -257,7 +257,7 @@
         json(StatusCode::OK, &events)
     }
 
-    /// Answers with the newest load report that is old enough for the lag.
+    /// Answers with the newest load report that is at least `load_lag_ms` old.
     fn load_report(&self) -> Answer {
         let state = self.state();
         let until = self.clock.now().0.saturating_sub(state.faults.load_lag_ms);
--- a/standins/src/engine/orders.rs
+++ b/standins/src/engine/orders.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Copies weights from the weight store, which delays them by its rate limit;
-    /// false if the store has no such version.
+    /// Copies weights from the weight store, which limits the number of concurrent
+    /// copies; false if the copy failed or the store has no such version.
     async fn copy_weights(&self, model: &str, version: u64) -> bool {
         let Some(store) = self.tuning.weights else {
             return true;
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -26,7 +26,7 @@
 
 /// One generation, waiting or in the batch.
 pub(super) struct Sequence {
-    /// The tokens after which the generation ends.
+    /// The number of tokens in the whole generation.
     pub(super) length: u32,
     pub(super) max_tokens: u32,
     pub(super) model: String,
@@ -49,7 +49,8 @@
     pub(super) loading: bool,
     /// Loads begun since the boot.
     pub(super) loads: u64,
-    /// The version that generates tokens; `None` for mixed weights.
+    /// The version that generates tokens; `None` before the first load has ended, and for the
+    /// mixed weights that a failed load leaves.
     pub(super) version: Option<u64>,
 }
 
@@ -65,7 +66,7 @@
     pub(super) load_reports: VecDeque<(u64, usize, usize)>,
     pub(super) models: BTreeMap<String, Model>,
     pub(super) tokens_produced: u64,
-    /// The batch.
+    /// The sequences in the batch.
     pub(super) running: Vec<Sequence>,
     /// The prompts and seeds of all requests, also from before a crash.
     pub(super) seen: HashSet<(String, u64)>,
--- a/standins/src/engine/tuning.rs
+++ b/standins/src/engine/tuning.rs
@@ -12,11 +12,11 @@
 pub struct Tuning {
     /// The capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Whether orders with an outdated fencing number are refused.
+    /// Whether orders with an outdated fencing token are refused.
     pub checks_fence: bool,
-    /// The most sequences in a batch.
+    /// The maximum number of sequences in a batch.
     pub max_batch: usize,
-    /// The most models loaded at once.
+    /// The maximum number of models loaded at once.
     pub max_models: usize,
     /// The base time of one decoding step, in microseconds.
     pub step_us: u64,
--- a/standins/src/fleet/member.rs
+++ b/standins/src/fleet/member.rs
@@ -31,7 +31,7 @@
 }
 
 impl Member {
-    /// Starts a new agent for the backend server and adds it to the instance table.
+    /// Starts a new agent for the backend server and adds it to the instance list.
     pub async fn start(&mut self, platform: &Platform, options: Options) -> Result<(), DutyError> {
         let common = settings::common(&self.name, &self.data_centre, platform.address);
         let address = self.backend.address();
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -27,7 +27,7 @@
     /// Whether the engines check fencing tokens.
     pub checks_fence: bool,
     pub kind: PoolKind,
-    /// The length of an agent's queue.
+    /// The maximum number of requests in an agent's queue.
     pub queue: usize,
     /// The number of servers.
     pub servers: u32,
@@ -65,7 +65,7 @@
     pub max_tokens: u32,
     /// Samples per group.
     pub samples: u32,
-    /// The most weight versions by which a sample may lag behind.
+    /// The maximum number of weight versions by which a sample may lag behind.
     pub staleness: u64,
     pub steps: u64,
     /// The time that the trainer takes to train on one step.
--- a/standins/src/load/case.rs
+++ b/standins/src/load/case.rs
@@ -27,7 +27,7 @@
 /// The function that runs a case.
 pub type Measure = fn(RunOptions) -> Pin<Box<dyn Future<Output = Result<Outcome, LoadError>>>>;
 
-/// A named experiment.
+/// A named experiment; `about` describes it in `--list`.
 pub struct Case {
     pub about: &'static str,
     pub measure: Measure,
--- a/standins/src/load/faults.rs
+++ b/standins/src/load/faults.rs
@@ -26,7 +26,7 @@
     calls: Vec<CallRecord>,
 }
 
-/// Nine servers, the size of the pool behind Tahtiraita's ledger.
+/// Nine servers, as in the pool `ledger-api` of the example deployment Tahtiraita.
 const POOL: Pool = Pool {
     capacity: 8,
     queue: 256,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Opens a fleet and sends `flows` while `script` injects faults.
+/// Opens a fleet and sends the calls of `flows` while `script` injects faults.
 async fn run_trial<F, Fut>(
     pool: Pool,
     policy: Policy,
@@ -91,7 +91,7 @@
     Ok(trials)
 }
 
-/// A row with the value of `figure` for each trial.
+/// A row with `figure` computed for each trial.
 fn row(
     name: &str,
     unit: &'static str,
@@ -162,7 +162,8 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// The case `overload`: three times the capacity for a while, then 0.7 of it.
+/// The case `overload`: 0.7 of the capacity for 1 s, three times the capacity for the time of
+/// the run, then 0.7 again for 6 s.
 pub async fn overload(run: RunOptions) -> Result<Outcome, LoadError> {
     let pool = Pool { servers: 4, ..POOL };
     let overload_ms = run.seconds * 1_000;
@@ -275,7 +276,7 @@
     ))
 }
 
-/// The case `silent`: half of the links go silent.
+/// The case `silent`: the connections to every second agent drop all traffic without closing.
 pub async fn silent(run: RunOptions) -> Result<Outcome, LoadError> {
     let end = 1_000 + run.seconds * 1_000;
     let options = Options {
@@ -325,7 +326,8 @@
     ))
 }
 
-/// The case `retry-storm`: the whole pool fails for a while, at 0.8 of its capacity.
+/// The case `retry-storm`: at 0.8 of the pool's capacity, all servers run their calls but lose
+/// the answers for a while.
 pub async fn retry_storm(run: RunOptions) -> Result<Outcome, LoadError> {
     let outage_ms = run.seconds * 1_000;
     let end = 2_000 + outage_ms + 5_000;
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -1,4 +1,4 @@
-//! The case `fleet`: the cost of linked agents to an entry without calls.
+//! The case `fleet`: what linked agents cost an entry that receives no calls.
 
 use super::{
     LoadError,
@@ -46,15 +46,15 @@
 /// How often each agent reports; real agents do so at most this often.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The key of the links, in agents and entry.
+/// The key with which agents and entry secure their links.
 const LINK_KEY: &str = "fleet";
 
-/// What an entry used with one number of agents.
+/// The resources that an entry used with a number of linked agents.
 struct EntryUsage {
     agents: f64,
     /// Bytes per second received and sent, see [`loopback_bytes`].
     bytes: f64,
-    /// Milliseconds of processor time per second.
+    /// Milliseconds of CPU time per second.
     cpu_ms: f64,
     /// Resident memory added, in bytes.
     memory: f64,
--- a/standins/src/load/open_loop.rs
+++ b/standins/src/load/open_loop.rs
@@ -46,10 +46,10 @@
     }
 }
 
-/// The tasks that send requests; a single one would be the bottleneck.
+/// The number of tasks that send requests; a single one would be the bottleneck.
 const SENDERS: u64 = 8;
 
-/// The most requests in flight at once. Latencies count from the time a request was
+/// The maximum number of requests in flight. Latencies count from the time a request was
 /// due and so include its wait for a permit.
 const MAX_IN_FLIGHT: usize = 256;
 
--- a/standins/src/load/rollout.rs
+++ b/standins/src/load/rollout.rs
@@ -1,4 +1,5 @@
-//! The case `rollout`: the CPU time of a step, in all and in the entry that owns it.
+//! The case `rollout`: the CPU time per token and sample, in total and in the entry that owns
+//! the steps.
 
 use super::{
     LoadError,
--- a/standins/src/load/service_load.rs
+++ b/standins/src/load/service_load.rs
@@ -25,9 +25,9 @@
 /// The fleet's only pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Pool {
-    /// Concurrent calls per server.
+    /// The maximum number of concurrent calls per server.
     pub capacity: u32,
-    /// Calls that wait at each agent.
+    /// The maximum number of calls in the queue of each agent.
     pub queue: u32,
     pub servers: u32,
     pub service_ms: u64,
@@ -108,7 +108,8 @@
     Ok(Fleet::open(&[plan], Options { policy, ..options }).await?)
 }
 
-/// Sends the calls of all flows; returns them when the last one has ended.
+/// Sends the calls of all flows; returns them when the last one has ended. A call for which
+/// the balancer has no entry isn't sent or recorded.
 pub async fn send(balancer: &Arc<Balancer>, flows: &[Flow]) -> Vec<CallRecord> {
     let calls = Arc::new(Mutex::new(Vec::new()));
     let clock = Clock::open();
@@ -190,7 +191,7 @@
 /// The runs of the services, compared with the answers to the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunAudit {
-    /// All runs.
+    /// The number of runs of all calls.
     pub attempts: u64,
     /// Request keys that ran more than once.
     pub double_runs: u64,
--- a/standins/src/load/steady.rs
+++ b/standins/src/load/steady.rs
@@ -35,7 +35,7 @@
 trainers: {}
 ";
 
-/// The concurrent callers that saturate a path.
+/// The number of concurrent callers that saturate a path.
 const CALLERS: u32 = 64;
 
 /// The size of every request's body.
@@ -147,7 +147,7 @@
 /// The measurements of one path.
 #[derive(Default)]
 struct PathRounds {
-    /// The processor time of the path's threads in all rounds, in nanoseconds.
+    /// The CPU time of the path's threads in all rounds, in nanoseconds.
     cpu_ns: u64,
     rounds: Vec<LoadResult>,
 }
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    /// The processor time per answered request, in microseconds.
+    /// The CPU time per answered request, in microseconds.
     fn cpu_per_request(&self) -> f64 {
         let answered: u64 = self.rounds.iter().map(|one| one.answered).sum();
         self.cpu_ns as f64 / 1e3 / answered.max(1) as f64
--- a/standins/src/load/usage.rs
+++ b/standins/src/load/usage.rs
@@ -1,11 +1,11 @@
-//! Processor time and memory, as the kernel accounts for them in `/proc`.
+//! CPU time and memory, as the kernel accounts for them in `/proc`.
 
 use std::{
     collections::BTreeMap,
     fs, //
 };
 
-/// Processor time by thread name, in nanoseconds.
+/// CPU time by thread name, in nanoseconds.
 pub type CpuTimes = BTreeMap<String, u64>;
 
 /// Name prefixes of the threads of entries and agents.
@@ -23,7 +23,7 @@
     "work",
 ];
 
-/// The processor time of this process's threads so far.
+/// The CPU time of this process's threads so far.
 pub fn cpu_times() -> CpuTimes {
     let mut times = CpuTimes::new();
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
@@ -40,7 +40,7 @@
     times
 }
 
-/// The processor time since `before`, in nanoseconds, of the threads whose names
+/// The CPU time since `before`, in nanoseconds, of the threads whose names
 /// begin with one of `names`.
 pub fn cpu_since(before: &CpuTimes, names: &[&str]) -> u64 {
     let after = cpu_times();
--- a/standins/src/platform/faults.rs
+++ b/standins/src/platform/faults.rs
@@ -15,6 +15,6 @@
     pub lag_ms: u64,
     /// How many of the next table transactions take effect but get no answer.
     pub lose_answers: u32,
-    /// The table, the objects and the instance list answer nothing.
+    /// Requests to the table, the objects and the instance list get no answer.
     pub outage: bool,
 }
--- a/standins/src/platform/handle.rs
+++ b/standins/src/platform/handle.rs
@@ -33,7 +33,7 @@
     time::Duration, //
 };
 
-/// The numbers of requests by kind. Failed writes and repeated ones count too.
+/// The numbers of requests by kind, including failed and repeated writes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Counts {
     pub list_reads: u64,
@@ -60,8 +60,8 @@
 struct State {
     counts: Counts,
     faults: Faults,
-    /// The versions of the instance list, oldest first, each with the time in
-    /// milliseconds from which it holds.
+    /// The versions of the instance list, oldest first, each with the time of its
+    /// change in milliseconds.
     instance_lists: VecDeque<(u64, BTreeMap<String, Instance>)>,
     objects: BTreeMap<String, Bytes>,
     table: Table,
@@ -153,7 +153,7 @@
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.outage {
             tokio::time::sleep(OUTAGE_HANG).await;
-            return Err(io::Error::other("outage"));
+            return Err(io::Error::other("connection closed by an injected outage"));
         }
         let body = read_body(body).await?;
         let has_etag = path == "/instances" || path == "/table";
@@ -235,7 +235,7 @@
                 let outcome = state.table.transact(transaction);
                 if state.faults.lose_answers > 0 {
                     state.faults.lose_answers -= 1;
-                    return Err(io::Error::other("the answer is lost"));
+                    return Err(io::Error::other("answer dropped by an injected fault"));
                 }
                 Ok(json(StatusCode::OK, &outcome))
             }
@@ -256,7 +256,8 @@
         }
     }
 
-    /// Changes the instance list and keeps the old version for `lag_ms`.
+    /// Adds a changed version of the instance list, and keeps the latest 1,024 for reads that
+    /// [`Faults::lag_ms`] delays.
     fn update_instances(&self, change: impl FnOnce(&mut BTreeMap<String, Instance>)) {
         let now = self.clock.now().0;
         let mut state = self.state();
@@ -300,7 +301,7 @@
     }
 }
 
-/// Adds an `ETag` made from the content, or answers 304 if the client knows it.
+/// Adds an `ETag` that hashes the content, or answers 304 if the client already has it.
 async fn with_etag(answer: Answer, known: Option<&HeaderValue>) -> io::Result<Answer> {
     let (parts, body) = answer.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
--- a/standins/src/platform/weights.rs
+++ b/standins/src/platform/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, whose copies are limited.
+//! The weight store, with a limit on concurrent copies.
 
 use std::{
     collections::BTreeSet,
@@ -7,7 +7,8 @@
 };
 use tokio::sync::Semaphore;
 
-/// The published weights. It keeps no weights, only simulates the time of copies.
+/// The published weight versions. The store holds no weights and only simulates the time of
+/// copies.
 #[derive(Debug)]
 pub struct Weights {
     /// How long one copy takes.
@@ -18,7 +19,7 @@
 }
 
 impl Weights {
-    /// A store that runs up to `max_copies` at once, each taking `copy_time`.
+    /// A store that runs up to `max_copies` copies at once, each taking `copy_time`.
     pub fn new(max_copies: usize, copy_time: Duration) -> Self {
         Self {
             copy_time,
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -32,8 +32,8 @@
 /// A running relay; dropping it stops accepting connections.
 pub struct Relay {
     pub address: SocketAddr,
-    /// The generation of the last silence, and that silence. It applies to
-    /// connections of an earlier generation.
+    /// The number of calls of [`Relay::silence`] so far, called the generation, and the latest
+    /// silence. It applies to connections accepted in an earlier generation.
     silence: Arc<watch::Sender<(u64, Silence)>>,
     task: JoinHandle<()>,
 }
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -136,7 +136,7 @@
                     tokio::time::sleep(time).await;
                 }
                 if faults.lose_answers > 0 {
-                    return Err(io::Error::other("the answer is lost"));
+                    return Err(io::Error::other("answer dropped by an injected fault"));
                 }
                 let body = String::from_utf8_lossy(&body).into_owned();
                 Ok(json(StatusCode::OK, &WorkResult { body, key, run }))
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -53,7 +53,7 @@
     pub identity: RequestIdentity,
     /// When the request arrived, by the engine's clock.
     pub at: Millis,
-    /// The last event of the previous attempt, when the run resumes after it.
+    /// The last event that an earlier attempt delivered, if the run resumes after it.
     pub after: Option<u64>,
     /// The id of the item.
     pub item: String,
@@ -238,8 +238,9 @@
         Ok(text(code, "text/plain", ""))
     }
 
-    /// Starts to load the ordered version, unless another load is in progress or the number
-    /// of accepted orders isn't the expected one.
+    /// Starts to load the ordered version and answers 202. Answers 409 if another load is in
+    /// progress or the number of accepted orders isn't the expected one, and 200 if the engine
+    /// has the version already.
     fn apply_order(&self, wire: &serde_json::Value) -> StatusCode {
         let now = self.clock.now();
         let mut state = self.state();
@@ -336,8 +337,8 @@
 struct RunStream {
     /// The start of the incarnation that executes the run.
     started_at: Millis,
-    /// The event after the one that is cut off in the middle; once the first part of that one
-    /// has been sent, its own number.
+    /// The event before this one is sent only in part. The field then takes that event's own
+    /// number, at which the response ends.
     cut_at: Option<u64>,
     engine: Arc<Inner>,
     /// The total number of events.
@@ -347,7 +348,7 @@
     next: u64,
     /// See [`EngineFaults::cut_cleanly`].
     cut_cleanly: bool,
-    /// The weight version that the receiver has been told.
+    /// The weight version last sent to the receiver.
     version: u64,
 }
 
@@ -374,7 +375,10 @@
             return None;
         }
         if self.cut_at == Some(self.next) {
-            return Some((Err(io::Error::other("cut on command")), self));
+            return Some((
+                Err(io::Error::other("response cut off by an injected fault")),
+                self,
+            ));
         }
         let changed = match version == self.version {
             true => String::new(),
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for the users' platform: the store, the collector of usage reports, engines
-//! and plain backend servers. They speak the published protocol and fail on command.
+//! and plain backend servers. They speak the published protocol and inject faults.
 //! [`TestSite`] runs real gateways and runners among them in one process.
 
 mod engine;
--- a/standins/src/site/plain.rs
+++ b/standins/src/site/plain.rs
@@ -241,7 +241,7 @@
         tokio::time::sleep(service_time.as_duration()).await;
         match fault {
             PlainFault::Mute => std::future::pending::<()>().await,
-            PlainFault::Reset => return Err(io::Error::other("reset on command")),
+            PlainFault::Reset => return Err(io::Error::other("reset by an injected fault")),
             PlainFault::Fails
             | PlainFault::Foreign
             | PlainFault::Full
@@ -266,7 +266,7 @@
     }
 }
 
-/// Locks a mutex, also after a panic in another holder.
+/// Locks a mutex, even if a thread panicked while holding it.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -211,7 +211,7 @@
         match outage {
             Outage::Busy => Ok(Some(status(503))),
             Outage::None => Ok(None),
-            Outage::Reset => Err(io::Error::other("reset on command")),
+            Outage::Reset => Err(io::Error::other("reset by an injected fault")),
             Outage::Silent => std::future::pending().await,
         }
     }
--- a/standins/src/site/trainer.rs
+++ b/standins/src/site/trainer.rs
@@ -6,14 +6,14 @@
     prelude::BASE64_STANDARD, //
 };
 
-/// A batch of groups of items; the stand-in engines make a given number of events of each
-/// item.
+/// A batch of groups of items. Each item's body tells the stand-in engine how many events to
+/// send for it.
 #[derive(Clone, Debug)]
 pub struct Batch {
     /// The number of events of each item, by group.
     pub groups: Vec<Vec<u64>>,
     pub id: String,
-    /// The lowest weight version that may make the items' results.
+    /// The lowest weight version that may generate the items' results.
     pub least_version: u64,
     pub model: String,
     /// Whether each item has a scorer.
@@ -50,7 +50,7 @@
         format!("{}x{group}x{item}", self.id)
     }
 
-    /// The complete text that an engine makes of the item with this id.
+    /// The complete text that an engine generates for the item with this id.
     pub fn expected_text(&self, item: &str) -> String {
         let mut numbers = item.rsplit('x').map(|part| part.parse().unwrap_or(0));
         let index: usize = numbers.next().unwrap_or(0);
@@ -104,7 +104,7 @@
     /// `succeeded` or `terminated`.
     pub state: String,
     pub text: String,
-    /// The weight versions that made the text.
+    /// The weight versions that generated the text.
     pub versions: Vec<u64>,
 }
 
--- a/standins/src/site/usage_collector.rs
+++ b/standins/src/site/usage_collector.rs
@@ -133,7 +133,7 @@
             CollectorFault::Busy => {
                 return Ok(text(StatusCode::TOO_MANY_REQUESTS, "text/plain", ""));
             }
-            CollectorFault::Reset => return Err(io::Error::other("reset on command")),
+            CollectorFault::Reset => return Err(io::Error::other("reset by an injected fault")),
             CollectorFault::Lost | CollectorFault::None => {}
         }
         let (head, body) = request.into_parts();
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -106,8 +106,8 @@
         let _ = answer.await;
     }
 
-    /// Returns the calls that ran twice though they may run only once, ran though they were
-    /// refused, got the answer of another call, or were told that there is no route.
+    /// Describes the calls of at-most-once routes that ran more than once or ran though they
+    /// were refused, and all calls that got the answer of another call or were answered 404.
     pub(super) fn violations(&self, servers: &[PlainServer]) -> Vec<String> {
         let mut violations = Vec::new();
         for call in &self.calls {
@@ -132,7 +132,7 @@
         violations
     }
 
-    /// Returns the keys that reached a server, the requests that ran under a wrong
+    /// Describes the requests that reached a server with their API key or under a wrong
     /// workspace, and the calls that ran with a removed key or were denied with a valid one.
     pub(super) fn key_violations(&self, servers: &[PlainServer], keys: &Keys) -> Vec<String> {
         let mut violations = Vec::new();
--- a/standins/src/soak/fault.rs
+++ b/standins/src/soak/fault.rs
@@ -61,7 +61,7 @@
     },
     /// The process receives SIGTERM and is started again once it has exited.
     Stop { process: usize },
-    /// For `duration`, entries by another writer stand among the servers' announcements,
+    /// For `duration`, the store's server announcements include entries of another writer,
     /// some of them with the engine's address.
     ForeignEntries { engine: usize, duration: Millis },
 }
@@ -81,8 +81,8 @@
     plan
 }
 
-/// Draws replacements of keys and faults of the usage collector. They have a generator of
-/// their own, so that each seed keeps its plan of the other faults.
+/// Draws replacements of keys and faults of the usage collector. The caller passes a
+/// generator of their own, so that each seed keeps its plan of the other faults.
 pub(super) fn draw_key_and_usage_faults(
     rng: &mut impl Rng,
     duration: Millis,
--- a/standins/src/soak/process.rs
+++ b/standins/src/soak/process.rs
@@ -16,8 +16,8 @@
     sync::atomic::{AtomicU32, Ordering}, //
 };
 
-/// A program with its settings, and its process while it runs. Dropping this kills only
-/// the process that it started itself.
+/// A program with its settings, and its process while it runs. Dropping it kills that
+/// process.
 pub(super) struct Process {
     /// `None` before the start and after the process has exited.
     child: Option<Child>,
@@ -146,13 +146,12 @@
     }
 }
 
-/// The range of ports that processes listen at. It lies below the ports that the system
-/// gives to outgoing connections, so that none of these takes the port of a process that is
-/// being restarted.
+/// The range of ports that processes listen at. It lies below the system's ephemeral ports, so
+/// that no outgoing connection takes the port of a process that is being restarted.
 const PORTS: std::ops::Range<u32> = 12_000..32_000;
 
 /// Finds a free port. The search begins at a port that depends on the soak's process id,
-/// so that concurrent soaks rarely meet.
+/// so that concurrent soaks rarely try the same ports.
 fn free_port() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let start = std::process::id().wrapping_mul(61);
--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -45,7 +45,7 @@
 pub(super) struct SoakReport {
     /// The number of accepted batches.
     pub(super) batches: usize,
-    /// The promises that were broken.
+    /// A description of each violated guarantee.
     pub(super) violations: Vec<String>,
     /// The number of calls made, and of calls answered with 200.
     pub(super) calls: (usize, usize),
@@ -58,7 +58,7 @@
     EndFault(Fault),
     RestartEngine(usize),
     RestartPlain(usize),
-    /// Starts the process once it has exited.
+    /// Starts the process again, once the previous one has exited.
     StartProcess(usize),
 }
 
@@ -71,7 +71,7 @@
     clock: Clock,
     collector: UsageCollector,
     engines: Vec<Engine>,
-    /// Until when fatal calls are made, and how many were made.
+    /// Until when calls that crash their servers are made, and how many were made.
     fatal_calls: (Millis, usize),
     keys: Keys,
     /// Actions with the times at which they are due.
@@ -88,7 +88,7 @@
     version: u64,
 }
 
-/// The pause between two steps; each step makes a call and reads a batch.
+/// The pause between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A batch is submitted every this many steps.
@@ -100,7 +100,7 @@
 /// A call uses a removed key every this many steps.
 const STEPS_PER_REMOVED_KEY: usize = 7;
 
-/// How long accepted batches may take after all faults have ended.
+/// How long accepted batches may take to complete after all faults have ended.
 const FINISH_TIMEOUT: Millis = Millis(30_000);
 
 /// How long the processes have to start before the first fault.
@@ -139,7 +139,7 @@
 /// The number of crashes after which a request is quarantined.
 const MAX_CRASHES: usize = 3;
 
-/// The most trials of a quarantined request within 10 minutes.
+/// The maximum number of trials of a quarantined request within 10 minutes.
 const MAX_TRIALS: usize = 1;
 
 /// An item with this number of events crashes its engine; other items have fewer events.
@@ -148,7 +148,7 @@
 /// The time within which all gateways must learn of a crash.
 const CRASH_SYNC_TIME: Duration = Duration::from_secs(3);
 
-/// An engine's faults while none is injected: it crashes under fatal items only.
+/// An engine's faults while none is injected: only fatal items crash it.
 fn default_engine_faults() -> EngineFaults {
     EngineFaults {
         fatal_body: Some(FATAL_EVENTS.to_string()),
@@ -381,7 +381,7 @@
         runs.sum()
     }
 
-    /// Ends a fault that lasts for some time.
+    /// Ends a fault; those without a duration need no action.
     fn end_fault(&mut self, fault: Fault) {
         match fault {
             Fault::UsageCollector { .. } => self.collector.set_fault(CollectorFault::None),
@@ -412,7 +412,8 @@
         }
     }
 
-    /// Executes one step of the trainers and callers.
+    /// Acts as trainer and caller for one step: names a weight version and submits a batch if
+    /// one is due, reads a batch, and makes calls.
     async fn run_step(&mut self, seed: u64, step: usize) {
         if step % STEPS_PER_VERSION == STEPS_PER_VERSION - 1 {
             self.version += 1;
@@ -504,8 +505,9 @@
         self.check_fatal().await
     }
 
-    /// Checks that a call that has crashed three servers crashes at most one more, in its
-    /// trial, after all gateways have learnt of the crashes, whichever gateway receives it.
+    /// Checks the quarantine of the fatal call. Once it has crashed three servers and all
+    /// gateways know of the crashes, sending it to each gateway may crash one more server at
+    /// most, in its trial.
     async fn check_fatal(&mut self) -> io::Result<()> {
         self.run_deferred()?;
         tokio::time::sleep(CRASH_SYNC_TIME).await;
--- a/standins/src/soak/trainer.rs
+++ b/standins/src/soak/trainer.rs
@@ -16,6 +16,7 @@
     /// Whether any submission was answered with 202.
     pub(super) accepted: bool,
     pub(super) batch: Batch,
+    /// The violations found in answers so far.
     pub(super) violations: Vec<String>,
     /// The item that crashes each engine that runs it; it may be terminated.
     pub(super) fatal_item: Option<String>,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Reads further results; `overlap` of those known are read again and compared.
+    /// Reads further results, and reads the last `overlap` known ones again to compare them.
     pub(super) async fn read(
         &mut self,
         client: &Client,
@@ -127,7 +128,7 @@
         !self.accepted || self.results.len() >= self.batch.item_ids().len()
     }
 
-    /// All violations, including those that show only once reading has finished.
+    /// All violations, including those that can only be checked after the last read.
     pub(super) fn violations(&self) -> Vec<String> {
         let mut violations = self.violations.clone();
         let id = &self.batch.id;
--- a/standins/src/trainer/api.rs
+++ b/standins/src/trainer/api.rs
@@ -29,9 +29,12 @@
 /// The answer to a fetch.
 #[derive(Debug, Deserialize)]
 pub(super) struct Fetched {
+    /// Whether the owner has no more samples of the step to send.
     pub(super) done: bool,
+    /// The epoch of the owner's lease; it grows with each change of owner.
     pub(super) epoch: u64,
     pub(super) groups: Vec<Group>,
+    /// The number of the step's samples generated again so far, as counted by this owner.
     pub(super) regenerated: u64,
 }
 
--- a/standins/src/trainer/report.rs
+++ b/standins/src/trainer/report.rs
@@ -7,9 +7,9 @@
 pub struct Report {
     /// Samples that the steps asked for.
     pub asked: u64,
-    /// Samples that came, each counted once.
+    /// Samples delivered, each counted once.
     pub delivered: u64,
-    /// Samples that came again.
+    /// Further deliveries of samples already delivered.
     pub duplicate: u64,
     /// Fetches that failed or came from an old owner, and were repeated.
     pub failed_requests: u64,
@@ -17,13 +17,13 @@
     pub idle_ms: u64,
     /// Samples whose text doesn't match their weight versions.
     pub misversioned: u64,
-    /// Samples that never came.
+    /// Samples never delivered.
     pub missing: u64,
     /// Samples with too few or too many tokens, or with a wrong score.
     pub partial: u64,
     /// Samples generated again, as counted by the owner.
     pub regenerated: u64,
-    /// Samples beyond the limit of staleness.
+    /// Samples older than the staleness limit.
     pub stale: u64,
     /// How many versions each sample was behind at its delivery.
     pub staleness: Vec<u64>,
@@ -40,7 +40,7 @@
         self.idle_ms as f64 / self.wall_ms.max(1) as f64
     }
 
-    /// Whether all samples came once and passed their checks.
+    /// Whether each sample was delivered once and passed its checks.
     pub fn passed(&self) -> bool {
         let violations = self.duplicate
             + self.misversioned
--- a/standins/src/trainer/run.rs
+++ b/standins/src/trainer/run.rs
@@ -66,11 +66,13 @@
     version: u64,
 }
 
-/// After this time a step is given up, and its remaining samples count as missing.
+/// How long the trainer fetches the samples of one step; those still outstanding then count as
+/// missing.
 const STEP_TIMEOUT_MS: u64 = 60_000;
 
 impl Trainer<'_> {
-    /// Fetches until all samples of the step have come, or the step is given up.
+    /// Fetches until all samples of the step have arrived, the owner answers that the step is
+    /// done, or [`STEP_TIMEOUT_MS`] has passed.
     async fn collect_step(&mut self, step: u64, spec: &StepSpec) {
         let mut have = Bitmap::default();
         let wanted = spec.samples();
@@ -106,7 +108,7 @@
         self.report.missing += u64::from(wanted - have.count());
     }
 
-    /// Counts and checks a delivered sample.
+    /// Checks and counts a sample that is new; counts a duplicate otherwise.
     fn record_sample(
         &mut self,
         spec: &StepSpec,
