--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -140,7 +140,7 @@
     }
 
     /// The number of rows in a part, over all tables.
-    pub fn rows_of(&self, part: &str) -> usize {
+    pub fn rows_in_part(&self, part: &str) -> usize {
         lock(&self.inner.rows).rows_in_part(part)
     }
 
@@ -211,7 +211,7 @@
         match outage {
             Outage::Busy => Ok(Some(status(503))),
             Outage::None => Ok(None),
-            Outage::Reset => Err(io::Error::other("reset on command")),
+            Outage::Reset => Err(io::Error::other("reset by an injected fault")),
             Outage::Silent => std::future::pending().await,
         }
     }
