--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -25,7 +25,7 @@
     /// Claims bundles while the engine has free slots; `usual` is the usual pace of the
     /// service's engines, in ms per event.
     pub(super) fn plan_claims(&mut self, standing: &Standing, usual: f64, now: Millis) {
-        if !self.is_working() || self.leaving {
+        if !self.engine_accepts_work() || self.leaving {
             return;
         }
         // A bundle claimed now would have to wait until the suspect's exclusive run ends.
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -15,7 +15,7 @@
 
 impl WorkLoop {
     /// Whether the engine accepts work, by its reports and announcements.
-    pub(super) fn is_working(&self) -> bool {
+    pub(super) fn engine_accepts_work(&self) -> bool {
         self.incarnation.borrow().is_some()
     }
 
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -51,7 +51,7 @@
             slower: self.kind.slower,
             steady: self.kind.steady,
             token: self.token,
-            working: self.is_working(),
+            working: self.engine_accepts_work(),
         };
         // A change of the pace alone triggers no heartbeat: it changes all the time.
         let comparable = Heartbeat {
@@ -82,7 +82,7 @@
     /// in the store, recorded for the items that ran there. Otherwise the runners that
     /// take these items over would run them next to others, like items without a crash.
     fn is_withheld(&self, now: Millis) -> bool {
-        let ends = self.heartbeat.last.working && !self.is_working();
+        let ends = self.heartbeat.last.working && !self.engine_accepts_work();
         let late = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL + CRASH_SHARE_TIMEOUT;
         ends && !late && !self.engine.crashes.are_shared()
     }
--- a/src/runner/items.rs
+++ b/src/runner/items.rs
@@ -32,7 +32,7 @@
         let Some(batch) = self.batches.get(id) else {
             return;
         };
-        if standing.home.as_ref() != Some(&batch.head.model) || !self.is_working() {
+        if standing.home.as_ref() != Some(&batch.head.model) || !self.engine_accepts_work() {
             return;
         }
         let bundles = 0..batch.head.bundles.len() as u16;
