--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -141,7 +141,7 @@
     stable_hash(&[instance.as_bytes(), address.to_string().as_bytes()])
 }
 
-/// The slot among the [`ROOT_COUNT`] that `instance` tries to take first.
+/// The root slot, of [`ROOT_COUNT`], that `instance` tries to claim first.
 pub fn first_slot(instance: &str) -> usize {
     stable_hash(&[instance.as_bytes()]) as usize % ROOT_COUNT
 }
--- a/src/policy/start_order.rs
+++ b/src/policy/start_order.rs
@@ -13,13 +13,14 @@
     /// The batch, by its index in the runner's own list.
     pub batch: usize,
     pub mode: StepMode,
-    /// The expected output tokens of its waiting bundles that the trainer waits for.
+    /// The expected output tokens of the step's waiting bundles, without surplus ones.
     pub work: u64,
 }
 
-/// Sets the modes and the positions of the `offers` that wait for a runner and are of
-/// the runner's home model. Clears their `surplus` while there are enough engines for
-/// all waiting work. Returns the plan of each step.
+/// Sets the positions of the `offers` that wait for a runner and are of the runner's home
+/// model. Also sets the modes of all offers of their steps, held ones included, and clears
+/// the `surplus` of these offers while there are enough engines for all waiting work.
+/// Returns the plan of each step.
 pub fn plan_start_order(offers: &mut [Offer], supply: Supply, now: Millis) -> Vec<StepPlan> {
     let waiting_steps = waiting_steps(offers);
     let steps: Vec<OpenStep> = waiting_steps.values().copied().collect();
--- a/src/policy/step_mode.rs
+++ b/src/policy/step_mode.rs
@@ -60,7 +60,8 @@
 
 /// While all waiting work will have started this long before its step is due, surplus
 /// groups go together with the others: there are engines enough for all. They may also
-/// be complete before a group with a text that takes nearly as long as a step may.
+/// be complete before a group whose longest text takes nearly as long as a step may; the
+/// trainer accepts either.
 const AMPLE_SLACK: Millis = Millis(5_000);
 
 /// Whether all waiting work of a model's open `steps` will start early enough for
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -130,7 +130,7 @@
         matches!(*self.role.borrow(), Role::Child(_))
     }
 
-    /// The store client that this process shares.
+    /// The store client of this process.
     pub fn store(&self) -> &Store {
         &self.store
     }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -99,7 +99,8 @@
         page.map_or(Reply::Forgotten, Reply::Page)
     }
 
-    /// Accepts the instance `from` as a child if its tables can be served within `hold`.
+    /// Accepts the instance `from` as a child if all tables that this process follows can
+    /// be served within `hold`.
     async fn admit_child(&self, from: &str, hold: Millis) -> Reply {
         self.start_retaining_rows();
         let tables = self.all_tables();
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -17,13 +17,14 @@
 };
 use std::sync::atomic::Ordering;
 
-/// The wait after a claim or read that the store failed. Without it, nine runners sent
+/// The wait after a failed claim or read in the store. Without it, nine runners sent
 /// 35,000 requests in a 16 s outage to a store that refused each one immediately.
 pub(super) const STORE_RETRY_DELAY: Millis = Millis(200);
 
 impl WorkLoop {
-    /// Claims bundles while the engine has free slots; `usual` is the usual pace of the
-    /// service's engines, in ms per event.
+    /// Claims bundles while the engine has free slots. While the store is unreachable,
+    /// runs the bundles that are assigned to this runner, without new claims. `usual` is
+    /// the usual pace of the service's engines, in ms per event.
     pub(super) fn plan_claims(&mut self, standing: &Standing, usual: f64, now: Millis) {
         if !self.engine_accepts_work() || self.leaving {
             return;
@@ -79,8 +80,8 @@
     }
 
     /// Runs a bundle without a claim while the store is unreachable. The results stay in
-    /// memory until it is back. On a day with 12 s of outages this is what lets steps
-    /// that were accepted before an outage finish in time.
+    /// memory until it is back. Without such runs, on a day with 12 s of outages, steps
+    /// that were accepted before an outage would not finish in time.
     fn run_unclaimed(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -14,9 +14,9 @@
 /// The time between heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
-/// The longest time for which the report of a gone engine, or the release of a bundle,
-/// waits until the engine's crashes are in the store: enough for a few write attempts, and
-/// too short for others to consider this runner dead.
+/// The longest time for which the heartbeat that reports the engine gone, or the release
+/// of a bundle, waits until the engine's crashes are in the store: enough for a few write
+/// attempts, and too short for others to consider this runner dead.
 pub(super) const CRASH_SHARE_TIMEOUT: Millis = Millis(600);
 
 /// The wait before another attempt to write the first heartbeat.
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -215,20 +215,20 @@
 }
 
 impl OpenBatch {
-    /// Unfinished bundles that no runner holds.
+    /// Unfinished bundles without a claim, or with a released one.
     fn waiting_bundles(&self) -> impl Iterator<Item = u16> {
         let bundles = 0..self.head.bundles.len() as u16;
         bundles.filter(|bundle| !self.is_held(*bundle) && !self.unfinished(*bundle).is_empty())
     }
 
-    /// Whether a runner holds `bundle`.
+    /// Whether `bundle` is claimed and not released; its holder may no longer work.
     fn is_held(&self, bundle: u16) -> bool {
         let held = self.claims.get(&bundle);
         held.is_some_and(|held| !held.claim.is_released())
     }
 
-    /// Whether an unclaimed bundle is assigned to `place`, which is this runner's, and not
-    /// among its bundles yet.
+    /// Whether a waiting bundle is assigned to this runner, whose place is `place`, and is
+    /// not among this runner's bundles yet.
     fn waits_for(&self, place: Place) -> bool {
         let mine = |bundle: &u16| {
             place.owns(self.order_of(*bundle)) && !self.own_bundles.contains_key(bundle)
--- a/src/runner/suspects.rs
+++ b/src/runner/suspects.rs
@@ -311,7 +311,7 @@
     /// draining. A run is kept while the report shows neither.
     ///
     /// An engine that restarts at once looks as if it had not ended. The run's attempt
-    /// stays claimed until this is decided: another one could crash another engine.
+    /// stays claimed until this is decided: another attempt could crash another engine.
     pub(super) fn resolve_broken_runs(&self, present: &ServerIncarnation, seen: Millis) {
         self.broken_runs().retain(|run| {
             let alive = run.incarnation == *present && seen > run.at + MAX_REPORT_DELAY;
@@ -404,7 +404,8 @@
         // again, so that the item does not run twice at once and crash two engines.
         let item = &task.item.id;
         tracing::info!(item, %request, "giving a suspect back after its engine crashed");
-        // Given back before that, the bundle would be claimed here again at once.
+        // A bundle released before the work loop knows of the crash would be claimed here
+        // again at once.
         self.wait_until_noticed(incarnation).await;
         AfterRun::GiveBack
     }
--- a/src/runner/sweep.rs
+++ b/src/runner/sweep.rs
@@ -69,7 +69,8 @@
 }
 
 impl OpenBatch {
-    /// Sets the result of every item that is not listed to "given up".
+    /// Sets the result of every item that is not listed to "given up". Must be called only
+    /// while no results wait to be listed: it would replace them.
     fn give_up_items(&mut self, id: &str) {
         let items = self.head.items.iter().enumerate();
         let open = items.filter(|(index, _)| !self.log.contains(*index as u16));
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -43,7 +43,7 @@
 /// How often the clock is synchronised with the other gateways.
 const CLOCK_SYNC_INTERVAL: Millis = Millis(5_000);
 
-/// The delay after a call that the store failed.
+/// The delay after a failed call to the store.
 const RETRY_DELAY: Millis = Millis(200);
 
 impl Counter {
--- a/src/view/confirm.rs
+++ b/src/view/confirm.rs
@@ -20,8 +20,8 @@
 /// once, so that no caller is rejected by an outdated configuration.
 const MIN_CONFIRM_INTERVAL: Millis = Millis(50);
 
-/// Confirms the configuration regularly and on request, until the program ends. Needed
-/// only where the configuration's age is limited.
+/// Confirms the configuration regularly and on request, until the program ends. Only
+/// programs that limit the configuration's age need this.
 pub async fn confirm_config(site: Arc<Site>, store: Store) {
     let key = Key::new(OPERATOR_TABLE, "", CONFIG_KEY);
     let mut applied_revision = 0;
