--- a/src/base/fingerprint.rs
+++ b/src/base/fingerprint.rs
@@ -14,8 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintInput<'a> {
     pub body: &'a [u8],
-    /// The credential that authenticates the caller; empty if there is none.
-    pub credential: &'a [u8],
+    /// Tells callers apart: the workspace's name, or else the `Authorization` header. Empty
+    /// if the request has neither.
+    pub caller: &'a [u8],
     pub host: &'a str,
     /// The id of a batch item, which stays the same over its retries. It tells the items
     /// of a group apart, which have the same content but run as separate requests. Empty
@@ -33,7 +34,7 @@
             input.method.as_bytes(),
             input.host.as_bytes(),
             input.path.as_bytes(),
-            input.credential,
+            input.caller,
             input.id.as_bytes(),
             input.body,
         ]))
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -138,7 +138,7 @@
         let target = target.map_or_else(|| path.to_owned(), ToString::to_string);
         let fingerprint = Fingerprint::of(FingerprintInput {
             body: &body,
-            credential: caller_identity(workspace.as_deref(), &head),
+            caller: caller_identity(workspace.as_deref(), &head),
             host,
             id: "",
             method: head.method.as_str(),
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -194,7 +194,7 @@
 pub(super) fn fingerprint(host: &str, item: &Item) -> Fingerprint {
     Fingerprint::of(FingerprintInput {
         body: &item.body,
-        credential: &[],
+        caller: &[],
         host,
         id: &item.id,
         method: Method::POST.as_str(),
--- a/src/runner/score.rs
+++ b/src/runner/score.rs
@@ -114,7 +114,7 @@
 fn fingerprint(scorer: &Scorer) -> Fingerprint {
     Fingerprint::of(FingerprintInput {
         body: &scorer.body,
-        credential: &[],
+        caller: &[],
         host: &scorer.host,
         id: &scorer.id,
         method: Method::POST.as_str(),
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -27,7 +27,7 @@
 fn request(body: &str) -> Fingerprint {
     Fingerprint::of(FingerprintInput {
         body: body.as_bytes(),
-        credential: b"",
+        caller: b"",
         host: "site.example",
         id: "",
         method: "POST",
@@ -162,13 +162,13 @@
     assert_eq!(old.len(), 1);
 }
 
-/// A fingerprint identifies a request by its content, host and credential, and by the
+/// A fingerprint identifies a request by its content, host and caller, and by the
 /// id that is given for it.
 #[test]
 fn a_fingerprint_identifies_a_requests_content() {
     let asked = FingerprintInput {
         body: b"body",
-        credential: b"key",
+        caller: b"key",
         host: "host",
         id: "",
         method: "POST",
@@ -182,7 +182,7 @@
             ..asked
         },
         FingerprintInput {
-            credential: b"",
+            caller: b"",
             ..asked
         },
         FingerprintInput {
