--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Fails and abandons the running jobs whose deadline has passed.
+    /// Fails and abandons the running jobs whose deadline has passed. Also stops abandoned
+    /// calls that have run for too long after their deadline.
     pub(super) fn expire(&mut self, now: Millis) {
         self.stop_abandoned(now);
         let late: Vec<JobKey> = self
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -318,8 +318,8 @@
             return;
         }
         // A running request needs no answer here: its own end is the answer. An unknown
-        // one has never arrived, and the tombstone refuses a copy that arrives later, so
-        // `NotRun` stays true.
+        // one has never arrived, and the queue now keeps a tombstone that refuses a copy
+        // that arrives later, so `NotRun` stays true.
         if self.job(link, slot).is_none() && self.ledger.account(request).is_none() {
             let failure = Failure::not_run(Cause::Cancelled, "the request never arrived");
             self.send_to(link, FromAgent::Failed { slot, failure });
--- a/src/base/fingerprint.rs
+++ b/src/base/fingerprint.rs
@@ -5,8 +5,9 @@
 
 /// The hash of a request's content.
 ///
-/// Each attempt and each retry has its own request id. Requests of the same caller to the
-/// same service with the same content have the same fingerprint, in every process.
+/// Each attempt and each retry has its own request id. Requests of the same caller with the
+/// same method, host, path and body have the same fingerprint, in every process; items of a
+/// batch are told apart by their ids as well.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(u64);
 
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -108,6 +108,7 @@
     if echoed.is_none_or(|echoed| echoed.as_bytes() != id.as_bytes()) {
         return failed("foreign-answer", false, Verdict::MayHaveRun);
     }
+    // Only a signed response without a content encoding is forwarded to the caller.
     let is_signed = platform::signature(&answer.headers).is_some();
     let encoded = answer.headers.contains_key(hyper::header::CONTENT_ENCODING);
     if !is_signed || encoded {
--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -223,9 +223,9 @@
     }
 }
 
-/// Whether the answer has status 500, which counts as a failure. Other server
-/// errors don't count: a server answers with one of them when the deadline has passed because
-/// earlier attempts used up the time, and a batch item was once given up because of that.
+/// Whether the answer has status 500, which counts as a failure. Other server errors don't
+/// count: a server also answers with one when the deadline has passed because earlier attempts
+/// used up the time, and a batch item must not be given up because of that.
 fn is_failure(answer: &FullResponse) -> bool {
     answer.status == StatusCode::INTERNAL_SERVER_ERROR
 }
--- a/src/entry/app_api.rs
+++ b/src/entry/app_api.rs
@@ -40,7 +40,7 @@
     /// Requests to the duty that claims request keys.
     pub(super) claims: mpsc::Sender<ClaimRequest>,
     pub(super) clock: Clock,
-    /// Receives the ids of requests whose whole answer was handed over.
+    /// Receives the ids of requests whose whole answer was handed to the caller's connection.
     pub(super) delivered: mpsc::Sender<RequestId>,
     pub(super) directory: watch::Receiver<Arc<Directory>>,
     pub(super) request_ids: RequestIds,
--- a/src/entry/reply_body.rs
+++ b/src/entry/reply_body.rs
@@ -29,13 +29,14 @@
 
 /// The replies to one call, and the credit that is owed for them.
 pub(super) struct Replies {
-    /// Receives the ids of requests whose whole answer was handed over.
+    /// Receives the id of the request once its whole answer was handed to the caller's
+    /// connection.
     pub(super) delivered: mpsc::Sender<RequestId>,
     /// The length of the body, if the response has a `content-length`.
     pub(super) expected_length: Option<u64>,
     /// The credit for consumed replies that was not returned to the agent yet.
     pub(super) owed_credit: u32,
-    /// The bytes of the body handed over so far.
+    /// The bytes of the response body handed to the caller's connection so far.
     pub(super) bytes_sent: u64,
     pub(super) receiver: mpsc::Receiver<Reply>,
     pub(super) request: RequestId,
--- a/src/entry/swaps.rs
+++ b/src/entry/swaps.rs
@@ -129,6 +129,7 @@
                 version = target.0,
                 fence,
                 chosen = chosen_view.map(|view| view.name.as_str()),
+                // All usable engines of the pool, also those that have the target version.
                 lagging = engines.len(),
                 reason = "oldest weights first",
                 "swap of weights ordered"
--- a/src/operator/steps.rs
+++ b/src/operator/steps.rs
@@ -14,8 +14,9 @@
 };
 
 /// Show how each step spent its time, from the logs of gateways and runners: one
-/// line per step, along the last result that its trainer received. Times are in
-/// s; the logs of several processes can be in any order.
+/// line per step, for the item whose result was listed last before the trainer
+/// ended the step. Times are in s; the logs of several processes can be in any
+/// order.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steps")]
 pub(super) struct StepsCommand {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -32,7 +32,8 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError}, //
 };
 
-/// A client of the store; clones share their connections and what they learned.
+/// A client of the store. Clones share their connections, and what their calls show of the
+/// store: whether it is reachable, its latency and its clock.
 #[derive(Clone)]
 pub struct Store {
     pub(super) clock: Clock,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! What a request is routed by: the operators' configuration and the backend servers'
-//! announcements.
+//! The data by which requests are routed: the operators' configuration and the backend
+//! servers' announcements.
 
 mod config;
 mod directory;
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -20,8 +20,9 @@
 pub struct DrainSettings {
     /// After this long the stop is forced, and the requests that it cuts are counted.
     pub timeout: Millis,
-    /// How long a stopping process still accepts requests, because others may have sent them
-    /// before they learned of the stop.
+    /// How long a stopping process stays reachable at least, because others may have sent
+    /// requests before they learned of the stop. An entry still accepts callers' requests; an
+    /// agent refuses those of entries, which then know that these requests did not run.
     pub close_delay: Millis,
 }
 
@@ -80,7 +81,7 @@
         blake3::Hash::from_bytes(key).to_string()
     }
 
-    /// Reads the shared settings from the root of the document.
+    /// Reads these settings from the root of the document.
     pub fn read(reader: &Reader<'_>) -> Self {
         let drain = reader.section("drain");
         let listen = reader.section("listen");
