--- a/src/agent/engine_access.rs
+++ b/src/agent/engine_access.rs
@@ -35,7 +35,7 @@
 
 /// The number of successive failed requests for the state from which the engine counts as
 /// unusable.
-pub(super) const FAILURE_LIMIT: u32 = 2;
+pub(super) const FAILURE_THRESHOLD: u32 = 2;
 
 /// Coordinates generations and orders at the engine.
 ///
@@ -103,11 +103,11 @@
         self.confirmed.borrow().state.clone()
     }
 
-    /// Whether the engine has answered and has not failed [`FAILURE_LIMIT`] times in a row
+    /// Whether the engine has answered and has not failed [`FAILURE_THRESHOLD`] times in a row
     /// since.
     pub(super) fn is_usable(&self) -> bool {
         let confirmed = self.confirmed.borrow();
-        confirmed.answers > 0 && confirmed.failures < FAILURE_LIMIT
+        confirmed.answers > 0 && confirmed.failures < FAILURE_THRESHOLD
     }
 
     /// Notifies of each answer and each failure.
--- a/src/agent/jobs.rs
+++ b/src/agent/jobs.rs
@@ -76,7 +76,7 @@
         };
         match self.queue.offer(now, item) {
             OfferOutcome::Queued(displaced) => {
-                self.ledger.note(now, request, Event::Queued);
+                self.ledger.record(now, request, Event::Queued);
                 if let Some(item) = displaced {
                     let limit = self.settings.backend.max_queued;
                     self.refuse(item.key, agent_queue::overload_failure(limit));
@@ -107,14 +107,14 @@
         let request = job.start.request;
         match end.outcome {
             Ok(spans) => {
-                self.note_versions(now, &job, spans);
-                self.ledger.note(now, request, Event::Finished);
+                self.record_versions(now, &job, spans);
+                self.ledger.record(now, request, Event::Finished);
             }
             Err(failure) => {
                 if failure.verdict == Verdict::NotRun {
                     self.release_key(&job.start);
                 }
-                self.note_failure(now, &job.start, &failure);
+                self.record_failure(now, &job.start, &failure);
             }
         }
         self.run_next();
@@ -247,11 +247,11 @@
         if started {
             let failure = Failure::may_have_run(cause, "");
             self.queue.finish(job.team);
-            self.note_failure(now, &job.start, &failure);
+            self.record_failure(now, &job.start, &failure);
             self.run_next();
         } else {
             self.release_key(&job.start);
-            self.note_failure(now, &job.start, &Failure::not_run(cause, ""));
+            self.record_failure(now, &job.start, &Failure::not_run(cause, ""));
         }
     }
 
@@ -264,7 +264,7 @@
         job.started_at = Some(now);
         let server = self.settings.common.instance.clone();
         let started = Event::Started { server };
-        self.ledger.note(now, job.start.request, started);
+        self.ledger.record(now, job.start.request, started);
 
         let (io, parts, start) = (job.io.clone(), job.body_receiver.take(), job.start.clone());
         let address = self.settings.backend.address;
@@ -297,24 +297,24 @@
     }
 
     /// Adds the failure to the account of the request.
-    fn note_failure(&mut self, now: Millis, start: &Start, failure: &Failure) {
+    fn record_failure(&mut self, now: Millis, start: &Start, failure: &Failure) {
         let (cause, verdict) = (failure.cause, failure.verdict);
         let event = Event::Failed { cause, verdict };
-        self.ledger.note(now, start.request, event);
+        self.ledger.record(now, start.request, event);
     }
 
     /// Adds the weight versions of a generation to the account of its request.
-    fn note_versions(&mut self, now: Millis, job: &Job, spans: Vec<Span>) {
+    fn record_versions(&mut self, now: Millis, job: &Job, spans: Vec<Span>) {
         if let Work::Generate(generation) = &job.start.work {
             let model = generation.model.clone();
             let event = Event::Versions { model, spans };
-            self.ledger.note(now, job.start.request, event);
+            self.ledger.record(now, job.start.request, event);
         }
     }
 
     /// Records the failure and sends it to the entry.
     fn reject(&mut self, now: Millis, io: &JobIo, start: &Start, failure: Failure) {
-        self.note_failure(now, start, &failure);
+        self.record_failure(now, start, &failure);
         let slot = io.slot;
         io.try_send(FromAgent::Failed { slot, failure });
     }
--- a/src/agent/run_generation.rs
+++ b/src/agent/run_generation.rs
@@ -1,7 +1,7 @@
 //! Runs one generation at the model engine, and labels its tokens with weight versions.
 
 use super::{
-    engine_access::{ConfirmedState, EngineAccess, FAILURE_LIMIT, version_between},
+    engine_access::{ConfirmedState, EngineAccess, FAILURE_THRESHOLD, version_between},
     job_io::JobIo, //
 };
 use crate::{
@@ -162,7 +162,7 @@
         before: &Arc<EngineState>,
     ) -> Result<Option<WeightVersion>, Failure> {
         let confirmed = watch.borrow_and_update();
-        if confirmed.failures >= FAILURE_LIMIT {
+        if confirmed.failures >= FAILURE_THRESHOLD {
             let detail = "the engine stopped answering";
             return Err(Failure::may_have_run(Cause::BackendBroken, detail));
         }
--- a/src/calls/dispatcher.rs
+++ b/src/calls/dispatcher.rs
@@ -365,7 +365,7 @@
                 let service = state.typical_latency.entry(sent.server.service.clone());
                 let average = service.or_default();
                 let typical = average.value();
-                average.note(taken);
+                average.record(taken);
                 state.servers.record_success(server, now, typical, taken);
             }
             AttemptOutcome::Failed {
--- a/src/calls/server_records.rs
+++ b/src/calls/server_records.rs
@@ -52,14 +52,14 @@
 }
 
 /// How long a server's load report is used; calls last tens of milliseconds.
-const REPORT_MAX_AGE: Millis = Millis(300);
+const MAX_REPORT_AGE: Millis = Millis(300);
 
 /// A cleanup drops the records of servers that were sent no call for this long.
-const RECORD_MAX_IDLE: Millis = Millis(60_000);
+const MAX_RECORD_IDLE: Millis = Millis(60_000);
 
 /// How long after a request was abandoned (its caller disconnected, or its deadline
 /// passed) the server may still be running it, so that a crash counts against it.
-const ABANDONED_MAX_AGE: Millis = Millis(3_000);
+const MAX_ABANDONED_AGE: Millis = Millis(3_000);
 
 /// The most pending requests recorded per server; its slots and queue hold fewer.
 const MAX_PENDING: usize = 256;
@@ -80,7 +80,7 @@
         now: Millis,
     ) -> Candidate {
         let record = self.records.get(&server.incarnation);
-        let recent = |(load, at): (u32, Millis)| (now.since(at) < REPORT_MAX_AGE).then_some(load);
+        let recent = |(load, at): (u32, Millis)| (now.since(at) < MAX_REPORT_AGE).then_some(load);
         Candidate {
             connected: false,
             in_flight: record.map_or(0, |record| record.in_flight),
@@ -99,7 +99,7 @@
     pub(super) fn begin_call(&mut self, server: &ServerIncarnation, now: Millis) {
         if self.records.len() > CLEANUP_THRESHOLD {
             let unused = |record: &Record| {
-                record.in_flight == 0 && now.since(record.last_used) > RECORD_MAX_IDLE
+                record.in_flight == 0 && now.since(record.last_used) > MAX_RECORD_IDLE
             };
             self.records.retain(|_, record| !unused(record));
         }
@@ -127,7 +127,7 @@
     ) {
         if let Some(record) = self.records.get_mut(server) {
             record.breaker.record_success();
-            record.latency.note(now, typical, taken);
+            record.latency.record(now, typical, taken);
         }
     }
 
@@ -151,7 +151,7 @@
         waited: f64,
     ) {
         if let Some(record) = self.records.get_mut(server) {
-            record.latency.note(now, typical, waited);
+            record.latency.record(now, typical, waited);
         }
     }
 
@@ -293,7 +293,7 @@
         let recent = |pending: &PendingRequest| {
             pending
                 .abandoned_at
-                .is_some_and(|at| now.since(at) < ABANDONED_MAX_AGE)
+                .is_some_and(|at| now.since(at) < MAX_ABANDONED_AGE)
         };
         let abandoned: Vec<PendingRequest> = abandoned;
         let recent = abandoned.into_iter().filter(recent);
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -37,12 +37,12 @@
                 "call refused by admission"
             );
             self.ledger
-                .note(now, request, Event::Failed { cause, verdict });
+                .record(now, request, Event::Failed { cause, verdict });
             let _ = new.reply.try_send(Reply::Failed(failure));
             return;
         }
 
-        self.ledger.note(now, request, Event::Admitted);
+        self.ledger.record(now, request, Event::Admitted);
         let key = self.calls.insert(Call::new(new, now));
         self.call_keys.insert(request, key);
         self.route(key);
@@ -157,7 +157,7 @@
             reason: reason.word().to_owned(),
             server: target.instance.name.clone(),
         };
-        self.ledger.note(now, start.request, routed);
+        self.ledger.record(now, start.request, routed);
 
         let start = ToAgent::Start(Box::new(start));
         let sent = target
--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -137,7 +137,7 @@
                     cause: failure.cause,
                     verdict: failure.verdict,
                 };
-                self.ledger.note(now, call.spec.request, event);
+                self.ledger.record(now, call.spec.request, event);
                 call.drop_unconfirmed();
                 call.next_try = now + wait;
                 if wait == Millis(0) {
@@ -159,7 +159,7 @@
         }
         let (cause, verdict) = (failure.cause, failure.verdict);
         let event = Event::Failed { cause, verdict };
-        self.ledger.note(now, call.spec.request, event);
+        self.ledger.record(now, call.spec.request, event);
         metrics::counter!("redwing_calls_failed_total", "cause" => cause.word()).increment(1);
         call.reply(Reply::Failed(failure));
     }
@@ -169,7 +169,7 @@
     pub(super) fn record_delivered(&mut self, requests: &[RequestId]) {
         let now = self.context.clock.now();
         for request in requests {
-            self.ledger.note(now, *request, Event::Delivered);
+            self.ledger.record(now, *request, Event::Delivered);
         }
     }
 
@@ -238,16 +238,16 @@
             server.health.record_success();
             server
                 .latency
-                .note(now, DEFAULT_LATENCY_MS, call.scaled_duration(attempt, now));
+                .record(now, DEFAULT_LATENCY_MS, call.scaled_duration(attempt, now));
         }
         let request = call.spec.request;
         if let Some(model) = call.model() {
             let model = model.to_owned();
             let spans = call.spans.clone();
             self.ledger
-                .note(now, request, Event::Versions { model, spans });
+                .record(now, request, Event::Versions { model, spans });
         }
-        self.ledger.note(now, request, Event::Finished);
+        self.ledger.record(now, request, Event::Finished);
         metrics::counter!("redwing_calls_finished_total").increment(1);
         let pool = (call.spec.team.clone(), call.spec.pool.clone());
         if let Some(budget) = self.retry_budgets.get_mut(&pool) {
--- a/src/net/idle_connection.rs
+++ b/src/net/idle_connection.rs
@@ -20,7 +20,7 @@
 /// How long a connection may have been idle to carry a request that must run at most once.
 /// Backend servers close idle connections, and a request that is sent while the server
 /// closes its connection may or may not have run.
-pub(super) const FRESH_MAX_IDLE: Millis = Millis(1_000);
+pub(super) const MAX_FRESH_IDLE: Millis = Millis(1_000);
 
 /// How long before the peer's announced keep-alive timeout a connection is no longer
 /// reused, so that no request is sent while the peer closes it.
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -4,7 +4,7 @@
     CallError,
     StreamBody,
     call_error::{BrokenSnafu, ConnectSnafu, TimeoutSnafu, TooLargeSnafu},
-    idle_connection::{FRESH_MAX_IDLE, IdleConnection, closes_connection, usable_until}, //
+    idle_connection::{IdleConnection, MAX_FRESH_IDLE, closes_connection, usable_until}, //
 };
 use crate::base::{
     Clock,
@@ -99,13 +99,13 @@
     }
 
     /// Takes the most recently used connection, as the peer is least likely to close that
-    /// one; with `fresh_only`, only if it has been idle for at most [`FRESH_MAX_IDLE`].
+    /// one; with `fresh_only`, only if it has been idle for at most [`MAX_FRESH_IDLE`].
     fn take(&self, fresh_only: bool) -> Option<IdleConnection> {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|connection| !connection.sender.is_closed() && connection.usable_until > now);
         let stale = |connection: &IdleConnection| {
-            fresh_only && now.since(connection.idle_since) > FRESH_MAX_IDLE
+            fresh_only && now.since(connection.idle_since) > MAX_FRESH_IDLE
         };
         match idle.last().is_some_and(stale) {
             true => None,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -48,7 +48,7 @@
 pub const MAX_READ_ROWS: usize = 500;
 
 /// How much longer a call for changes may take than the store is asked to wait.
-const FEED_EXTRA_TIMEOUT: Millis = Millis(600);
+const FEED_TIMEOUT_MARGIN: Millis = Millis(600);
 
 impl Store {
     /// Creates a client of the store at `address`.
@@ -221,12 +221,12 @@
             true => Millis(0),
             false => hold,
         };
-        self.wait_reachable(FEED_EXTRA_TIMEOUT).await?;
+        self.wait_reachable(FEED_TIMEOUT_MARGIN).await?;
         let path = format!(
             "/redwingpond/rows-feed?table={table}&startAfter={after}&waitMs={}",
             hold.0
         );
-        let within = hold + FEED_EXTRA_TIMEOUT;
+        let within = hold + FEED_TIMEOUT_MARGIN;
         let answer = self.call(Method::GET, &path, Vec::new(), within).await?;
         self.listing(&answer)
     }
@@ -248,8 +248,8 @@
         // A connection that is refused or breaks before the timeout says nothing about
         // the store's latency.
         match &result {
-            Ok(_) => self.call_timeout().note(now, taken),
-            Err(_) if taken >= within => self.call_timeout().note_timeout(),
+            Ok(_) => self.call_timeout().record(now, taken),
+            Err(_) if taken >= within => self.call_timeout().record_timeout(),
             Err(_) => {}
         }
         result
--- a/src/policy/adaptive_timeout.rs
+++ b/src/policy/adaptive_timeout.rs
@@ -45,15 +45,15 @@
     }
 
     /// Records an answer that took `taken`.
-    pub fn note(&mut self, now: Millis, taken: Millis) {
-        self.latency.note(now, UNKNOWN_LATENCY, taken.0 as f64);
+    pub fn record(&mut self, now: Millis, taken: Millis) {
+        self.latency.record(now, UNKNOWN_LATENCY, taken.0 as f64);
         self.timeouts = 0;
     }
 
     /// Records a call that timed out. A single answer may have been lost, which shows
     /// nothing about the latency of others; several in a row show that the store is
     /// slow.
-    pub fn note_timeout(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.timeouts = self.timeouts.saturating_add(1);
     }
 }
--- a/src/policy/agent_queue.rs
+++ b/src/policy/agent_queue.rs
@@ -65,7 +65,7 @@
     capacity: u32,
     /// Whether all further offers are refused.
     draining: bool,
-    max_waiting: usize,
+    max_queued: usize,
     policy: Policy,
     running: u32,
     /// The number of running requests of each team.
@@ -81,12 +81,12 @@
 
 impl<K: Copy + PartialEq> AgentQueue<K> {
     /// A queue for a server that runs `capacity` requests at once; at most
-    /// `max_waiting` requests wait.
-    pub fn new(policy: Policy, capacity: u32, max_waiting: usize) -> Self {
+    /// `max_queued` requests wait.
+    pub fn new(policy: Policy, capacity: u32, max_queued: usize) -> Self {
         Self {
             capacity,
             draining: false,
-            max_waiting,
+            max_queued,
             policy,
             running: 0,
             teams: HashMap::new(),
@@ -163,10 +163,10 @@
             return self.offer_baseline(item);
         }
 
-        let displaced = match self.queued() >= self.max_waiting {
+        let displaced = match self.queued() >= self.max_queued {
             true => match self.displace(&item) {
                 Some(displaced) => Some(displaced),
-                None => return OfferOutcome::Refused(overload_failure(self.max_waiting)),
+                None => return OfferOutcome::Refused(overload_failure(self.max_queued)),
             },
             false => None,
         };
@@ -239,8 +239,8 @@
 
     /// Queues `item` under [`Policy::Baseline`].
     fn offer_baseline(&mut self, item: Item<K>) -> OfferOutcome<K> {
-        if self.queued() >= self.max_waiting {
-            return OfferOutcome::Refused(overload_failure(self.max_waiting));
+        if self.queued() >= self.max_queued {
+            return OfferOutcome::Refused(overload_failure(self.max_queued));
         }
         self.waiting[0].push(0, item);
         OfferOutcome::Queued(None)
@@ -248,8 +248,8 @@
 }
 
 /// The failure of a request that finds the queue full.
-pub fn overload_failure(max_waiting: usize) -> Failure {
-    let detail = format!("{max_waiting} requests wait for the backend server");
+pub fn overload_failure(max_queued: usize) -> Failure {
+    let detail = format!("{max_queued} requests wait for the backend server");
     Failure::not_run(Cause::Overloaded, detail).retry_after(Millis(100))
 }
 
--- a/src/policy/key_claims.rs
+++ b/src/policy/key_claims.rs
@@ -64,7 +64,7 @@
 pub const MAX_ROWS: usize = 16;
 
 /// The most claims that may wait; further claims are refused.
-pub const MAX_WAITING: usize = 512;
+pub const MAX_QUEUED: usize = 512;
 
 impl ClaimQueue {
     /// An empty queue whose granted keys are kept for `window`.
@@ -80,7 +80,7 @@
 
     /// Queues a claim; returns false if too many wait.
     pub fn push(&mut self, wanted: PendingClaim) -> bool {
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_QUEUED {
             return false;
         }
         self.waiting.push_back(wanted);
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -35,7 +35,7 @@
     }
 
     /// Adds a sample: a request took `taken` ms.
-    pub fn note(&mut self, now: Millis, usual: f64, taken: f64) {
+    pub fn record(&mut self, now: Millis, usual: f64, taken: f64) {
         let before = self.estimate(now, usual);
         let weight = if taken > before {
             RISE_WEIGHT
@@ -57,11 +57,11 @@
         let mut latency = Latency::default();
         assert!((latency.estimate(Millis(5_000), usual) - usual).abs() < 0.1);
         for _ in 0..100 {
-            latency.note(Millis(0), usual, 20.0);
+            latency.record(Millis(0), usual, 20.0);
         }
         assert!((latency.estimate(Millis(0), usual) - 20.0).abs() < 0.1);
         for _ in 0..3 {
-            latency.note(Millis(0), usual, 200.0);
+            latency.record(Millis(0), usual, 200.0);
         }
         assert!(latency.estimate(Millis(0), usual) > 170.0);
         assert!(latency.estimate(HALF_LIFE, usual) < 100.0);
--- a/src/policy/ledger.rs
+++ b/src/policy/ledger.rs
@@ -36,7 +36,7 @@
     }
 
     /// Adds `event` to the account of `request`, if it is still kept.
-    pub fn note(&mut self, now: Millis, request: RequestId, event: Event) {
+    pub fn record(&mut self, now: Millis, request: RequestId, event: Event) {
         if let Some(account) = self.accounts.get_mut(&request) {
             account.record(now, event);
         }
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -38,7 +38,7 @@
 
 impl Pace {
     /// Adds the gap between two events of a run, in ms.
-    pub fn note(&mut self, gap: f64) {
+    pub fn record(&mut self, gap: f64) {
         let most = match self.value > 0.0 {
             true => self.value * MAX_GAP_RATIO,
             false => f64::INFINITY,
@@ -108,7 +108,7 @@
 
 impl EngineKind {
     /// Updates the kind by the engine's pace; returns true if `slower` changed.
-    pub fn note(&mut self, pace: f64, usual: f64, now: Millis) -> bool {
+    pub fn update(&mut self, pace: f64, usual: f64, now: Millis) -> bool {
         let slower = is_slower(pace, usual, self.slower);
         let changed = slower != self.slower;
         if changed {
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -62,7 +62,7 @@
 impl Quarantine {
     /// Records that the server `incarnation` crashed under `request` at `at`, by the
     /// store's clock. Returns false if that was known, or if there is no room for it.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         request: Fingerprint,
         incarnation: ServerIncarnation,
@@ -90,7 +90,7 @@
     /// request caused the crashes. Returns the servers whose crashes counted against
     /// it.
     pub fn clear(&mut self, request: Fingerprint, now: Millis) -> Vec<ServerIncarnation> {
-        self.answered.note(request, now);
+        self.answered.record(request, now);
         let crashes = self.requests.remove(&request).unwrap_or_default();
         crashes.into_keys().collect()
     }
@@ -163,7 +163,7 @@
 const MAX_ANSWERED: usize = 4_096;
 
 impl Answered {
-    fn note(&mut self, request: Fingerprint, now: Millis) {
+    fn record(&mut self, request: Fingerprint, now: Millis) {
         if now.since(self.since) >= ANSWER_RETENTION || self.newer.len() >= MAX_ANSWERED {
             let idle = now.since(self.since) >= ANSWER_RETENTION + ANSWER_RETENTION;
             self.older = std::mem::take(&mut self.newer);
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -103,12 +103,12 @@
     }
 
     /// Records that nobody answers at `address`.
-    pub fn note_unreachable(&mut self, address: SocketAddr, now: Millis) {
+    pub fn record_unreachable(&mut self, address: SocketAddr, now: Millis) {
         self.gone.entry(address).or_insert(now);
     }
 
     /// Records that an instance answers at `address`.
-    pub fn note_reachable(&mut self, address: SocketAddr) {
+    pub fn record_reachable(&mut self, address: SocketAddr) {
         self.gone.remove(&address);
     }
 
--- a/src/policy/step_mode.rs
+++ b/src/policy/step_mode.rs
@@ -116,7 +116,7 @@
 impl Rate {
     /// Records a run of a text with `expected` tokens that occupied a slot for `taken`
     /// ms.
-    pub fn note(&mut self, expected: u32, taken: f64) {
+    pub fn record(&mut self, expected: u32, taken: f64) {
         self.taken += RATE_WEIGHT * (taken - self.taken);
         self.tokens += RATE_WEIGHT * (f64::from(expected.max(1)) - self.tokens);
     }
--- a/src/policy/typical.rs
+++ b/src/policy/typical.rs
@@ -25,7 +25,7 @@
 
 impl TypicalLatency {
     /// Adds an answer that took `taken` ms.
-    pub fn note(&mut self, taken: f64) {
+    pub fn record(&mut self, taken: f64) {
         self.value += SAMPLE_WEIGHT * (taken - self.value);
     }
 
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -79,7 +79,7 @@
 
     /// Counts a request of `workspace` that began at `began`. One that is noticed after
     /// its window was closed counts in the oldest open window, so that it is not lost.
-    pub fn note(&mut self, workspace: &str, began: Millis) {
+    pub fn record(&mut self, workspace: &str, began: Millis) {
         let window = self.windows.at(began).max(self.open);
         let counted = self.parts.entry(window).or_default();
         *counted.part.counts.entry(workspace.to_owned()).or_default() += 1;
--- a/src/relay/follower.rs
+++ b/src/relay/follower.rs
@@ -123,7 +123,7 @@
                 Ok(revision) => {
                     backoff = INITIAL_BACKOFF;
                     after = Some(revision);
-                    self.note_success().await;
+                    self.record_success().await;
                 }
                 Err(StoreError::HistoryLost) => {
                     tracing::info!(
@@ -133,9 +133,9 @@
                     after = None;
                 }
                 // The call already waited for the store to return, so there is no delay.
-                Err(error @ StoreError::Unreachable) => self.note_failure(&error).await,
+                Err(error @ StoreError::Unreachable) => self.record_failure(&error).await,
                 Err(error) => {
-                    self.note_failure(&error).await;
+                    self.record_failure(&error).await;
                     tokio::select! {
                         () = tokio::time::sleep(backoff.as_duration()) => {}
                         () = self.relay.parent_found() => {}
@@ -294,7 +294,7 @@
         Ok((self.table.update(from, now, update), from))
     }
 
-    async fn note_success(&mut self) {
+    async fn record_success(&mut self) {
         if self.connected {
             return;
         }
@@ -304,7 +304,7 @@
         let _ = self.events.send(FollowEvent::Reconnected).await;
     }
 
-    async fn note_failure(&mut self, error: &StoreError) {
+    async fn record_failure(&mut self, error: &StoreError) {
         self.table.set_disconnected();
         if !self.connected {
             return;
--- a/src/relay/membership.rs
+++ b/src/relay/membership.rs
@@ -212,8 +212,8 @@
             .await;
         let now = self.clock.now();
         match reply {
-            Some(_) => self.parents().note_reachable(address),
-            None => self.parents().note_unreachable(address, now),
+            Some(_) => self.parents().record_reachable(address),
+            None => self.parents().record_unreachable(address, now),
         }
         match reply {
             Some(Reply::Joined) => JoinOutcome::Joined(Parent { address, peer }),
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -115,7 +115,7 @@
     pub(super) fn update_pace(&mut self, now: Millis) -> f64 {
         self.pace = self.engine.pace().update(now);
         let usual = self.heartbeats.usual_pace(&self.service);
-        if self.kind.note(self.pace, usual, now) {
+        if self.kind.update(self.pace, usual, now) {
             let (pace, slower) = (self.pace, self.kind.slower);
             tracing::info!(slower, pace, usual, "engine kind changed");
         }
--- a/src/runner/orders.rs
+++ b/src/runner/orders.rs
@@ -114,7 +114,7 @@
         tokio::spawn(async move {
             let answer = match engine.peer.call(request, ORDER_TIMEOUT).await {
                 Ok(answer) => {
-                    engine.note_mismatch(&incarnation.id, answer.status, &answer.headers);
+                    engine.record_mismatch(&incarnation.id, answer.status, &answer.headers);
                     Some(read_order_answer(&answer))
                 }
                 Err(error) => {
--- a/src/runner/run_item.rs
+++ b/src/runner/run_item.rs
@@ -99,7 +99,7 @@
 
     /// Records the answering incarnation if an answer refuses a request because it was
     /// addressed to another one, `expected`.
-    pub(super) fn note_mismatch(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
+    pub(super) fn record_mismatch(&self, expected: &str, status: StatusCode, headers: &HeaderMap) {
         if status != StatusCode::MISDIRECTED_REQUEST {
             return;
         }
@@ -247,7 +247,7 @@
                 let waited = text.first_at.map_or(taken, |first| first.since(now).0);
                 if begun == 0 {
                     let run = (taken - waited) as f64;
-                    engine.rate().note(task.item.expected, run);
+                    engine.rate().record(task.item.expected, run);
                 }
                 tracing::info!(
                     item,
@@ -360,7 +360,7 @@
         return read_stream(engine, opened, task, text).await;
     }
     let refused = not_executed(&opened.headers);
-    engine.note_mismatch(&incarnation.id, opened.status, &opened.headers);
+    engine.record_mismatch(&incarnation.id, opened.status, &opened.headers);
     drain_body(opened).await;
     match status {
         422 => RunEnd::Unprocessable,
@@ -430,7 +430,7 @@
             }
             let now = engine.clock.now();
             match text.first_at {
-                Some(_) => engine.pace().note(now.since(text.newest_at).0 as f64),
+                Some(_) => engine.pace().record(now.since(text.newest_at).0 as f64),
                 None => text.first_at = Some(now),
             }
             text.newest_at = now;
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -71,7 +71,7 @@
     pub fn count_request(&self, workspace: &str, sent: Millis) {
         let ago = self.clock.now().since(sent);
         let began = self.synced_clock.now() - ago;
-        self.tally().note(workspace, began);
+        self.tally().record(workspace, began);
         self.request_counted.notify_one();
     }
 
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -137,7 +137,7 @@
             }
             if !self
                 .quarantine()
-                .note_crash(request, incarnation.clone(), now)
+                .record_crash(request, incarnation.clone(), now)
             {
                 continue;
             }
@@ -351,7 +351,7 @@
             Some(Some(at)) => {
                 let mut quarantine = self.quarantine();
                 let server = incarnation.id.clone();
-                if quarantine.note_crash(request, incarnation, at) {
+                if quarantine.record_crash(request, incarnation, at) {
                     let ended = quarantine.crash_count(request);
                     tracing::info!(%request, server, ended, "crash received from the store");
                 }
--- a/src/view/sync.rs
+++ b/src/view/sync.rs
@@ -35,7 +35,7 @@
 /// The longest delay after a failed call for the operators' table. Hundreds of processes
 /// together can exceed what the store accepts. With a longer delay, some rejected calls
 /// in a row made a configuration take effect two seconds late.
-const OPERATOR_MAX_BACKOFF: Millis = Millis(100);
+const MAX_OPERATOR_BACKOFF: Millis = Millis(100);
 
 /// How long the store holds a call for changes of servers. A feed that stopped
 /// delivering is detected 0.6 s after this, in time for a server that is shutting down:
@@ -52,7 +52,7 @@
     let (operators, mut operator_feed) = mpsc::channel(FEED_CAPACITY);
     let (servers, mut server_feed) = mpsc::channel(FEED_CAPACITY);
     let operator_table = FollowOptions {
-        max_backoff: OPERATOR_MAX_BACKOFF,
+        max_backoff: MAX_OPERATOR_BACKOFF,
         hold: DEFAULT_HOLD,
         batch_delay: OPERATOR_BATCH_DELAY,
         has_parts: false,
--- a/tests/integration/decisions.rs
+++ b/tests/integration/decisions.rs
@@ -1253,7 +1253,7 @@
 fn an_engines_pace_is_known_from_running_streams() {
     let mut pace = Pace::default();
     let mut pace_after = |from: u64, gap: f64, count: u32| {
-        (0..count).for_each(|_| pace.note(gap));
+        (0..count).for_each(|_| pace.record(gap));
         pace.update(Millis(from))
     };
     assert!((pace_after(500, 40.0, 50) - 40.0).abs() < 0.1);
@@ -1268,10 +1268,10 @@
     assert!(is_straggler(known, 40.0), "{known}");
 
     let mut pace = Pace::default();
-    (0..50).for_each(|_| pace.note(40.0));
+    (0..50).for_each(|_| pace.record(40.0));
     pace.update(Millis(500));
-    (0..50).for_each(|_| pace.note(40.0));
-    (0..3).for_each(|_| pace.note(900.0));
+    (0..50).for_each(|_| pace.record(40.0));
+    (0..3).for_each(|_| pace.record(900.0));
     let known = pace.update(Millis(1_000));
     assert!(
         !is_slower(known, 40.0, false),
@@ -1306,17 +1306,17 @@
 fn lost_answers_are_distinguished_from_slow_ones() {
     let mut adaptive = AdaptiveTimeout::default();
     for call in 0..100 {
-        adaptive.note(Millis(call * 20), Millis(9));
+        adaptive.record(Millis(call * 20), Millis(9));
     }
     let mut now = Millis(2_000);
     for _ in 0..10 {
         let wait = adaptive.timeout(now);
         assert!(wait <= Millis(300), "waited {wait} for a lost answer");
         now = now + wait;
-        adaptive.note_timeout();
+        adaptive.record_timeout();
         for _ in 0..2 {
             now = now + Millis(100);
-            adaptive.note(now, Millis(9));
+            adaptive.record(now, Millis(9));
         }
     }
 
@@ -1326,9 +1326,9 @@
         now = now + Millis(wait.0.min(540));
         if wait < Millis(540) {
             timed_out += 1;
-            adaptive.note_timeout();
+            adaptive.record_timeout();
         } else {
-            adaptive.note(now, Millis(540));
+            adaptive.record(now, Millis(540));
         }
     }
     assert!(timed_out <= 2, "{timed_out} of 20 slow answers timed out");
@@ -1549,7 +1549,7 @@
     assert!(rate.token_ms() <= 0.0, "known without any run");
     for run in 0..200 {
         let expected = if run % 2 == 0 { 300 } else { 900 };
-        rate.note(expected, 480.0);
+        rate.record(expected, 480.0);
     }
     assert!(
         (0.75..0.85).contains(&rate.token_ms()),
@@ -1557,7 +1557,7 @@
         rate.token_ms()
     );
     let mut unestimated = Rate::default();
-    unestimated.note(0, 700.0);
+    unestimated.record(0, 700.0);
     assert!((699.0..701.0).contains(&unestimated.token_ms()));
 }
 
--- a/tests/integration/quarantine.rs
+++ b/tests/integration/quarantine.rs
@@ -90,7 +90,7 @@
                     quarantine.clear(asked, Millis(0));
                 }
                 Crashed(server) => {
-                    quarantine.note_crash(asked, incarnation(*server), Millis(0));
+                    quarantine.record_crash(asked, incarnation(*server), Millis(0));
                 }
                 Forgotten(server) => quarantine.forget(asked, &incarnation(*server)),
             }
@@ -108,7 +108,7 @@
     let mut quarantine = Quarantine::default();
     let asked = request("a");
     for server in 0..3 {
-        quarantine.note_crash(asked, incarnation(server), Millis(server));
+        quarantine.record_crash(asked, incarnation(server), Millis(server));
     }
     for (now, state) in [
         (Millis(5_001), QuarantineState::Barred),
@@ -116,14 +116,14 @@
     ] {
         assert_eq!(quarantine.state(asked, now), state);
     }
-    quarantine.note_crash(asked, incarnation(3), Millis(6_000));
+    quarantine.record_crash(asked, incarnation(3), Millis(6_000));
     for (now, state) in [
         (Millis(605_999), QuarantineState::Barred),
         (Millis(606_000), QuarantineState::Trial),
     ] {
         assert_eq!(quarantine.state(asked, now), state);
     }
-    quarantine.note_crash(asked, incarnation(4), Millis(607_000));
+    quarantine.record_crash(asked, incarnation(4), Millis(607_000));
     assert_eq!(
         quarantine.state(asked, CRASH_RETENTION),
         QuarantineState::Barred
@@ -153,8 +153,8 @@
 fn crashes_expire() {
     let mut quarantine = Quarantine::default();
     let asked = request("a");
-    quarantine.note_crash(asked, incarnation(1), Millis(0));
-    quarantine.note_crash(asked, incarnation(2), Millis(5));
+    quarantine.record_crash(asked, incarnation(1), Millis(0));
+    quarantine.record_crash(asked, incarnation(2), Millis(5));
     assert!(quarantine.expired(CRASH_RETENTION, 10).is_empty());
     let old = quarantine.expired(CRASH_RETENTION + Millis(1), 10);
     assert_eq!(old, [(asked, incarnation(1))]);
--- a/tests/integration/relay_tree.rs
+++ b/tests/integration/relay_tree.rs
@@ -99,10 +99,10 @@
     ) -> Option<SocketAddr> {
         let candidates = self.candidates.get_mut(&address)?;
         let Some(children) = self.children.get_mut(&parent) else {
-            candidates.note_unreachable(parent, now);
+            candidates.record_unreachable(parent, now);
             return None;
         };
-        candidates.note_reachable(parent);
+        candidates.record_reachable(parent);
         if children.admit(&address.to_string(), address, now) {
             return Some(parent);
         }
@@ -270,11 +270,11 @@
     assert_eq!(parents.order("a", &[one, other], Millis(3_900)), [other]);
     assert_eq!(parents.order("a", &[one, other], Millis(4_000)).len(), 2);
 
-    parents.note_unreachable(one, Millis(1_000));
-    parents.note_unreachable(one, Millis(1_500));
+    parents.record_unreachable(one, Millis(1_000));
+    parents.record_unreachable(one, Millis(1_500));
     assert!(!parents.is_gone(one, Millis(1_599)));
     assert!(parents.is_gone(one, Millis(1_600)));
-    parents.note_reachable(one);
+    parents.record_reachable(one);
     assert!(!parents.is_gone(one, Millis(9_000)));
 }
 
--- a/tests/integration/use_counts.rs
+++ b/tests/integration/use_counts.rs
@@ -20,7 +20,7 @@
 fn requests_are_counted_in_their_window() {
     let mut tally = Tally::new(WINDOWS, Millis(10_000));
     for (began, workspace) in [(10_000, "a"), (14_999, "a"), (15_000, "b"), (12_000, "b")] {
-        tally.note(workspace, Millis(began));
+        tally.record(workspace, Millis(began));
     }
     tally.close(Millis(16_799));
     let (window, part) = tally.unwritten().map(|(w, p)| (w, p.clone())).unwrap();
@@ -36,7 +36,7 @@
         BTreeMap::from([("a".to_owned(), 2), ("b".to_owned(), 1)])
     );
     tally.set_written(window, &part);
-    tally.note("c", Millis(11_000));
+    tally.record("c", Millis(11_000));
     let (window, part) = tally.unwritten().unwrap();
     assert_eq!(window, 3);
     assert_eq!(part.counts["c"], 1);
