--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -70,9 +70,9 @@
         .check(&order.lease, order.fence, version);
     let check = match check {
         FenceCheck::Unknown => {
-            // An agent that has just started knows no fencing number, and its engine may
+            // An agent that has just started knows no fencing token, and its engine may
             // not check any. An old order of an owner that was paused past the end of its
-            // lease could then pass. So the newest numbers are read from the rows of the
+            // lease could then pass. So the newest tokens are read from the rows of the
             // leases, all of them, because the engine may have seen the highest of any
             // lease. If they can't be read, the order fails.
             let lease_epochs = lease_epochs(platform).await?;
--- a/src/policy/fences.rs
+++ b/src/policy/fences.rs
@@ -1,4 +1,4 @@
-//! Detects orders that newer ones have superseded, by their fencing numbers.
+//! Detects orders that newer ones have superseded, by their fencing tokens.
 
 use crate::base::{
     Fence,
@@ -9,24 +9,24 @@
 /// The result of checking an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceCheck {
-    /// No fencing number of the lease is known, because this process has just started:
+    /// No fencing token of the lease is known, because this process has just started:
     /// the lease's row must be read first.
     Unknown,
     /// No newer order is known.
     Pass,
-    /// A newer order is known, under this fencing number.
+    /// A newer order is known, under this fencing token.
     Stale(Fence),
 }
 
-/// The highest fencing number seen for each lease.
+/// The highest fencing token seen for each lease.
 ///
 /// # Invariants
 ///
-/// A number never decreases. An order with a lower number never passes, whether or not
-/// the backend server checks fencing numbers itself.
+/// A token never decreases. An order with a lower token never passes, whether or not
+/// the backend server checks fencing tokens itself.
 #[derive(Debug, Default)]
 pub struct Fences {
-    /// By lease: the fencing number, and the newest version ordered under it.
+    /// By lease: the fencing token, and the newest version ordered under it.
     highest: HashMap<String, (Fence, WeightVersion)>,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The fencing number that orders to the engine carry: the highest of all leases.
+    /// The fencing token that orders to the engine carry: the highest of all leases.
     ///
     /// Each trainer's lease counts its own epochs, but an engine keeps a single highest
     /// number for all of them. When orders carried the number of their own lease, the
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -16,7 +16,7 @@
 pub struct Lease {
     /// The address of the holder's link port.
     pub address: String,
-    /// Increases with each change of holder; the fencing number of the holder's orders.
+    /// Increases with each change of holder; the fencing token of the holder's orders.
     pub epoch: Fence,
     /// The instance that holds the lease; empty if none does.
     pub holder: String,
--- a/src/view/site.rs
+++ b/src/view/site.rs
@@ -21,8 +21,9 @@
     watch, //
 };
 
-/// The site's state, shared by all tasks of a program and updated by
-/// [`super::sync_site`].
+/// The state of the site, shared by all tasks of a program and updated by
+/// [`super::sync_site`]. A site is the deployment that one configuration describes: the
+/// gateways and runners that share a store, and the backend servers that the store lists.
 ///
 /// # Invariants
 ///
--- a/src/wire/order.rs
+++ b/src/wire/order.rs
@@ -22,7 +22,7 @@
     Unload,
 }
 
-/// An order with its fencing number, by which agents reject older orders.
+/// An order with its fencing token, by which agents reject older orders.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Order {
     pub fence: Fence,
@@ -49,7 +49,7 @@
 pub struct EngineState {
     /// Identifies the engine's start; a later start has a higher number.
     pub boot: u64,
-    /// The highest fencing number that the engine has seen; `None` if it checks none.
+    /// The highest fencing token that the engine has seen; `None` if it checks none.
     #[serde(default)]
     pub fence: Option<Fence>,
     /// The models on the engine, by name.
--- a/tests/integration/use_counts.rs
+++ b/tests/integration/use_counts.rs
@@ -294,7 +294,7 @@
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
     /// Contenders freeze at any moment, the store is slow and loses answers, and
-    /// reports take long to arrive. The platform must never see a fencing number
+    /// reports take long to arrive. The platform must never see a fencing token
     /// decrease or come from two holders, nor a former holder return within the
     /// duration of a lease. Soon after the faults end, some contender must report
     /// again.
