--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -22,7 +22,7 @@
     },
     duty::Answer,
     platform::{MAX_READ_ROWS, Store, read_submission, write_page},
-    store::{Key, Outcome, StoreError, Transaction},
+    store::{Key, StoreError, Transaction, TransactionOutcome},
     view::Site, //
 };
 use hyper::StatusCode;
@@ -157,13 +157,13 @@
             .write_with_retries(&writes.head, deadline, &mut in_doubt)
             .await
         {
-            Ok(Outcome::Done { revision }) => {
+            Ok(TransactionOutcome::Done { revision }) => {
                 tracing::info!(batch = id, step, model, items, revision, "batch accepted");
                 reply::status(StatusCode::ACCEPTED, "accepted")
             }
             // An earlier submission stored the head, or an earlier attempt of this one whose
             // answer was lost.
-            Ok(Outcome::Conflict { .. }) => {
+            Ok(TransactionOutcome::Conflict { .. }) => {
                 tracing::info!(batch = id, step, model, "batch was accepted before");
                 reply::status(StatusCode::ACCEPTED, "accepted before")
             }
@@ -189,7 +189,7 @@
         transaction: &Transaction,
         deadline: Millis,
         in_doubt: &mut bool,
-    ) -> Result<Outcome, StoreError> {
+    ) -> Result<TransactionOutcome, StoreError> {
         let mut attempts = 0;
         loop {
             attempts += 1;
@@ -301,14 +301,14 @@
                 set: vec![(key.clone(), encode(&log))],
             };
             match self.store.transact(&transaction).await {
-                Ok(Outcome::Done { .. }) => {
+                Ok(TransactionOutcome::Done { .. }) => {
                     let listed = log.listed.len();
                     tracing::info!(batch = id, listed, "batch ended by its trainer");
                     return reply::status(StatusCode::OK, "ended");
                 }
                 // A runner listed results in between, or an earlier attempt succeeded and
                 // its answer was lost: the next read shows which.
-                Ok(Outcome::Conflict { .. }) => {}
+                Ok(TransactionOutcome::Conflict { .. }) => {}
                 Err(error) if self.clock.now() >= deadline => return store_failed(id, &error),
                 Err(_) => tokio::time::sleep(STORE_RETRY_DELAY.as_duration()).await,
             }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -14,7 +14,7 @@
     base::{Clock, Millis},
     net::{CallError, FullResponse, Peer, Reachability},
     policy::adaptive_timeout::AdaptiveTimeout,
-    store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
+    store::{Key, Listing, Row, StoreError, Transaction, TransactionOutcome}, //
 };
 use base64::{
     Engine,
@@ -88,7 +88,10 @@
     ///
     /// Unless [`StoreError::is_not_done`], the transaction may have taken effect, or may
     /// do so later.
-    pub async fn transact(&self, transaction: &Transaction) -> Result<Outcome, StoreError> {
+    pub async fn transact(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, StoreError> {
         let expected = transaction.expect.iter().map(|(key, revision)| WireKey {
             ver: Some(*revision),
             ..wire_key(key)
@@ -109,10 +112,10 @@
         let answer = self.call_adaptive(Method::POST, path, body).await?;
         let wire: WireListing = self.decode_answer(&answer)?;
         match answer.status {
-            StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict {
+            StatusCode::PRECONDITION_FAILED => Ok(TransactionOutcome::Conflict {
                 rows: rows(wire.records),
             }),
-            _ => Ok(Outcome::Done { revision: wire.ver }),
+            _ => Ok(TransactionOutcome::Done { revision: wire.ver }),
         }
     }
 
--- a/src/relay/root_slots.rs
+++ b/src/relay/root_slots.rs
@@ -4,7 +4,7 @@
 use crate::{
     batch::{decode, encode},
     policy::relay::{ROOT_COUNT, first_slot},
-    store::{Key, Outcome, StoreError, Transaction}, //
+    store::{Key, StoreError, Transaction, TransactionOutcome}, //
 };
 use serde::{
     Deserialize,
@@ -96,7 +96,8 @@
             remove: Vec::new(),
             set: vec![(key, encode(&holder))],
         };
-        let Ok(Outcome::Done { revision }) = relay.store.transact(&transaction).await else {
+        let Ok(TransactionOutcome::Done { revision }) = relay.store.transact(&transaction).await
+        else {
             return false;
         };
         let before = slot.holder.as_ref().map(|holder| &holder.instance);
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -13,7 +13,7 @@
         claim_choice::{Holder, Offer, Runner, choose, is_assigned, usable_slots},
         pace::is_straggler, //
     },
-    store::{Key, Outcome, StoreError, Transaction}, //
+    store::{Key, StoreError, Transaction, TransactionOutcome}, //
 };
 use std::sync::atomic::Ordering;
 
@@ -165,7 +165,7 @@
         &mut self,
         claim: Claim,
         bundle: BundleId,
-        outcome: Result<Outcome, StoreError>,
+        outcome: Result<TransactionOutcome, StoreError>,
     ) {
         let now = self.clock.now();
         let BundleId { batch: id, bundle } = bundle;
@@ -176,7 +176,7 @@
             return;
         }
         match outcome {
-            Ok(Outcome::Done { revision }) => {
+            Ok(TransactionOutcome::Done { revision }) => {
                 let begun = batch.claims.contains_key(&bundle);
                 batch.set_claim(bundle, claim, revision, now);
                 match begun {
@@ -190,7 +190,7 @@
                     }
                 }
             }
-            Ok(Outcome::Conflict { rows }) => {
+            Ok(TransactionOutcome::Conflict { rows }) => {
                 let mut ours = false;
                 for row in rows {
                     let held = row.value.and_then(|value| decode::<Claim>("claim", &value));
--- a/src/runner/event.rs
+++ b/src/runner/event.rs
@@ -5,7 +5,7 @@
     batch::{Claim, Item, Log, Partial},
     platform::{EngineReport, OrderAnswer},
     relay::FollowEvent,
-    store::{Outcome, StoreError}, //
+    store::{StoreError, TransactionOutcome}, //
 };
 use std::collections::HashMap;
 
@@ -25,15 +25,15 @@
         count: usize,
         /// The log as this append wrote it.
         log: Log,
-        outcome: Result<Outcome, StoreError>,
+        outcome: Result<TransactionOutcome, StoreError>,
     },
     /// The write of this runner's heartbeat has ended.
-    HeartbeatWritten(Result<Outcome, StoreError>),
+    HeartbeatWritten(Result<TransactionOutcome, StoreError>),
     /// The write of a claim has ended.
     ClaimWritten {
         claim: Claim,
         bundle: BundleId,
-        outcome: Result<Outcome, StoreError>,
+        outcome: Result<TransactionOutcome, StoreError>,
     },
     /// The read of a chunk of items has ended.
     ItemsRead {
--- a/src/runner/give_back.rs
+++ b/src/runner/give_back.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     batch::{Claim, WORK, WorkKey, batch_part, encode},
-    store::{Key, Outcome, Transaction}, //
+    store::{Key, Transaction, TransactionOutcome}, //
 };
 
 impl WorkLoop {
@@ -38,8 +38,10 @@
         tokio::spawn(async move {
             crashes.wait_shared(CRASH_SHARE_TIMEOUT).await;
             match store.transact(&transaction).await {
-                Ok(Outcome::Done { .. }) => tracing::info!(batch = id, bundle, "bundle given back"),
-                Ok(Outcome::Conflict { .. }) => {}
+                Ok(TransactionOutcome::Done { .. }) => {
+                    tracing::info!(batch = id, bundle, "bundle given back");
+                }
+                Ok(TransactionOutcome::Conflict { .. }) => {}
                 Err(error) => tracing::info!(batch = id, bundle, %error, "bundle not given back"),
             }
         });
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -8,7 +8,7 @@
     base::Millis,
     batch::{Heartbeat, WORK, decode, encode, heartbeat_part},
     platform::Store,
-    store::{Key, Outcome, Transaction}, //
+    store::{Key, Transaction, TransactionOutcome}, //
 };
 
 /// The time between heartbeats while nothing changes.
@@ -129,8 +129,8 @@
             ..Heartbeat::default()
         };
         match store.transact(&heartbeat_write(instance, &heartbeat)).await {
-            Ok(Outcome::Done { revision }) => return (revision, home),
-            Ok(Outcome::Conflict { .. }) => {}
+            Ok(TransactionOutcome::Done { revision }) => return (revision, home),
+            Ok(TransactionOutcome::Conflict { .. }) => {}
             Err(error) => tracing::warn!(%error, "first heartbeat not written"),
         }
         tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
--- a/src/runner/results.rs
+++ b/src/runner/results.rs
@@ -9,7 +9,7 @@
     base::Millis,
     batch::{Log, Sample, WORK, WorkKey, append_transaction, batch_part, decode},
     platform::Store,
-    store::{Key, Outcome, StoreError, Transaction}, //
+    store::{Key, StoreError, Transaction, TransactionOutcome}, //
 };
 
 /// The most results in one transaction, and the most bytes of their texts: the store
@@ -93,14 +93,14 @@
         id: &str,
         count: usize,
         log: Log,
-        outcome: Result<Outcome, StoreError>,
+        outcome: Result<TransactionOutcome, StoreError>,
     ) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
         };
         batch.appending = false;
         match outcome {
-            Ok(Outcome::Done { revision }) => {
+            Ok(TransactionOutcome::Done { revision }) => {
                 // Counted from `log`: the feed may have set the batch's log to it already.
                 let new = &log.listed[log.listed.len().saturating_sub(count)..];
                 let (count, total) = (log.listed.len(), batch.head.items.len());
@@ -111,7 +111,7 @@
                 tracing::info!(batch = id, items, count, total, revision, "results listed");
                 batch.set_log(log, revision);
             }
-            Ok(Outcome::Conflict { rows }) => {
+            Ok(TransactionOutcome::Conflict { rows }) => {
                 for row in rows {
                     let log = row.value.and_then(|value| decode::<Log>("log", &value));
                     if let (Some(log), Some(WorkKey::Log)) = (log, WorkKey::parse(&row.key)) {
@@ -134,7 +134,7 @@
     store: &Store,
     batch: &str,
     transaction: &Transaction,
-) -> Result<Outcome, StoreError> {
+) -> Result<TransactionOutcome, StoreError> {
     let error = match store.transact(transaction).await {
         Ok(outcome) => return Ok(outcome),
         Err(error) => error,
@@ -142,7 +142,7 @@
     tokio::time::sleep(READ_BACK_DELAY.as_duration()).await;
     let key = Key::new(WORK, batch_part(batch), WorkKey::Log.to_string());
     match store.row(&key).await {
-        Ok(Some(row)) => Ok(Outcome::Conflict { rows: vec![row] }),
+        Ok(Some(row)) => Ok(TransactionOutcome::Conflict { rows: vec![row] }),
         Ok(None) | Err(_) => Err(error),
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -12,5 +12,5 @@
     row::{Key, Listing, Row},
     store_error::StoreError,
     table_view::TableView,
-    transaction::{Outcome, Transaction}, //
+    transaction::{Transaction, TransactionOutcome}, //
 };
--- a/src/store/transaction.rs
+++ b/src/store/transaction.rs
@@ -17,7 +17,7 @@
 
 /// The outcome of a transaction that the store answered.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     /// All writes were applied, at this revision.
     Done { revision: u64 },
     /// A row did not have its expected revision, so no write was applied. `rows` holds
--- a/src/usage/reporter.rs
+++ b/src/usage/reporter.rs
@@ -23,7 +23,7 @@
         lease::{Claimant, HeldLease, Lease, LeaseAction, LeaseWatch},
         usage::{Part, may_sum, sum}, //
     },
-    store::{Key, Outcome, StoreError, Transaction}, //
+    store::{Key, StoreError, Transaction, TransactionOutcome}, //
 };
 use std::{
     collections::{BTreeMap, HashSet},
@@ -153,7 +153,7 @@
             set: vec![(lease_key(), encode(&next))],
         };
         match self.store.transact(&transaction).await {
-            Ok(Outcome::Done { .. }) => {
+            Ok(TransactionOutcome::Done { .. }) => {
                 if self.held.is_none() {
                     let (fence, instance) = (next.epoch, &self.gateway.instance);
                     tracing::info!(fence, instance, "reporting lease acquired");
@@ -164,7 +164,7 @@
                 });
                 self.watch.observe(self.clock.boottime(), Some(next));
             }
-            Ok(Outcome::Conflict { .. }) => self.drop_lease(),
+            Ok(TransactionOutcome::Conflict { .. }) => self.drop_lease(),
             // The write may have been applied or not. A lease that was held before is still
             // held, until its previous end.
             Err(error) => tracing::info!(%error, "reporting lease not written"),
@@ -272,9 +272,9 @@
             set: vec![(key, encode(&report))],
         };
         let stored = match self.store.transact(&transaction).await? {
-            Outcome::Done { revision } => (revision, report),
+            TransactionOutcome::Done { revision } => (revision, report),
             // A previous holder stored a report, or the answer to an earlier write was lost.
-            Outcome::Conflict { rows } => match decode_first(rows) {
+            TransactionOutcome::Conflict { rows } => match decode_first(rows) {
                 Some(stored) => stored,
                 None => return Ok(None),
             },
@@ -339,7 +339,9 @@
                 remove: Vec::new(),
                 set: vec![(key, encode(report))],
             };
-            if let Outcome::Done { revision: now } = self.store.transact(&transaction).await? {
+            if let TransactionOutcome::Done { revision: now } =
+                self.store.transact(&transaction).await?
+            {
                 *revision = now;
             }
         }
--- a/src/view/crashes.rs
+++ b/src/view/crashes.rs
@@ -13,7 +13,7 @@
     policy::quarantine::{MAX_CRASHES, Quarantine, QuarantineState},
     relay::{FollowEvent, FollowOptions, MAX_BACKOFF, Relay, follow},
     routing::ServerIncarnation,
-    store::{Change, Key, Outcome, Transaction}, //
+    store::{Change, Key, Transaction, TransactionOutcome}, //
 };
 use std::{
     collections::BTreeMap,
@@ -203,7 +203,7 @@
                 set: vec![(key.clone(), value_at(now))],
             };
             let rows = match self.store.transact(&transaction).await {
-                Ok(Outcome::Done { revision }) => {
+                Ok(TransactionOutcome::Done { revision }) => {
                     // The previous holder wrote the crashes it saw before it released the
                     // attempt.
                     self.refresh(request).await;
@@ -211,7 +211,7 @@
                     tracing::info!(%request, ended, "attempt claimed");
                     return ClaimResult::Here(ClaimedAttempt { request, revision });
                 }
-                Ok(Outcome::Conflict { rows }) => rows,
+                Ok(TransactionOutcome::Conflict { rows }) => rows,
                 Err(error) => {
                     tracing::info!(%request, %error, "attempt not claimed");
                     return ClaimResult::Unknown;
