--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -2,11 +2,11 @@
 
 use crate::base::Millis;
 
-/// A moving average that rises fast, falls slowly, and decays towards the usual latency
+/// A moving average that rises fast, falls slowly, and decays towards the typical latency
 /// while there are no samples. A server that was slow therefore gets a request again
 /// after a while, and the answer shows whether it still is slow.
 ///
-/// A server without samples counts as usual. If it counted as faster, each caller would
+/// A server without samples counts as typical. If it counted as faster, each caller would
 /// try every server of its service, over a new connection each time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Latency {
@@ -22,21 +22,21 @@
 /// The weight of a sample below the average.
 const FALL_WEIGHT: f64 = 0.1;
 
-/// The time without samples in which the average moves half the way to the usual
+/// The time without samples in which the average moves half the way to the typical
 /// latency.
 const HALF_LIFE: Millis = Millis(2_000);
 
 impl Latency {
-    /// The average in ms, at least 1; `usual` is the usual latency.
-    pub fn estimate(&self, now: Millis, usual: f64) -> f64 {
-        let excess = self.value.map_or(0.0, |value| value - usual);
+    /// The average in ms, at least 1; `typical` is the typical latency.
+    pub fn estimate(&self, now: Millis, typical: f64) -> f64 {
+        let excess = self.value.map_or(0.0, |value| value - typical);
         let halvings = now.since(self.at).0 as f64 / HALF_LIFE.0 as f64;
-        (usual + excess * 0.5_f64.powf(halvings)).max(1.0)
+        (typical + excess * 0.5_f64.powf(halvings)).max(1.0)
     }
 
     /// Adds a sample: a request took `taken` ms.
-    pub fn record(&mut self, now: Millis, usual: f64, taken: f64) {
-        let before = self.estimate(now, usual);
+    pub fn record(&mut self, now: Millis, typical: f64, taken: f64) {
+        let before = self.estimate(now, typical);
         let weight = if taken > before {
             RISE_WEIGHT
         } else {
@@ -53,18 +53,18 @@
 
     #[test]
     fn rises_fast_and_decays_to_the_usual() {
-        let usual = 20.0;
+        let typical = 20.0;
         let mut latency = Latency::default();
-        assert!((latency.estimate(Millis(5_000), usual) - usual).abs() < 0.1);
+        assert!((latency.estimate(Millis(5_000), typical) - typical).abs() < 0.1);
         for _ in 0..100 {
-            latency.record(Millis(0), usual, 20.0);
+            latency.record(Millis(0), typical, 20.0);
         }
-        assert!((latency.estimate(Millis(0), usual) - 20.0).abs() < 0.1);
+        assert!((latency.estimate(Millis(0), typical) - 20.0).abs() < 0.1);
         for _ in 0..3 {
-            latency.record(Millis(0), usual, 200.0);
+            latency.record(Millis(0), typical, 200.0);
         }
-        assert!(latency.estimate(Millis(0), usual) > 170.0);
-        assert!(latency.estimate(HALF_LIFE, usual) < 100.0);
-        assert!(latency.estimate(Millis(60_000), usual) < usual + 1.0);
+        assert!(latency.estimate(Millis(0), typical) > 170.0);
+        assert!(latency.estimate(HALF_LIFE, typical) < 100.0);
+        assert!(latency.estimate(Millis(60_000), typical) < typical + 1.0);
     }
 }
