--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
     /// When the engine started; 0 on platforms that don't report it.
-    pub born: Millis,
+    pub started_at: Millis,
     /// Whether the engine is carrying out an order.
     pub busy: bool,
     /// How many orders the engine has accepted since it started.
@@ -84,7 +84,7 @@
         }
     };
     Some(EngineReport {
-        born: Millis(wire.born),
+        started_at: Millis(wire.born),
         busy: wire.busy,
         accepted_orders: wire.sequence,
         weights: weights(wire.models),
--- a/src/runner/engine_state.rs
+++ b/src/runner/engine_state.rs
@@ -42,19 +42,19 @@
             // A report from before the announced start belongs to the previous
             // incarnation. Combined with the new id, it named an incarnation that never
             // existed and whose apparent crash counted against items just started.
-            let is_before = report.born.0 > 0 && report.born < started;
+            let is_before = report.started_at.0 > 0 && report.started_at < started;
             now.since(*at) < MAX_REPORT_AGE && !is_before
         });
         let draining = |id: &str| {
             let directory = self.site.directory();
             directory.get(id).is_some_and(|server| server.draining)
         };
-        let born = self
+        let reported_start = self
             .report
             .as_ref()
-            .map_or(Millis(0), |(report, _)| report.born);
+            .map_or(Millis(0), |(report, _)| report.started_at);
         let id = present.filter(|id| fresh && !draining(id));
-        let incarnation = id.map(|id| ServerIncarnation::new(id, born));
+        let incarnation = id.map(|id| ServerIncarnation::new(id, reported_start));
         if mismatch.is_some_and(|mismatch| is_caught_up(announced_id, &mismatch)) {
             self.engine.mismatch.send_replace(None);
         }
@@ -72,7 +72,7 @@
                     known.as_ref().map(|known| known.id.clone())
                 };
                 let (engine, before) = (id_of(&incarnation), id_of(current));
-                let born = born.0;
+                let born = reported_start.0;
                 tracing::info!(
                     ?engine,
                     born,
