--- a/src/routing/config.rs
+++ b/src/routing/config.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// The largest request body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The largest request head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// How long a request's head may take to arrive.
     pub head_timeout: Millis,
     /// How long a connection may be idle.
