--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -112,7 +112,7 @@
         let path = head.uri.path();
         let deadline = deadline_of(arrived, &route, &head);
         let time_left = deadline.since(self.clock.now());
-        let read = read_body(body, config.limits.body_bytes);
+        let read = read_body(body, config.limits.max_body_bytes);
         let body = match tokio::time::timeout(time_left.as_duration(), read).await {
             Ok(Ok(body)) => body,
             Ok(Err(answer)) => return answer,
@@ -138,7 +138,7 @@
         let target = target.map_or_else(|| path.to_owned(), ToString::to_string);
         let fingerprint = Fingerprint::of(FingerprintInput {
             body: &body,
-            credential: caller_identity(workspace.as_deref(), &head),
+            caller: caller_identity(workspace.as_deref(), &head),
             host,
             id: "",
             method: head.method.as_str(),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -14,7 +14,7 @@
     base::{Clock, Millis},
     net::{CallError, FullResponse, Peer, Reachability},
     policy::adaptive_timeout::AdaptiveTimeout,
-    store::{Key, Listing, Outcome, Row, StoreError, Transaction}, //
+    store::{Key, Listing, Row, StoreError, Transaction, TransactionOutcome}, //
 };
 use base64::{
     Engine,
@@ -32,7 +32,8 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError}, //
 };
 
-/// A client of the store; clones share their connections and what they learned.
+/// A client of the store. Clones share their connections, and what their calls show of the
+/// store: whether it is reachable, its latency and its clock.
 #[derive(Clone)]
 pub struct Store {
     pub(super) clock: Clock,
@@ -48,7 +49,7 @@
 pub const MAX_READ_ROWS: usize = 500;
 
 /// How much longer a call for changes may take than the store is asked to wait.
-const FEED_EXTRA_TIMEOUT: Millis = Millis(600);
+const FEED_TIMEOUT_MARGIN: Millis = Millis(600);
 
 impl Store {
     /// Creates a client of the store at `address`.
@@ -88,7 +89,10 @@
     ///
     /// Unless [`StoreError::is_not_done`], the transaction may have taken effect, or may
     /// do so later.
-    pub async fn transact(&self, transaction: &Transaction) -> Result<Outcome, StoreError> {
+    pub async fn transact(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, StoreError> {
         let expected = transaction.expect.iter().map(|(key, revision)| WireKey {
             ver: Some(*revision),
             ..wire_key(key)
@@ -109,10 +113,10 @@
         let answer = self.call_adaptive(Method::POST, path, body).await?;
         let wire: WireListing = self.decode_answer(&answer)?;
         match answer.status {
-            StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict {
+            StatusCode::PRECONDITION_FAILED => Ok(TransactionOutcome::Conflict {
                 rows: rows(wire.records),
             }),
-            _ => Ok(Outcome::Done { revision: wire.ver }),
+            _ => Ok(TransactionOutcome::Done { revision: wire.ver }),
         }
     }
 
@@ -221,12 +225,12 @@
             true => Millis(0),
             false => hold,
         };
-        self.wait_reachable(FEED_EXTRA_TIMEOUT).await?;
+        self.wait_reachable(FEED_TIMEOUT_MARGIN).await?;
         let path = format!(
             "/redwingpond/rows-feed?table={table}&startAfter={after}&waitMs={}",
             hold.0
         );
-        let within = hold + FEED_EXTRA_TIMEOUT;
+        let within = hold + FEED_TIMEOUT_MARGIN;
         let answer = self.call(Method::GET, &path, Vec::new(), within).await?;
         self.listing(&answer)
     }
@@ -248,8 +252,8 @@
         // A connection that is refused or breaks before the timeout says nothing about
         // the store's latency.
         match &result {
-            Ok(_) => self.call_timeout().note(now, taken),
-            Err(_) if taken >= within => self.call_timeout().note_timeout(),
+            Ok(_) => self.call_timeout().record(now, taken),
+            Err(_) if taken >= within => self.call_timeout().record_timeout(),
             Err(_) => {}
         }
         result
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -103,12 +103,12 @@
     }
 
     /// Records that nobody answers at `address`.
-    pub fn note_unreachable(&mut self, address: SocketAddr, now: Millis) {
+    pub fn record_unreachable(&mut self, address: SocketAddr, now: Millis) {
         self.gone.entry(address).or_insert(now);
     }
 
     /// Records that an instance answers at `address`.
-    pub fn note_reachable(&mut self, address: SocketAddr) {
+    pub fn record_reachable(&mut self, address: SocketAddr) {
         self.gone.remove(&address);
     }
 
@@ -141,7 +141,7 @@
     stable_hash(&[instance.as_bytes(), address.to_string().as_bytes()])
 }
 
-/// The slot among the [`ROOT_COUNT`] that `instance` tries to take first.
+/// The root slot, of [`ROOT_COUNT`], that `instance` tries to claim first.
 pub fn first_slot(instance: &str) -> usize {
     stable_hash(&[instance.as_bytes()]) as usize % ROOT_COUNT
 }
--- a/src/policy/step_mode.rs
+++ b/src/policy/step_mode.rs
@@ -60,7 +60,8 @@
 
 /// While all waiting work will have started this long before its step is due, surplus
 /// groups go together with the others: there are engines enough for all. They may also
-/// be complete before a group with a text that takes nearly as long as a step may.
+/// be complete before a group whose longest text takes nearly as long as a step may; the
+/// trainer accepts either.
 const AMPLE_SLACK: Millis = Millis(5_000);
 
 /// Whether all waiting work of a model's open `steps` will start early enough for
@@ -116,7 +117,7 @@
 impl Rate {
     /// Records a run of a text with `expected` tokens that occupied a slot for `taken`
     /// ms.
-    pub fn note(&mut self, expected: u32, taken: f64) {
+    pub fn record(&mut self, expected: u32, taken: f64) {
         self.taken += RATE_WEIGHT * (taken - self.taken);
         self.tokens += RATE_WEIGHT * (f64::from(expected.max(1)) - self.tokens);
     }
--- a/src/runner/claims.rs
+++ b/src/runner/claims.rs
@@ -13,19 +13,20 @@
         claim_choice::{Holder, Offer, Runner, choose, is_assigned, usable_slots},
         pace::is_straggler, //
     },
-    store::{Key, Outcome, StoreError, Transaction}, //
+    store::{Key, StoreError, Transaction, TransactionOutcome}, //
 };
 use std::sync::atomic::Ordering;
 
-/// The wait after a claim or read that the store failed. Without it, nine runners sent
+/// The wait after a failed claim or read in the store. Without it, nine runners sent
 /// 35,000 requests in a 16 s outage to a store that refused each one immediately.
 pub(super) const STORE_RETRY_DELAY: Millis = Millis(200);
 
 impl WorkLoop {
-    /// Claims bundles while the engine has free slots; `usual` is the usual pace of the
-    /// service's engines, in ms per event.
+    /// Claims bundles while the engine has free slots. While the store is unreachable,
+    /// runs the bundles that are assigned to this runner, without new claims. `usual` is
+    /// the usual pace of the service's engines, in ms per event.
     pub(super) fn plan_claims(&mut self, standing: &Standing, usual: f64, now: Millis) {
-        if !self.is_working() || self.leaving {
+        if !self.engine_accepts_work() || self.leaving {
             return;
         }
         // A bundle claimed now would have to wait until the suspect's exclusive run ends.
@@ -79,8 +80,8 @@
     }
 
     /// Runs a bundle without a claim while the store is unreachable. The results stay in
-    /// memory until it is back. On a day with 12 s of outages this is what lets steps
-    /// that were accepted before an outage finish in time.
+    /// memory until it is back. Without such runs, on a day with 12 s of outages, steps
+    /// that were accepted before an outage would not finish in time.
     fn run_unclaimed(&mut self, id: &str, bundle: u16) {
         let Some(batch) = self.batches.get_mut(id) else {
             return;
@@ -165,7 +166,7 @@
         &mut self,
         claim: Claim,
         bundle: BundleId,
-        outcome: Result<Outcome, StoreError>,
+        outcome: Result<TransactionOutcome, StoreError>,
     ) {
         let now = self.clock.now();
         let BundleId { batch: id, bundle } = bundle;
@@ -176,7 +177,7 @@
             return;
         }
         match outcome {
-            Ok(Outcome::Done { revision }) => {
+            Ok(TransactionOutcome::Done { revision }) => {
                 let begun = batch.claims.contains_key(&bundle);
                 batch.set_claim(bundle, claim, revision, now);
                 match begun {
@@ -190,7 +191,7 @@
                     }
                 }
             }
-            Ok(Outcome::Conflict { rows }) => {
+            Ok(TransactionOutcome::Conflict { rows }) => {
                 let mut ours = false;
                 for row in rows {
                     let held = row.value.and_then(|value| decode::<Claim>("claim", &value));
--- a/src/runner/heartbeat.rs
+++ b/src/runner/heartbeat.rs
@@ -8,15 +8,15 @@
     base::Millis,
     batch::{Heartbeat, WORK, decode, encode, heartbeat_part},
     platform::Store,
-    store::{Key, Outcome, Transaction}, //
+    store::{Key, Transaction, TransactionOutcome}, //
 };
 
 /// The time between heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
-/// The longest time for which the report of a gone engine, or the release of a bundle,
-/// waits until the engine's crashes are in the store: enough for a few write attempts, and
-/// too short for others to consider this runner dead.
+/// The longest time for which the heartbeat that reports the engine gone, or the release
+/// of a bundle, waits until the engine's crashes are in the store: enough for a few write
+/// attempts, and too short for others to consider this runner dead.
 pub(super) const CRASH_SHARE_TIMEOUT: Millis = Millis(600);
 
 /// The wait before another attempt to write the first heartbeat.
@@ -51,7 +51,7 @@
             slower: self.kind.slower,
             steady: self.kind.steady,
             token: self.token,
-            working: self.is_working(),
+            working: self.engine_accepts_work(),
         };
         // A change of the pace alone triggers no heartbeat: it changes all the time.
         let comparable = Heartbeat {
@@ -82,7 +82,7 @@
     /// in the store, recorded for the items that ran there. Otherwise the runners that
     /// take these items over would run them next to others, like items without a crash.
     fn is_withheld(&self, now: Millis) -> bool {
-        let ends = self.heartbeat.last.working && !self.is_working();
+        let ends = self.heartbeat.last.working && !self.engine_accepts_work();
         let late = now.since(self.heartbeat.sent) >= HEARTBEAT_INTERVAL + CRASH_SHARE_TIMEOUT;
         ends && !late && !self.engine.crashes.are_shared()
     }
@@ -129,8 +129,8 @@
             ..Heartbeat::default()
         };
         match store.transact(&heartbeat_write(instance, &heartbeat)).await {
-            Ok(Outcome::Done { revision }) => return (revision, home),
-            Ok(Outcome::Conflict { .. }) => {}
+            Ok(TransactionOutcome::Done { revision }) => return (revision, home),
+            Ok(TransactionOutcome::Conflict { .. }) => {}
             Err(error) => tracing::warn!(%error, "first heartbeat not written"),
         }
         tokio::time::sleep(FIRST_RETRY_DELAY.as_duration()).await;
--- a/src/usage/counter.rs
+++ b/src/usage/counter.rs
@@ -43,7 +43,7 @@
 /// How often the clock is synchronised with the other gateways.
 const CLOCK_SYNC_INTERVAL: Millis = Millis(5_000);
 
-/// The delay after a call that the store failed.
+/// The delay after a failed call to the store.
 const RETRY_DELAY: Millis = Millis(200);
 
 impl Counter {
@@ -71,7 +71,7 @@
     pub fn count_request(&self, workspace: &str, sent: Millis) {
         let ago = self.clock.now().since(sent);
         let began = self.synced_clock.now() - ago;
-        self.tally().note(workspace, began);
+        self.tally().record(workspace, began);
         self.request_counted.notify_one();
     }
 
