--- a/src/calls/call_run.rs
+++ b/src/calls/call_run.rs
@@ -34,7 +34,7 @@
     /// Why the last attempt failed, or why there was none.
     last_reason: &'static str,
     /// Attempts that ran or may have run.
-    may_have_run: u32,
+    possible_runs: u32,
     /// Attempts that did not run.
     not_run: u32,
     /// The claimed trial, if the request is in quarantine.
@@ -52,7 +52,7 @@
             failures: 0,
             hedged: false,
             last_reason: "no-server",
-            may_have_run: 0,
+            possible_runs: 0,
             not_run: 0,
             trial: None,
             tried: Vec::new(),
@@ -94,7 +94,7 @@
                 AttemptOutcome::Answered(answer) => {
                     dispatcher.crashes.record_answer(call.fingerprint);
                     self.failures += u32::from(is_failure(&answer));
-                    self.may_have_run += 1;
+                    self.possible_runs += 1;
                     last_answer = Some(answer);
                 }
                 AttemptOutcome::Failed {
@@ -115,7 +115,7 @@
         self.last_reason = reason;
         match verdict {
             Verdict::NotRun => self.not_run += 1,
-            Verdict::MayHaveRun | Verdict::Ran => self.may_have_run += 1,
+            Verdict::MayHaveRun | Verdict::Ran => self.possible_runs += 1,
         }
     }
 
@@ -133,10 +133,10 @@
             self.last_reason = STALE_REASON;
             return None;
         }
-        let repeatable = self.is_idempotent() || self.may_have_run == 0;
+        let repeatable = self.is_idempotent() || self.possible_runs == 0;
         let allowed = repeatable
             && self.not_run < MAX_ATTEMPTS_NOT_RUN
-            && self.may_have_run + self.in_flight() < self.call.route.max_attempts;
+            && self.possible_runs + self.in_flight() < self.call.route.max_attempts;
         if !allowed {
             return None;
         }
@@ -151,7 +151,7 @@
 
     /// The number of attempts in flight.
     fn in_flight(&self) -> u32 {
-        self.tried.len() as u32 - self.may_have_run - self.not_run
+        self.tried.len() as u32 - self.possible_runs - self.not_run
     }
 
     /// How long to wait for the only attempt in flight before sending a hedged attempt;
@@ -160,7 +160,7 @@
         // A request that may have crashed a server isn't sent to two at once.
         let crashed_no_server = self.dispatcher.crashes.crash_count(self.call.fingerprint) == 0;
         let may_hedge = in_flight == 1 && self.is_idempotent() && !self.hedged && crashed_no_server;
-        if !may_hedge || self.in_flight() + self.may_have_run >= self.call.route.max_attempts {
+        if !may_hedge || self.in_flight() + self.possible_runs >= self.call.route.max_attempts {
             return None;
         }
         let service = self.call.route.service_of(&self.call.id)?;
@@ -193,7 +193,7 @@
     /// The call's outcome once no further attempt is allowed or possible. Releases the trial if
     /// it did not run.
     fn finish(&self, last_answer: Option<FullResponse>) -> CallOutcome {
-        if let Some(trial) = self.trial.filter(|_| self.may_have_run == 0) {
+        if let Some(trial) = self.trial.filter(|_| self.possible_runs == 0) {
             self.dispatcher.crashes.release_attempt(trial);
         }
         let failures = self.failures;
@@ -201,7 +201,7 @@
             return CallOutcome::Answered { answer, failures };
         }
         let reason = self.last_reason.to_owned();
-        match (self.may_have_run, self.tried.is_empty()) {
+        match (self.possible_runs, self.tried.is_empty()) {
             (0, _) if self.last_reason == QUARANTINE_REASON => CallOutcome::NotRun {
                 reason,
                 wait: RETRY_AFTER_QUARANTINE,
--- a/src/duty/http_server.rs
+++ b/src/duty/http_server.rs
@@ -50,8 +50,8 @@
 pub struct HttpLimits {
     /// The maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// The maximum size of a request's head.
-    pub max_head_bytes: usize,
+    /// The maximum size of a request's head, in bytes.
+    pub max_head: usize,
     /// The maximum time for a request's head to arrive.
     pub head_timeout: Millis,
 }
@@ -60,7 +60,7 @@
     fn default() -> Self {
         Self {
             max_connections: 16_384,
-            max_head_bytes: 64 * 1024,
+            max_head: 64 * 1024,
             head_timeout: Millis(10_000),
         }
     }
@@ -169,13 +169,13 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout.as_duration())
-        .max_buf_size(limits.max_head_bytes);
+        .max_buf_size(limits.max_head);
     builder
         .http2()
         .timer(TokioTimer::new())
         .keep_alive_interval(Millis(10_000).as_duration())
         .max_concurrent_streams(1_024)
-        .max_header_list_size(limits.max_head_bytes as u32);
+        .max_header_list_size(limits.max_head as u32);
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move { Ok::<_, Infallible>(answer.await) }
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -37,7 +37,7 @@
     /// The attempt in progress.
     pub(super) current: Option<AttemptKey>,
     /// Whether an attempt that has ended may have run.
-    pub(super) may_have_run: bool,
+    pub(super) in_doubt: bool,
     pub(super) spec: NewCall,
     /// When to route the call again; counts only while no attempt is in progress.
     pub(super) next_try: Millis,
@@ -62,7 +62,7 @@
         Self {
             attempts: 0,
             current: None,
-            may_have_run: false,
+            in_doubt: false,
             spec,
             next_try: now,
             admitted_at: now,
--- a/src/entry/call_target.rs
+++ b/src/entry/call_target.rs
@@ -57,8 +57,8 @@
             class: class.clone(),
             kind: pool.kind,
             limits: Limits {
-                class: class.max_in_flight,
-                team: team.max_in_flight,
+                class: class.max_calls,
+                team: team.max_calls,
             },
             names: (team_name.to_owned(), class_name.to_owned()),
             retry_share: team.retry_share,
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -92,7 +92,7 @@
             latency: Latency::default(),
             report: Report::default(),
             reported_at: Millis(0),
-            own_at_report: 0,
+            reported_own: 0,
         });
     }
 
--- a/src/entry/outcomes.rs
+++ b/src/entry/outcomes.rs
@@ -100,7 +100,7 @@
             return;
         };
         call.current = None;
-        call.may_have_run |= failure.verdict.may_have_run();
+        call.in_doubt |= failure.verdict.may_have_run();
         call.tried.push(attempt.server);
 
         let decision = match self.settings.policy {
@@ -153,7 +153,7 @@
         let Some(call) = self.remove(key) else {
             return;
         };
-        if call.may_have_run && failure.verdict == Verdict::NotRun {
+        if call.in_doubt && failure.verdict == Verdict::NotRun {
             // The last attempt did not run, but an earlier one may have.
             failure.verdict = Verdict::MayHaveRun;
         }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -37,7 +37,7 @@
     /// When the report arrived.
     pub(super) reported_at: Millis,
     /// This entry's requests in flight there when the report arrived.
-    pub(super) own_at_report: u32,
+    pub(super) reported_own: u32,
 }
 
 impl Server {
@@ -55,7 +55,7 @@
             in_flight: self.in_flight,
             key,
             latency: self.latency.estimate(now, DEFAULT_LATENCY_MS),
-            others: (self.report.running + self.report.queued).saturating_sub(self.own_at_report),
+            others: (self.report.running + self.report.queued).saturating_sub(self.reported_own),
             report_age: now.since(self.reported_at),
             trusted: self.health.allows(now),
         }
@@ -70,7 +70,7 @@
     /// Records the agent's report.
     pub(super) fn record_report(&mut self, now: Millis, report: Report) {
         self.reported_at = now;
-        self.own_at_report = self.in_flight;
+        self.reported_own = self.in_flight;
         self.report = report;
     }
 
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -112,7 +112,7 @@
         let path = head.uri.path();
         let deadline = deadline_of(arrived, &route, &head);
         let time_left = deadline.since(self.clock.now());
-        let read = read_body(body, config.limits.max_body_bytes);
+        let read = read_body(body, config.limits.max_body);
         let body = match tokio::time::timeout(time_left.as_duration(), read).await {
             Ok(Ok(body)) => body,
             Ok(Err(answer)) => return answer,
--- a/src/gateway/gateway_handle.rs
+++ b/src/gateway/gateway_handle.rs
@@ -51,7 +51,7 @@
         let common = &settings.common;
         let mut handle = ProgramHandle::open(common.stop_timeout())?;
         let limits = HttpLimits {
-            max_head_bytes: MAX_HEAD_BYTES,
+            max_head: MAX_HEAD_BYTES,
             head_timeout: CALLER_IDLE_TIMEOUT,
             ..HttpLimits::default()
         };
--- a/src/operator/step_times.rs
+++ b/src/operator/step_times.rs
@@ -93,7 +93,7 @@
     pub listing: f64,
     pub model: String,
     /// The average time between two events of that run, in ms.
-    pub ms_per_event: f64,
+    pub event_ms: f64,
     /// From the listing of the result until the trainer ends the step.
     pub reading: f64,
     pub server: String,
@@ -103,7 +103,7 @@
     /// From the acceptance to the first start of a run.
     pub waiting: f64,
     /// From the run's start to its first event.
-    pub first_event_wait: f64,
+    pub first_wait: f64,
 }
 
 impl StepTimes {
@@ -186,13 +186,13 @@
             item: item.clone(),
             listing: listed - run.ended,
             model: batch.model.clone(),
-            ms_per_event: generating * 1e3 / gaps as f64,
+            event_ms: generating * 1e3 / gaps as f64,
             reading: ended - listed,
             server: run.server.clone(),
             step: batch.step,
             taken: ended - accepted,
             waiting: started - accepted,
-            first_event_wait: run.waited,
+            first_wait: run.waited,
         })
     }
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -124,8 +124,8 @@
     let routes: Result<Vec<Route>, ConfigError> = wire.routes.into_iter().map(route).collect();
     let services = wire.services.into_iter().map(service).collect();
     let limits = Limits {
-        max_body_bytes: wire.limits.max_body_bytes,
-        max_head_bytes: wire.limits.max_header_bytes,
+        max_body: wire.limits.max_body_bytes,
+        max_head: wire.limits.max_header_bytes,
         head_timeout: millis(wire.limits.header_timeout_ms),
         idle_timeout: millis(wire.limits.idle_timeout_ms),
     };
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -30,7 +30,7 @@
 }
 
 /// How long a refused caller is asked to wait before it tries again.
-const RETRY_AFTER_FULL: Millis = Millis(250);
+const RETRY_AFTER_LIMIT: Millis = Millis(250);
 
 impl Admission {
     /// Removes a call that [`Admission::admit`] counted.
@@ -66,7 +66,7 @@
 /// The failure of a call whose class or team, named by `scope`, is at its limit.
 fn refusal(scope: &str, limit: u32) -> Failure {
     let detail = format!("{scope} has its {limit} calls in flight at this entry");
-    Failure::not_run(Cause::Overloaded, detail).retry_after(RETRY_AFTER_FULL)
+    Failure::not_run(Cause::Overloaded, detail).retry_after(RETRY_AFTER_LIMIT)
 }
 
 #[cfg(test)]
--- a/src/routing/config.rs
+++ b/src/routing/config.rs
@@ -27,10 +27,10 @@
 /// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The largest request body.
-    pub max_body_bytes: usize,
-    /// The largest request head.
-    pub max_head_bytes: usize,
+    /// The largest request body, in bytes.
+    pub max_body: usize,
+    /// The largest request head, in bytes.
+    pub max_head: usize,
     /// How long a request's head may take to arrive.
     pub head_timeout: Millis,
     /// How long a connection may be idle.
--- a/src/runner/offers.rs
+++ b/src/runner/offers.rs
@@ -98,9 +98,9 @@
     /// missing runners, and back.
     pub(super) fn update_home(&mut self, standing: &Standing, now: Millis) {
         if standing.home == self.home {
-            self.home_change_at = now + HOME_CHANGE_DELAY;
+            self.home_until = now + HOME_CHANGE_DELAY;
         }
-        let due = self.home.is_none() || now >= self.home_change_at;
+        let due = self.home.is_none() || now >= self.home_until;
         if standing.home.is_some() && self.home != standing.home && due {
             let (home, before) = (&standing.home, &self.home);
             tracing::info!(?home, ?before, "home model changed");
--- a/src/runner/work.rs
+++ b/src/runner/work.rs
@@ -47,7 +47,7 @@
     /// This runner's home model; `None` until it has one.
     pub(super) home: Option<String>,
     /// An existing home model does not change before this time.
-    pub(super) home_change_at: Millis,
+    pub(super) home_until: Millis,
     /// The engine's kind: usual or slower, compared with the other engines of the service.
     pub(super) kind: EngineKind,
     /// Whether this runner is shutting down and claims nothing new.
@@ -136,7 +136,7 @@
             events,
             instance: setup.instance,
             home,
-            home_change_at: Millis(0),
+            home_until: Millis(0),
             kind: EngineKind::default(),
             leaving: false,
             last_incarnation: None,
--- a/src/settings/team_settings.rs
+++ b/src/settings/team_settings.rs
@@ -15,7 +15,7 @@
     /// Whether only callers whose settings list this class may use it.
     pub internal: bool,
     /// The maximum number of calls in flight at one entry.
-    pub max_in_flight: u32,
+    pub max_calls: u32,
     pub pool: String,
     pub priority: Priority,
 }
@@ -46,7 +46,7 @@
     pub callers: BTreeMap<String, Caller>,
     pub classes: BTreeMap<String, ClassSettings>,
     /// The maximum number of calls in flight at one entry, over all classes.
-    pub max_in_flight: u32,
+    pub max_calls: u32,
     /// The size of the retry budget: the number of retries in percent of the successful calls.
     pub retry_share: u64,
     pub rollout: Option<RolloutSettings>,
@@ -80,7 +80,7 @@
         Self {
             callers,
             classes,
-            max_in_flight: reader.number("limit", 1..=1_000_000, Some(10_000)) as u32,
+            max_calls: reader.number("limit", 1..=1_000_000, Some(10_000)) as u32,
             retry_share: reader.number("retry_share", 0..=100, Some(10)),
             rollout: rollout(reader),
         }
@@ -120,7 +120,7 @@
     let settings = ClassSettings {
         deadline: Millis(section.number("deadline_ms", 1..=3_600_000, Some(10_000))),
         internal: section.value("internal", "true or false", Some(false)),
-        max_in_flight: section.number("limit", 1..=1_000_000, Some(1_000)) as u32,
+        max_calls: section.number("limit", 1..=1_000_000, Some(1_000)) as u32,
         pool: section.text("pool", None),
         priority: section
             .choice("priority", &PRIORITIES, Some(Priority::Live))
--- a/tests/integration/step_times.rs
+++ b/tests/integration/step_times.rs
@@ -35,7 +35,7 @@
         ("taken", row.taken, 9.0),
         ("waiting", row.waiting, 1.2),
         ("earlier_runs", row.earlier_runs, 2.2),
-        ("first_event_wait", row.first_event_wait, 0.1),
+        ("first_wait", row.first_wait, 0.1),
         ("generating", row.generating, 5.0),
         ("listing", row.listing, 0.1),
         ("reading", row.reading, 0.4),
@@ -46,9 +46,9 @@
         );
     }
     assert!(
-        (row.ms_per_event - 5_000.0 / 99.0).abs() < 0.01,
+        (row.event_ms - 5_000.0 / 99.0).abs() < 0.01,
         "{}",
-        row.ms_per_event
+        row.event_ms
     );
 }
 
